--- a/internal/sender/admin_reports.go
+++ b/internal/sender/admin_reports.go
@@ -12,7 +12,7 @@
 	"saffronyard.example/saffronyard/internal/peers"
 )
 
-// KnownFact is one fact as operators are shown it.
+// KnownFact is a fact in the form in which operators see it.
 type KnownFact struct {
 	Receiver uint32  `json:"receiver"`
 	Endpoint string  `json:"endpoint,omitempty"`
@@ -20,18 +20,18 @@
 	Says     string  `json:"says"`
 	Source   string  `json:"source"` // self, earlier, or a peer's name
 	AgeMS    int64   `json:"age_ms"`
-	Trust    float64 `json:"trust"` // 1 for what is seen now, 0 for what counts no more
+	Trust    float64 `json:"trust"` // 1 for a fresh fact, 0 for one that has expired
 	Calls    uint32  `json:"calls"`
 }
 
-// PeersReport is the members that are known and what they tell.
+// PeersReport lists the known members of the cluster and counts the facts that they share.
 type PeersReport struct {
 	Name          string         `json:"name"`
 	Cluster       string         `json:"cluster"`
-	Address       string         `json:"address"` // of its membership
+	Address       string         `json:"address"` // of the membership protocol
 	OwnFacts      int            `json:"tells"`   // facts of its own
 	Members       []peers.Member `json:"members"`
-	FactsBySource map[string]int `json:"heard"` // facts held, by who told them
+	FactsBySource map[string]int `json:"heard"` // stored facts by the name of their source
 	NowMS         int64          `json:"now_ms"`
 }
 
@@ -48,13 +48,13 @@
 	return r
 }
 
-// knowledgeReport is the answer to GET /knowledge, all facts or those of one receiver: what this process has observed, what
-// peers told, and what is left of an earlier process's.
-func (s *Sender) knowledgeReport(now time.Duration, all bool, only uint32) []KnownFact {
+// knowledgeReport is the answer to GET /knowledge, with all facts or those of one receiver: the facts observed by this process, those
+// received from peers, and those left by an earlier process.
+func (s *Sender) knowledgeReport(now time.Duration, all bool, receiver uint32) []KnownFact {
 	list := []KnownFact{}
 	add := func(facts []knowledge.Fact, source string) {
 		for _, f := range facts {
-			if !all && f.Destination != only {
+			if !all && f.Destination != receiver {
 				continue
 			}
 			from := source
@@ -102,7 +102,7 @@
 	Messages    int    `json:"messages"`
 }
 
-// pendingCounts is the answer to GET /held: what is pending, as far as a policy tells messages apart.
+// pendingCounts is the answer to GET /held: the pending messages by destination and tenant, the attributes that a policy depends on.
 func (s *Sender) pendingCounts() []PendingCount {
 	counts := map[fleetpolicy.Call]int{}
 	for _, m := range s.messages {
--- a/internal/sender/batch.go
+++ b/internal/sender/batch.go
@@ -10,44 +10,44 @@
 	"saffronyard.example/saffronyard/internal/calls"
 )
 
-// Several messages travel in one call where an endpoint's form says so. The module decides each of them by itself, as
-// ever: what it sends to one endpoint in one step goes together. Each Send is still one call at the most, with its own
-// time-out; a message of which that is over ends by itself, while the call goes on for the others.
+// Where an endpoint's delivery form allows batches, one call carries several messages. The module still decides each message on its
+// own; the messages that it sends to one endpoint in one step share a call. Each Send still makes at most one call and has its own
+// time-out: when that expires, only this message's attempt ends, and the call goes on for the others.
 
-// batchedSend is one attempt of a message on its way to a batch.
+// batchedSend is an attempt to send one message as part of a batch.
 type batchedSend struct {
 	m       *message
 	attempt int
-	ctx     context.Context // ends with its time-out, or as it is called off
+	ctx     context.Context // ends with the attempt's time-out or cancellation
 	timeout time.Duration
 	permit  *calls.Permit
 }
 
-// batch is what goes to one endpoint in one call.
+// batch is the attempts that share one call to an endpoint.
 type batch struct {
 	to    *calls.Endpoint
 	sends []batchedSend
 	bytes int
 }
 
-// eventOverheadBytes is about what an event takes in a batch beside its data.
+// eventOverheadBytes is the approximate size of an event in a batch without its data.
 const eventOverheadBytes = 512
 
-// addToBatch puts an attempt with others to the same endpoint, as far as they fit into one call: so many events, and about so
-// many bytes.
-func (s *Sender) addToBatch(e *calls.Endpoint, one batchedSend, events, bytes int) {
-	size := eventOverheadBytes + len(one.m.Body)*4/3
+// addToBatch adds an attempt to a batch for the same endpoint that has room for it, or begins a new batch. A batch holds up to events
+// attempts and approximately up to bytes bytes.
+func (s *Sender) addToBatch(e *calls.Endpoint, send batchedSend, events, bytes int) {
+	size := eventOverheadBytes + len(send.m.Body)*4/3
 	for i := range s.batches {
 		b := &s.batches[i]
 		if b.to == e && len(b.sends) < events && b.bytes+size <= bytes {
-			b.sends, b.bytes = append(b.sends, one), b.bytes+size
+			b.sends, b.bytes = append(b.sends, send), b.bytes+size
 			return
 		}
 	}
-	s.batches = append(s.batches, batch{e, []batchedSend{one}, size})
+	s.batches = append(s.batches, batch{e, []batchedSend{send}, size})
 }
 
-// sendBatches begins the calls that were gathered in this turn.
+// sendBatches begins the calls of the batches collected in this turn.
 func (s *Sender) sendBatches(ctx context.Context, written bool) {
 	batches := s.batches
 	s.batches = nil
@@ -56,16 +56,16 @@
 	}
 }
 
-// batchCall is the call of a batch. done is closed once result stands.
+// batchCall is the call of a batch. done is closed once result is set.
 type batchCall struct {
 	endpoint brain.EndpointID
 	done     chan struct{}
 	result   brain.AttemptResult
-	draining bool // the endpoint wants no more calls
+	draining bool // the endpoint has asked for no further calls
 }
 
-// sendBatch begins the call of one batch. Each message's attempt ends by itself, with the call, its own time-out or its
-// cancellation, and is posted as a callResult; the call lasts as long as one of them waits for it.
+// sendBatch begins the call of one batch. Each message's attempt ends separately, with the call or by its own time-out or
+// cancellation, and is posted as a callResult. The call lasts as long as an attempt waits for it.
 func (s *Sender) sendBatch(ctx context.Context, b batch, written bool) {
 	began := time.Now()
 	tickets := make([]calls.Ticket, len(b.sends))
@@ -99,14 +99,14 @@
 	}()
 }
 
-// await waits for the end of one attempt of the batch: that of the call, or its own time-out or cancellation before it.
+// await waits for the end of one attempt of the batch: the end of the call, or the attempt's own time-out or cancellation before that.
 func (c *batchCall) await(send batchedSend) callResult {
 	r := callResult{message: send.m, attempt: send.attempt}
 	select {
 	case <-c.done:
 		r.AttemptResult, r.draining = c.result, c.draining
 	case <-send.ctx.Done():
-		select { // both at once: what came back is known
+		select { // if the call has ended too, its result counts
 		case <-c.done:
 			r.AttemptResult, r.draining = c.result, c.draining
 		default:
@@ -116,8 +116,8 @@
 			}
 		}
 	}
-	// A message whose permit is gone was not written with the others, and one whose time is over before the connection is up
-	// will not be: neither's end is the call's.
+	// A message whose permit was revoked was not written with the others, and one whose time-out expires before the connection is up
+	// will not be written. The result of the call applies to neither.
 	if send.permit.Revoked() {
 		r.AttemptResult = brain.AttemptResult{Endpoint: c.endpoint, Outcome: brain.NotSent}
 	} else if send.ctx.Err() != nil && send.permit.Revoke() {
--- a/internal/sender/clock.go
+++ b/internal/sender/clock.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// clock is the module's: Unix time as read at the start, and monotonic from there on, so that times in the journal mean the
-// same to the next process and a step of the wall clock moves no deadline.
+// clock is the module's time source: Unix time as read at the start and advanced monotonically from there, so that times in the
+// journal have the same meaning for the next process and a step of the wall clock moves no deadline.
 type clock struct {
 	start time.Time
 	base  time.Duration
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -12,48 +12,48 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// cluster is senders in virtual time: the real module, the real merge and what is told, and no sockets. A tenth of the
-// receivers is out for a while; one sender may have a line that is broken, so that all its calls fail.
+// cluster simulates senders in virtual time, with the real module, the real merge of facts and the real change log, and no sockets. A
+// tenth of the receivers is out of service for a while. The network of one sender may be broken, so that all its calls fail.
 type cluster struct {
 	senders, receivers int
 	rate               float64 // messages a second of each sender
-	exchanges          bool    // they tell each other
-	broken             bool    // the last sender's line is broken
+	exchanges          bool    // the senders exchange facts
+	broken             bool    // the last sender's network is broken
 	seconds            int
 
 	brains       []*brain.Brain
 	extensions   []*peersExtension
 	changeLogs   []*knowledge.ChangeLog
-	versionsSeen [][]uint64 // versions, by listener and teller
-	agenda       queue
-	n            int
+	versionsSeen [][]uint64 // versions of the change logs, by receiving and by sending sender
+	queue        queue
+	lastSeq      int
 
-	calls, failed, served int // of the senders whose line is whole
-	facts                 int // told
+	calls, failed, served int // of the senders with a working network
+	facts                 int // sent between the senders
 }
 
 const (
-	tick    = 20 * time.Millisecond
-	takes   = 40 * time.Millisecond // a call
-	fails   = 5 * time.Millisecond  // one that fails
-	travels = 50 * time.Millisecond // what is told
-	outFrom = 5 * time.Second
-	outTo   = 20 * time.Second
-	start   = time.Hour
+	tick           = 20 * time.Millisecond
+	servedCallTime = 40 * time.Millisecond // of a call that is served
+	failedCallTime = 5 * time.Millisecond  // of a call that fails
+	exchangeDelay  = 50 * time.Millisecond // of facts between two senders
+	outageStart    = 5 * time.Second
+	outageEnd      = 20 * time.Second
+	start          = time.Hour
 )
 
 type queued struct {
-	at time.Duration
-	n  int
-	to int
-	e  any // a brain.Event, or facts
+	at      time.Duration
+	seq     int
+	target  int
+	content any // a brain.Event, or facts
 }
 
 type queue []queued
 
 func (q queue) Len() int { return len(q) }
 func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *queue) Push(x any)   { *q = append(*q, x.(queued)) }
@@ -63,16 +63,16 @@
 	return last
 }
 
-func (c *cluster) put(at time.Duration, to int, e any) {
-	c.n++
-	heap.Push(&c.agenda, queued{at, c.n, to, e})
+func (c *cluster) schedule(at time.Duration, to int, e any) {
+	c.lastSeq++
+	heap.Push(&c.queue, queued{at, c.lastSeq, to, e})
 }
 
-func (c *cluster) out(receiver int, now time.Duration) bool {
-	return receiver%10 == 0 && now >= start+outFrom && now < start+outTo
+func (c *cluster) isOut(receiver int, now time.Duration) bool {
+	return receiver%10 == 0 && now >= start+outageStart && now < start+outageEnd
 }
 
-func (c *cluster) play(t testing.TB, s *Sender, seed uint64) {
+func (c *cluster) simulate(t testing.TB, s *Sender, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	list := brain.EndpointUpdate{Complete: true}
 	for r := range c.receivers {
@@ -91,12 +91,12 @@
 	id, tries := brain.MessageID(0), map[brain.MessageID]int{}
 	for now := start; now < start+time.Duration(c.seconds)*time.Second; now += tick {
 		events := make([][]brain.Event, c.senders)
-		for len(c.agenda) > 0 && c.agenda[0].at <= now {
-			q := heap.Pop(&c.agenda).(queued)
-			if facts, ok := q.e.([]knowledge.Fact); ok {
-				events[q.to] = append(events[q.to], c.extensions[q.to].handle(peerFacts{facts}, now)...)
+		for len(c.queue) > 0 && c.queue[0].at <= now {
+			q := heap.Pop(&c.queue).(queued)
+			if facts, ok := q.content.([]knowledge.Fact); ok {
+				events[q.target] = append(events[q.target], c.extensions[q.target].handle(peerFacts{facts}, now)...)
 			} else {
-				events[q.to] = append(events[q.to], q.e.(brain.Event))
+				events[q.target] = append(events[q.target], q.content.(brain.Event))
 			}
 		}
 		for i, b := range c.brains {
@@ -104,19 +104,19 @@
 				id++
 				events[i] = append(events[i], brain.Message{ID: id, Class: 2, Destination: brain.DestinationID(rng.IntN(c.receivers)), Deadline: now + 10*time.Second})
 			}
-			line := !c.broken || i < c.senders-1
+			connected := !c.broken || i < c.senders-1
 			for _, a := range b.Step(now, append(events[i], brain.TimerFired{})) {
 				call, ok := a.(brain.Send)
 				if !ok {
 					continue
 				}
-				end := brain.AttemptResult{Message: call.Message, Attempt: tries[call.Message], Endpoint: call.Endpoint, Outcome: brain.Served, Final: true, Elapsed: takes}
+				end := brain.AttemptResult{Message: call.Message, Attempt: tries[call.Message], Endpoint: call.Endpoint, Outcome: brain.Served, Final: true, Elapsed: servedCallTime}
 				tries[call.Message]++
-				if !line || c.out(int(call.Endpoint)-1, now) {
-					end.Outcome, end.Final, end.Elapsed = brain.ConnectFailed, false, fails
+				if !connected || c.isOut(int(call.Endpoint)-1, now) {
+					end.Outcome, end.Final, end.Elapsed = brain.ConnectFailed, false, failedCallTime
 				}
-				c.put(now+end.Elapsed, i, end)
-				if line {
+				c.schedule(now+end.Elapsed, i, end)
+				if connected {
 					c.calls++
 					if end.Outcome == brain.Served {
 						c.served++
@@ -132,7 +132,7 @@
 	}
 }
 
-// publish passes on what one sender has seen since each other was told.
+// publish sends the other senders what one sender has observed since it last sent to them.
 func (c *cluster) publish(from int, now time.Duration) {
 	var all []knowledge.Fact
 	for _, k := range c.brains[from].Observations() {
@@ -152,48 +152,49 @@
 			news[i].Source = knowledge.Source{Name: fmt.Sprint("n", from), Incarnation: 1}
 		}
 		c.facts += len(news)
-		c.put(now+travels, to, news)
+		c.schedule(now+exchangeDelay, to, news)
 	}
 }
 
-// Senders that tell each other make fewer calls that fail while receivers are out, and deliver no less; one whose own
-// line is broken, and who holds every receiver to be out, costs the others nothing that can be seen.
+// Senders that exchange facts make fewer failing calls while receivers are out of service, and deliver no less. A sender whose own
+// network is broken considers every receiver out of service; its facts must not measurably reduce what the others deliver.
 func TestCluster_InVirtualTime(t *testing.T) {
 	t.Parallel()
 	s := newTest(t, st.NewPlatform(t), nil)
 	for _, senders := range []int{3, 12} {
-		play := func(share, broken bool) *cluster {
-			c := &cluster{senders: senders, receivers: 60, rate: 40, exchanges: share, broken: broken, seconds: 30}
-			c.play(t, s, 1)
+		simulate := func(exchange, broken bool) *cluster {
+			c := &cluster{senders: senders, receivers: 60, rate: 40, exchanges: exchange, broken: broken, seconds: 30}
+			c.simulate(t, s, 1)
 			return c
 		}
-		alone, together, wrong := play(false, false), play(true, false), play(true, true)
-		t.Logf("%d senders: alone %d of %d calls fail, together %d of %d; %d facts told", senders, alone.failed, alone.calls, together.failed, together.calls, together.facts)
-		if together.failed*4 > alone.failed*3 {
-			t.Errorf("%d senders: together %d calls fail, alone %d", senders, together.failed, alone.failed)
+		separate, exchanging, withBroken := simulate(false, false), simulate(true, false), simulate(true, true)
+		t.Logf("%d senders: without exchange %d of %d calls fail, with exchange %d of %d; %d facts sent", senders, separate.failed, separate.calls, exchanging.failed, exchanging.calls, exchanging.facts)
+		if exchanging.failed*4 > separate.failed*3 {
+			t.Errorf("%d senders: with exchange %d calls fail, without %d", senders, exchanging.failed, separate.failed)
 		}
-		if together.served*1000 < alone.served*995 {
-			t.Errorf("%d senders: together %d calls are served, alone %d", senders, together.served, alone.served)
+		if exchanging.served*1000 < separate.served*995 {
+			t.Errorf("%d senders: with exchange %d calls are served, without %d", senders, exchanging.served, separate.served)
 		}
-		// As many as without the one whose line is broken, from the others.
-		whole := float64(together.served) * float64(senders-1) / float64(senders)
-		t.Logf("%d senders: with one whose line is broken the others serve %.4f of what they serve without", senders, float64(wrong.served)/whole)
-		if float64(wrong.served) < whole*0.98 {
-			t.Errorf("%d senders: with one whose line is broken the others serve %d calls, without %.0f", senders, wrong.served, whole)
+		// The part of the other senders in what is served when no network is broken.
+		expected := float64(exchanging.served) * float64(senders-1) / float64(senders)
+		t.Logf("%d senders: with one broken network the others serve %.4f of what they serve without", senders, float64(withBroken.served)/expected)
+		if float64(withBroken.served) < expected*0.98 {
+			t.Errorf("%d senders: with one broken network the others serve %d calls, without %.0f", senders, withBroken.served, expected)
 		}
 	}
 }
 
-// BenchmarkCluster tells, for each size, the share of calls that fail together over alone, and what is told a second.
+// BenchmarkCluster reports, for each size, the ratio of failed calls with exchange to those without, and the facts sent per second for
+// each pair of senders.
 func BenchmarkCluster(b *testing.B) {
-	raw := st.NewPlatform(b)
+	platform := st.NewPlatform(b)
 	for _, size := range [][2]int{{3, 500}, {30, 500}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
 			for b.Loop() {
 				var runs [2]cluster
 				for i := range runs {
 					runs[i] = cluster{senders: size[0], receivers: size[1], rate: 60, exchanges: i == 1, seconds: 30}
-					runs[i].play(b, newTest(b, raw, nil), 1)
+					runs[i].simulate(b, newTest(b, platform, nil), 1)
 				}
 				b.ReportMetric(float64(runs[1].failed)/float64(runs[0].failed), "failed-ratio")
 				b.ReportMetric(float64(runs[1].facts)/float64(size[0]*size[0]*30), "facts/s/pair")
--- a/internal/sender/config.go
+++ b/internal/sender/config.go
@@ -17,14 +17,14 @@
 	"saffronyard.example/saffronyard/internal/work"
 )
 
-// foldAfter is how long a destination is quiet before it is remembered in short: longer than a usual lull, as what was learnt
-// of it ages from then on.
-const foldAfter = 5 * time.Minute
+// hibernateAfter is how long a destination must be idle before the module reduces its state to a summary. It is longer than a usual lull,
+// because the learnt state ages from then on.
+const hibernateAfter = 5 * time.Minute
 
 // configPart names the platform's file in errors.
 const configPart = "configuration"
 
-// Limits is what the sender's machine allows it.
+// Limits is the resources that the machine allows the sender.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -35,15 +35,15 @@
 // maxClients is how many of the descriptors may be clients' connections.
 func (l Limits) maxClients() int { return max(1, l.Sockets/2) }
 
-// maxIdleClients is how many of those may be idle: clients hold a third of the descriptors at most, and those who wait for a
-// connection must find some left of that.
+// maxIdleClients is how many of those may be idle. The platform's clients together use at most a third of the descriptors, and a part
+// of that third must stay free for clients that wait for a connection.
 func (l Limits) maxIdleClients() int { return max(1, l.Sockets/6) }
 
-// maxEndpointConns is how many may be connections to endpoints, in use or idle. The rest is for files, the listener and
-// discovery.
+// maxEndpointConns is how many of the descriptors may be connections to endpoints, in use or idle. The rest is for files, the listener
+// and discovery.
 func (l Limits) maxEndpointConns() int { return max(1, l.Sockets-l.maxClients()-min(24, l.Sockets/8)) }
 
-// Config is a sender's configuration. It does not change while the sender runs, but for what Sender.Reload takes over.
+// Config is a sender's configuration. It does not change while the sender runs, except for what Sender.Reload takes over.
 type Config struct {
 	Name      string
 	Listen    string // host:port where clients connect
@@ -51,29 +51,29 @@
 	StateDir  string // the folder that outlasts the process
 	Seed      uint64 // of the module's random choices
 	Limits    Limits
-	Known     Targets // the endpoint list as the platform had it last
+	Known     Targets // the platform's endpoint list when the file was written
 	Settings  brain.Settings
 
 	Classes, Tenants, Kinds, Zones []string // names, in the order of the settings
-	ReportFields                   []string // of load reports
+	ReportFields                   []string // names of the fields of load reports
 	ConnectTimeout                 time.Duration
 
-	// What the operators' file turns on.
-	Events   *Events         // CloudEvents are accepted; nil: they are not
-	Recorder Recorder        // undelivered messages are kept; nil: they are not
-	Delivery *calls.Delivery // in which form messages go out; nil: all as in the platform's protocol
+	// Features that the operators' file turns on.
+	Events   *Events         // how CloudEvents are accepted; nil: they are not accepted
+	Recorder Recorder        // stores undelivered messages; nil: they are not stored
+	Delivery *calls.Delivery // the form in which messages are sent; nil: the platform's protocol for all
 
 	Peers       *peers.Config                         // other senders, which share what they observe; nil: none
-	Background  bool                                  // work behind the messages asks of the sender: see Sender.Background
+	Background  bool                                  // background work may query the sender: see Sender.Background
 	Work        func(filter work.Filter) (any, error) // answers the command line's queries; WorkCommand takes its commands
 	WorkCommand func(work.Command) error
-	Fleet       Fleet       // what senders agree on; nil: nothing
-	Names       *NameSource // names say where endpoints are, beside discovery; nil: discovery alone does
-	Knowledge   *Knowledge  // what is known of receivers outlasts the process; nil: only their usual rates do
+	Fleet       Fleet       // the policy and limits that senders share; nil: none
+	Names       *NameSource // DNS names as a second source of endpoints; nil: discovery is the only one
+	Knowledge   *Knowledge  // keeps what is known of receivers over restarts; nil: only the journal's part of it is kept
 }
 
-// LoadConfig reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_STATE win over what it
-// says. Its error is a *ConfigError.
+// LoadConfig reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_STATE override its values. Its
+// error is a *ConfigError.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	c, err := readConfig(getenv)
 	if err != nil {
@@ -91,8 +91,8 @@
 	return c, nil
 }
 
-// ReloadConfig reads the file again, for Sender.Reload. Here the file wins: it is newer than the variables that the process
-// was started with.
+// ReloadConfig reads the file again, for Sender.Reload. Here the file takes precedence over the environment variables, because it is
+// newer than the environment that the process was started with.
 func ReloadConfig(getenv func(string) string) (*Config, error) {
 	c, err := readConfig(getenv)
 	if err == nil && c.Discovery == "" {
@@ -105,7 +105,7 @@
 func readConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("EDGE_CONFIG")
 	if path == "" {
-		return nil, configError(configPart, "EDGE_CONFIG is not set; it names the configuration's file ('rehearse up' shows a sender running)")
+		return nil, configError(configPart, "EDGE_CONFIG is not set; it must name the configuration file ('rehearse up' shows a running sender)")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -155,15 +155,14 @@
 			return nil, fmt.Errorf("seed: %w", err)
 		}
 	}
-	// What is not stated gets a modest value: nothing may grow without a bound.
+	// A missing limit gets a modest default, because nothing may grow without a bound.
 	if c.Limits.Sockets <= 0 {
 		c.Limits.Sockets = 1024
 	}
-	c.Settings.HibernateAfter = foldAfter
-	// The module foresees a shortage of slots; a call that finds no descriptor would fail for no fault of its
-	// endpoint's.
-	if most := c.Limits.maxEndpointConns(); c.Settings.Slots <= 0 || c.Settings.Slots > most {
-		c.Settings.Slots = most
+	c.Settings.HibernateAfter = hibernateAfter
+	// The module plans for a shortage of slots, but a call that finds no free descriptor would fail through no fault of its endpoint.
+	if limit := c.Limits.maxEndpointConns(); c.Settings.Slots <= 0 || c.Settings.Slots > limit {
+		c.Settings.Slots = limit
 	}
 	if c.Limits.DiskMB <= 0 {
 		c.Limits.DiskMB = 3
@@ -191,25 +190,24 @@
 // minJournalBytes is the least room that the journal needs.
 const minJournalBytes = 512 << 10
 
-// journalDiskBytes is the bytes that the journal may take: what the disk's limit leaves of snapshots and of the ends of
-// events.
+// journalDiskBytes is the bytes that the journal may take: the disk limit less the space for snapshots and for the outcomes of events.
 func (c *Config) journalDiskBytes() (int64, error) {
 	room := int64(c.Limits.DiskMB*1e6*journalDiskFraction) - c.knowledgeDiskBytes()
 	if room < minJournalBytes && c.Knowledge != nil {
-		return 0, configError("knowledge", "bytes = %d, twice, leaves less than %d of the disk's %.0f to the journal", c.Knowledge.MaxBytes, minJournalBytes, c.Limits.DiskMB*1e6)
+		return 0, configError("knowledge", "two snapshots of bytes = %d leave less than %d of the disk limit of %.0f bytes for the journal", c.Knowledge.MaxBytes, minJournalBytes, c.Limits.DiskMB*1e6)
 	}
 	if c.Events == nil {
 		return room, nil
 	}
-	ends := identity.MaxFileBytes(c.Events.MaxRemembered)
-	if room-ends < minJournalBytes {
-		return 0, configError("events", "remember_most = %d takes %d bytes of the disk's %.0f and leaves less than %d to the journal", c.Events.MaxRemembered, ends, c.Limits.DiskMB*1e6, minJournalBytes)
+	outcomeBytes := identity.MaxFileBytes(c.Events.MaxRemembered)
+	if room-outcomeBytes < minJournalBytes {
+		return 0, configError("events", "remember_most = %d takes %d of the disk limit of %.0f bytes and leaves less than %d for the journal", c.Events.MaxRemembered, outcomeBytes, c.Limits.DiskMB*1e6, minJournalBytes)
 	}
-	return room - ends, nil
+	return room - outcomeBytes, nil
 }
 
-// CheckRules finds a rule for events that names a class or tenant which the settings lack; the error is a *ConfigError. Names
-// that are filled in from the event are looked up with each event.
+// CheckRules checks that the rules for events name only classes and tenants of the settings; its error is a *ConfigError. Names that
+// are filled in from the event are checked with each event.
 func (c *Config) CheckRules() error {
 	if c.Events == nil {
 		return nil
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -18,14 +18,14 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// delivers turns a form on for all destinations.
+// delivers configures a delivery form for all destinations.
 func delivers(to calls.Target) func(*Config) {
 	return func(c *Config) {
 		c.Delivery = &calls.Delivery{Source: "/council", Type: "notice.{class}", Targets: []calls.Target{to}}
 	}
 }
 
-// both makes one edit of several.
+// both combines several edits of the configuration.
 func both(edits ...func(*Config)) func(*Config) {
 	return func(c *Config) {
 		for _, e := range edits {
@@ -34,7 +34,7 @@
 	}
 }
 
-// What came in as an event leaves with all of it, in each form and on every attempt; what came plain gets stated
+// An event is sent with all of its attributes and data, in each form and on every attempt. A plain message gets the configured
 // attributes, the same on every attempt.
 func TestDelivery_RequestForms(t *testing.T) {
 	t.Parallel()
@@ -46,12 +46,12 @@
 			if name == calls.Plain {
 				path = "/hook"
 			}
-			first := map[string]bool{}
+			seen := map[string]bool{}
 			var mu sync.Mutex
-			e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool { // each is tried twice
+			e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool { // rejects the first call of each message
 				mu.Lock()
-				again := first[c.Key+c.Body]
-				first[c.Key+c.Body] = true
+				again := seen[c.Key+c.Body]
+				seen[c.Key+c.Body] = true
 				mu.Unlock()
 				if !again {
 					return st.Status(503)(c, nc)
@@ -87,7 +87,7 @@
 			}
 			a, b := e.Next(t), e.Next(t)
 			if a.Path != path || a.Method != "POST" || a.Body != b.Body || a.ID != b.ID || a.Key != b.Key {
-				t.Errorf("%+v and then %+v", a, b)
+				t.Errorf("first attempt %+v, second %+v", a, b)
 			}
 			for _, c := range []st.Call{a, b} {
 				got := read(c)
@@ -99,7 +99,7 @@
 			st.Submit(t, addr, st.Submission{ID: "m1", Class: "keyed", Destination: 0, Deadline: 9 * time.Second})
 			a, b = e.Next(t), e.Next(t)
 			if a.Body != b.Body {
-				t.Errorf("%q and then %q", a.Body, b.Body)
+				t.Errorf("first attempt %q, second %q", a.Body, b.Body)
 			}
 			if name == calls.Plain {
 				if a.Header.Get("Ce-Id") != "" || a.Body != "body of m1" || a.Key != "key-m1" || a.ID != "m1" {
@@ -115,56 +115,56 @@
 	}
 }
 
-// An endpoint that answers 410 gets no further call, until the list has taken it out of service and back; the message
-// goes to another.
+// An endpoint that answers 410 gets no further call until the list has taken it out of service and put it back. The message goes to
+// another endpoint.
 func TestDelivery_EndpointGone(t *testing.T) {
 	t.Parallel()
-	var wants atomic.Bool
-	leaves := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
-		if wants.Load() {
+	var accepts atomic.Bool
+	gone := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
+		if accepts.Load() {
 			return st.Status(200)(c, nc)
 		}
 		return st.Status(410)(c, nc)
 	})
-	stays := st.NewEndpoint(t, st.Status(204))
-	p := st.NewPlatform(t, leaves.Addr)
-	p.Change(st.Target("s-9", stays.Addr, 0, "SERVING"))
+	other := st.NewEndpoint(t, st.Status(204))
+	p := st.NewPlatform(t, gone.Addr)
+	p.Change(st.Target("s-9", other.Addr, 0, "SERVING"))
 	addr := run(t, p, delivers(calls.Target{Form: calls.Structured}))
-	for i := 0; len(leaves.Calls) == 0; i++ {
+	for i := 0; len(gone.Calls) == 0; i++ {
 		st.Submit(t, addr, st.Submission{ID: "a" + strconv.Itoa(i), Class: "unsafe", Destination: 0, Deadline: 9 * time.Second})
-		stays.Next(t)
+		other.Next(t)
 		if i > 200 {
-			t.Fatal("it is never called")
+			t.Fatal("the endpoint that answers 410 is never called")
 		}
 	}
 	for i := range 30 {
 		st.Submit(t, addr, st.Submission{ID: "b" + strconv.Itoa(i), Class: "unsafe", Destination: 0, Deadline: 9 * time.Second})
-		stays.Next(t)
+		other.Next(t)
 	}
-	if n := len(leaves.Calls); n != 1 {
-		t.Errorf("it got %d calls", n)
+	if n := len(gone.Calls); n != 1 {
+		t.Errorf("the endpoint that answers 410 got %d calls", n)
 	}
-	leaves.Next(t)
-	wants.Store(true)
-	for _, state := range []string{"SERVING", "DRAINING", "SERVING"} { // the first says nothing new
+	gone.Next(t)
+	accepts.Store(true)
+	for _, state := range []string{"SERVING", "DRAINING", "SERVING"} { // the first is no change
 		for len(p.Lists) > 0 {
 			<-p.Lists
 		}
-		p.Change(st.Target("s-0", leaves.Addr, 0, state))
-		st.Receive(t, p.Lists) // it has that, and watches for the next
+		p.Change(st.Target("s-0", gone.Addr, 0, state))
+		st.Receive(t, p.Lists) // the sender has the change and watches for the next
 	}
-	p.Change(st.Target("s-9", stays.Addr, 0, "DRAINING"))
+	p.Change(st.Target("s-9", other.Addr, 0, "DRAINING"))
 	until(t, func() bool {
 		st.Submit(t, addr, st.Submission{ID: fmt.Sprint("c", time.Now().UnixNano()), Class: "safe", Destination: 0, Deadline: 9 * time.Second})
-		return len(leaves.Calls) > 0
+		return len(gone.Calls) > 0
 	})
 }
 
-// What the module sends to one endpoint in one step travels in one call, as far as it fits.
+// Messages that the module sends to one endpoint in one step share a call, within the limits of a batch.
 func TestDelivery_Batches(t *testing.T) {
 	t.Parallel()
 	s, e, _ := newManualSender(t, st.Status(200), both(acceptEvents, delivers(calls.Target{Form: calls.Batched, BatchEvents: 3, BatchBytes: 65536})))
-	s.send2(t, 5)
+	s.sendInOneStep(t, 5)
 	var sizes []int
 	got := map[string]bool{}
 	for len(got) < 5 {
@@ -186,8 +186,8 @@
 	}
 }
 
-// send2 has the loop send n messages in one step, whatever the module would do with them.
-func (s *Sender) send2(t *testing.T, n int) {
+// sendInOneStep sends n messages in one step, without a decision of the module.
+func (s *Sender) sendInOneStep(t *testing.T, n int) {
 	t.Helper()
 	var at *calls.Endpoint
 	for _, e := range s.endpoints.ByNumber {
@@ -205,20 +205,19 @@
 	s.sendBatches(context.Background(), s.flush())
 }
 
-// One message of a batch that is called off ends by itself; the call goes on for the others. When the last goes, so
-// does the call.
+// A cancelled message of a batch ends alone, and the call goes on for the others. The call ends when its last message is cancelled.
 func TestDelivery_CancelWithinBatch(t *testing.T) {
 	t.Parallel()
 	batched := both(acceptEvents, delivers(calls.Target{Form: calls.Batched, BatchEvents: 3, BatchBytes: 65536}))
-	how := make(chan int)
-	s, e, _ := newManualSender(t, gate(how), batched)
-	s.send2(t, 3)
+	statuses := make(chan int)
+	s, e, _ := newManualSender(t, gate(statuses), batched)
+	s.sendInOneStep(t, 3)
 	e.Next(t)
 	s.byID["m1"].calls.cancel(0)
 	if end := st.Receive(t, s.events).(callResult); end.message.ID != "m1" || end.Outcome != brain.Cancelled {
 		t.Errorf("%+v", end)
 	}
-	how <- 200
+	statuses <- 200
 	for range 2 {
 		if end := st.Receive(t, s.events).(callResult); end.Outcome != brain.Served {
 			t.Errorf("%+v", end)
@@ -231,13 +230,13 @@
 		close(ended)
 		return false
 	}, batched)
-	s.send2(t, 2)
+	s.sendInOneStep(t, 2)
 	e.Next(t)
 	s.byID["m0"].calls.cancel(0)
 	st.Receive(t, s.events)
 	select {
 	case <-ended:
-		t.Error("the call ends with the first of its messages")
+		t.Error("the call ended when the first of its messages was cancelled")
 	default:
 	}
 	s.byID["m1"].calls.cancel(0)
@@ -245,7 +244,7 @@
 	st.Receive(t, ended)
 }
 
-// A batch that is cut off may have run: each of its messages is told so, and what may not be repeated is not.
+// A batch whose connection is reset may have run: so may each of its messages, and those that may not be repeated are not sent again.
 func TestDelivery_BatchTruncated(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Reset)
@@ -267,9 +266,9 @@
 			}
 		}
 	}
-	for id, how := range ends {
-		if how != outcomeGivenUp {
-			t.Errorf("%s: %s", id, how)
+	for id, outcome := range ends {
+		if outcome != outcomeGivenUp {
+			t.Errorf("%s: %s", id, outcome)
 		}
 	}
 }
--- a/internal/sender/descriptors_test.go
+++ b/internal/sender/descriptors_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Of the descriptors that a machine allows, clients, calls and idle connections together leave some for files.
+// Clients, calls and idle connections together leave some of the machine's descriptors for files.
 func TestLimits_Descriptors(t *testing.T) {
 	for sockets, want := range map[int]int{1024: 100, 256: 100, 128: 48, 16: 6} {
 		c, err := ParseConfig([]byte(fmt.Sprintf(`{"limits":{"sockets":%d},"settings":{"familyInfo":{"callsOut":100}}}`, sockets)))
@@ -17,7 +17,7 @@
 			t.Errorf("%d descriptors: %d slots, want %d", sockets, got, want)
 		}
 		if all := newServer(c, newClock(), slog.Default(), nil).maxClients + c.maxIdleEndpointConns() + c.Settings.Slots; all >= sockets {
-			t.Errorf("%d descriptors: %d given out, none left for files", sockets, all)
+			t.Errorf("%d descriptors: %d used for connections, none left for files", sockets, all)
 		}
 	}
 }
--- a/internal/sender/discovery.go
+++ b/internal/sender/discovery.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// By the protocol a change counts as received 6 s after discovery had it and could be reached. A watch whose connection is dead
-	// looks like one without changes until its answer is overdue, so both times are short: docs/design/ends.md has the sum. A watch
-	// that is renewed in time is no new call to discovery.
-	longPollWait       = 2 * time.Second        // a watch call waits so long for changes
-	answerTimeout      = 2 * time.Second        // and an answer takes no longer than this besides: discovery gives up at 2 s itself
-	overloadThreshold  = time.Second            // a call that is rejected after so long was worked on in vain: discovery is overloaded
-	firstNoticeTimeout = 150 * time.Millisecond // notices are answered at once, or the connection is dead
-	noticeTimeout      = 500 * time.Millisecond // on a new one: it has to come up
-	minBackoff         = 100 * time.Millisecond // the first pause after a failure; doubles up to maxBackoff
+	// The protocol counts a change as received 6 s after discovery had it and could be reached. A watch on a dead connection looks
+	// like one without changes until its answer is overdue, so both times are short: docs/design/ends.md has the calculation.
+	// Discovery does not count the renewal of a watch in time as a new call.
+	longPollWait       = 2 * time.Second        // how long a watch call waits for changes
+	answerTimeout      = 2 * time.Second        // limit for an answer, in addition to that wait: discovery itself gives up at 2 s
+	overloadThreshold  = time.Second            // a rejection that takes this long has cost discovery work: it is overloaded
+	firstNoticeTimeout = 150 * time.Millisecond // for the first try: a live connection answers notices at once
+	noticeTimeout      = 500 * time.Millisecond // for further tries: they also have to open a connection
+	minBackoff         = 100 * time.Millisecond // pause after the first failure; doubles up to maxBackoff
 	maxBackoff         = 2 * time.Second
-	maxNoticesPerCall  = 256     // in one call
-	maxListBytes       = 8 << 20 // of an answer of discovery's
+	maxNoticesPerCall  = 256
+	maxListBytes       = 8 << 20 // of an answer from discovery
 )
 
 // Target is an endpoint as a source lists it.
@@ -34,25 +34,25 @@
 // Targets is discovery's answer: the whole endpoint list, or what has changed since a version.
 type Targets = membership.Update
 
-// discovery speaks with the platform: the endpoint list and its changes, and notices. Its address may change while calls are
-// under way. mu guards current.
+// discovery is the client of the platform's discovery service, for the endpoint list, its changes, and notices. Its address may change
+// while calls are in flight. mu guards current.
 type discovery struct {
 	mu      sync.Mutex
 	current *registry
-	dial    func(ctx context.Context, network, addr string) (net.Conn, error) // in tests in virtual time another one
+	dial    func(ctx context.Context, network, addr string) (net.Conn, error) // replaced in tests in virtual time
 }
 
-// registry is one address of discovery and the connections to it. moved ends when discovery has moved away: with it end the
-// calls there and the backoffs after failures of the old address.
+// registry is one address of discovery and the connections to it. moved is cancelled when discovery has moved to another address,
+// which ends the calls to this one and the backoffs after its failures.
 type registry struct {
 	addr     string
 	client   *http.Client // for the list
-	notices  *http.Client // has no connection in common with that, as only the watch finds out that one is dead
+	notices  *http.Client // shares no connection with client, as only the watch detects a dead one
 	moved    context.Context
 	endCalls context.CancelFunc
 }
 
-// newDiscovery speaks with discovery at an address; nothing is connected before the first call.
+// newDiscovery is the client of discovery at an address; nothing is connected before the first call.
 func newDiscovery(addr string) *discovery {
 	d := &discovery{dial: (&net.Dialer{}).DialContext}
 	d.current = d.newRegistry(addr)
@@ -61,9 +61,9 @@
 
 // newRegistry is the registry at an address, to which no connection is open yet.
 func (d *discovery) newRegistry(addr string) *registry {
-	client := func(kept int) *http.Client {
+	client := func(maxIdle int) *http.Client {
 		return &http.Client{
-			Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: kept, ResponseHeaderTimeout: longPollWait + answerTimeout,
+			Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: maxIdle, ResponseHeaderTimeout: longPollWait + answerTimeout,
 				DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) { return d.dial(ctx, network, addr) }},
 			CheckRedirect: func(*http.Request, []*http.Request) error {
 				return http.ErrUseLastResponse
@@ -81,8 +81,8 @@
 	return d.current
 }
 
-// move leaves the address for another one: the watch begins anew there with the whole list, and notices under way are sent
-// again there. It reports whether the address is another.
+// move switches to another address: the watch starts over there with the full list, and notices in flight are sent again there. It
+// reports whether the address has changed.
 func (d *discovery) move(addr string) bool {
 	d.mu.Lock()
 	old := d.current
@@ -97,27 +97,26 @@
 	return true
 }
 
-// closeIdle closes the connections that no call uses.
+// closeIdle closes the idle connections.
 func (o *registry) closeIdle() {
 	o.client.CloseIdleConnections()
 	o.notices.CloseIdleConnections()
 }
 
-// within gives a call its context: it ends with ctx, after the limit, or when discovery moves. done releases it.
-func (o *registry) within(ctx context.Context, limit time.Duration) (context.Context, func()) {
+// callContext is the context of a call: it ends with ctx, after limit, or when discovery moves. The returned function releases it.
+func (o *registry) callContext(ctx context.Context, limit time.Duration) (context.Context, func()) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	stop := context.AfterFunc(o.moved, cancel)
 	return ctx, func() {
 		stop()
 		cancel()
 		if o.moved.Err() != nil {
-			o.closeIdle() // the connection of a call that was just over
+			o.closeIdle() // this call's connection may have become idle after move closed the idle ones
 		}
 	}
 }
 
-// backoff waits after the n-th failure in a row, a little less or more each time, but not once discovery has moved; false if
-// ctx ended.
+// backoff waits after the n-th failure in a row, with jitter, and returns early if discovery moves; false if ctx ended.
 func (o *registry) backoff(ctx context.Context, n int) bool {
 	d := min(minBackoff<<min(n-1, 10), maxBackoff)
 	t := time.NewTimer(d/2 + rand.N(d/2+1))
@@ -130,8 +129,8 @@
 	return ctx.Err() == nil
 }
 
-// fetchList asks for the whole list, or after a version for what is newer, waiting so long for it. after is -1 for the whole
-// list. The error is errOverloaded, wrapped, where the call was refused after overloadThreshold.
+// fetchList requests the full list if after is -1, else the changes since that version, for which discovery waits up to wait. The
+// error wraps errOverloaded if the call was rejected after overloadThreshold or more.
 func (o *registry) fetchList(ctx context.Context, after int64, wait time.Duration) (Targets, error) {
 	var t Targets
 	url, limit := "http://"+o.addr+"/api/targets", answerTimeout
@@ -139,7 +138,7 @@
 		url += fmt.Sprintf("?after=%d&wait_ms=%d", after, wait.Milliseconds())
 		limit += wait
 	}
-	ctx, done := o.within(ctx, limit)
+	ctx, done := o.callContext(ctx, limit)
 	defer done()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -158,13 +157,13 @@
 	if t, err = decodeTargets(io.LimitReader(resp.Body, maxListBytes)); err != nil {
 		return t, fmt.Errorf("discovery's list: %w", err)
 	}
-	io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyBytes)) // its end, so that the connection serves again
+	io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyBytes)) // read to the end, so that the connection can be reused
 	return t, nil
 }
 
-// watch follows the list at one registry from a version on, -1 for none, until a call fails; then it returns the version of
-// the last update. The next call goes out as soon as an answer is passed on: a gap would end the watch. The first call waits
-// for nothing, so that one that is never answered is found out the sooner.
+// watch follows the list at one registry from a version on (-1: from none) until a call fails, and returns the version of the last
+// update. It sends the next call as soon as an answer is passed on, as a gap would end the watch. The first call does not wait for
+// changes, so that a missing answer is detected sooner.
 func (o *registry) watch(ctx context.Context, version int64, onUpdate func(Targets)) (int64, error) {
 	for wait := time.Duration(0); ; wait = longPollWait {
 		t, err := o.fetchList(ctx, version, wait)
@@ -172,22 +171,22 @@
 			return version, err
 		}
 		if t.Version < version && !t.Full {
-			version = -1 // its numbers have begun anew, and these changes are not all that there are
+			version = -1 // the registry has restarted its version numbers, and these changes are not the full list
 		} else {
 			version = t.Version
 		}
-		onUpdate(t) // also what comes while discovery moves: it has been sent
+		onUpdate(t) // also if discovery moves meanwhile: the registry has sent this answer
 		if o.moved.Err() != nil {
 			return version, o.moved.Err()
 		}
 	}
 }
 
-// follow watches when the module asks for it (watchRequests), until ctx ends. After a failure it goes on from the version of
-// the last update: the answer has what came since, or the whole list if that is too old. To ask for the whole list would cost
-// discovery, which is one for all senders and has just failed, several times as much. The module decides when. A move is no
-// failure: the watch goes on at the new address at once, from the whole list, as versions are each registry's own and the old
-// one may not have sent all that it had to.
+// follow starts a watch for each of the module's requests until ctx ends. After a failure the module decides when the next watch
+// starts, and that watch continues from the version of the last update: the answer has the changes since, or the full list if the
+// version is too old. Requesting the full list would cost discovery, which serves all senders and has just failed, several times as
+// much. A move is not a failure: the watch continues at the new address at once with the full list, because versions are specific to a
+// registry and the old one may not have sent all of its changes.
 func (d *discovery) follow(ctx context.Context, version int64, requests <-chan struct{}, onUpdate func(Targets), onFailure func(error)) {
 	var last *registry // that sent the last update
 	for {
--- a/internal/sender/discovery_list.go
+++ b/internal/sender/discovery_list.go
@@ -6,16 +6,16 @@
 	"io"
 )
 
-// decodeTargets reads a list line by line: a long one is not held as text as well. The words that its lines share are held
-// once.
+// decodeTargets decodes an endpoint list entry by entry, so that a long list is not in memory as text as well. Zones, kinds and
+// states, which many entries share, are interned.
 func decodeTargets(r io.Reader) (Targets, error) {
 	var t Targets
-	words := map[string]string{}
-	once := func(s *string) {
-		if known, ok := words[*s]; ok {
+	interned := map[string]string{}
+	intern := func(s *string) {
+		if known, ok := interned[*s]; ok {
 			*s = known
-		} else if len(words) < 1000 {
-			words[*s] = *s
+		} else if len(interned) < 1000 {
+			interned[*s] = *s
 		}
 	}
 	d := json.NewDecoder(r)
@@ -38,16 +38,16 @@
 				break
 			}
 			if first != json.Delim('[') {
-				return t, &listFormatError{fmt.Sprintf("servers is no list but %v", first)}
+				return t, &listFormatError{fmt.Sprintf("servers is not a list but %v", first)}
 			}
 			for d.More() {
 				var line Target
 				if err := d.Decode(&line); err != nil {
 					return t, fmt.Errorf("line %d: %w", len(t.Servers)+1, err)
 				}
-				once(&line.Zone)
-				once(&line.Kind)
-				once(&line.State)
+				intern(&line.Zone)
+				intern(&line.Kind)
+				intern(&line.State)
 				t.Servers = append(t.Servers, line)
 			}
 			err = expectDelim(d, json.Delim(']'))
@@ -61,11 +61,11 @@
 	return t, expectDelim(d, json.Delim('}'))
 }
 
-// expectDelim reads one delimiter.
+// expectDelim reads the delimiter want.
 func expectDelim(d *json.Decoder, want json.Delim) error {
 	got, err := d.Token()
 	if err == nil && got != want {
-		err = &listFormatError{fmt.Sprintf("%v where %v is wanted", got, want)}
+		err = &listFormatError{fmt.Sprintf("got %v, want %v", got, want)}
 	}
 	return err
 }
--- a/internal/sender/discovery_list_test.go
+++ b/internal/sender/discovery_list_test.go
@@ -15,11 +15,11 @@
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v: %+v", err, got)
 	}
-	for text, says := range map[string]string{
-		"": "EOF", "[]": "wanted", `{"version":"x"}`: "version", `{"servers":{}}`: "no list", `{"servers":[{"id":"a"},{"cell":-1}]}`: "line 2",
+	for text, wantErr := range map[string]string{
+		"": "EOF", "[]": "got [, want {", `{"version":"x"}`: "version", `{"servers":{}}`: "not a list", `{"servers":[{"id":"a"},{"cell":-1}]}`: "line 2",
 		`{"servers":[{"id":"a"}`: "EOF", `{"version":3`: "EOF", `{"servers":[{"id":"a"}]`: "EOF",
 	} {
-		if _, err := decodeTargets(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), says) {
+		if _, err := decodeTargets(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), wantErr) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
@@ -28,7 +28,7 @@
 	}
 }
 
-// Whatever encoding/json reads whole is read the same line by line.
+// What decodeTargets accepts can be encoded as JSON again.
 func FuzzDecodeTargets(f *testing.F) {
 	f.Add(`{"version":43,"full":true,"servers":[{"id":"s-1","cell":3,"state":"SERVING","weight":1.0}]}`)
 	f.Add(`{"servers":[{}],"x":[{"a":null}]}`)
--- a/internal/sender/discovery_notices.go
+++ b/internal/sender/discovery_notices.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// notice is a line to the platform on a message that was accepted and not delivered.
+// notice is a line that tells the platform about a message that was accepted and not delivered.
 type notice struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
 	RetryMS *int64 `json:"retry_in_ms,omitempty"`
 }
 
-// postNotices posts batches of notices until the platform acknowledges them, wherever discovery is by then, and ends with ctx.
-// The connection of the last ones may have fallen silent since; the first failure is made up for at once, on a new one, as a
-// notice has little time.
+// postNotices posts each batch of notices until the platform acknowledges it, to discovery's current address, and ends with ctx. The
+// connection of the previous batch may have died since, and a notice has little time, so the first failure is retried at once on a new
+// connection.
 func (d *discovery) postNotices(ctx context.Context, notices <-chan []notice, acknowledged func([]notice)) {
 	for {
 		var batch []notice
@@ -56,7 +56,7 @@
 
 // post posts lines of notices; nil once the platform has acknowledged them with 204.
 func (o *registry) post(ctx context.Context, lines []byte, limit time.Duration) error {
-	ctx, done := o.within(ctx, limit)
+	ctx, done := o.callContext(ctx, limit)
 	defer done()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+o.addr+"/v1/notices", bytes.NewReader(lines))
 	if err != nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// notice is the notice of a message that is over.
+// notice is the notice of a message that has ended.
 func (m *storedMessage) notice() notice {
 	n := notice{Message: m.ID, Outcome: m.outcome}
 	if m.outcome == outcomeHandedBack && m.retryAfterMS > 0 {
@@ -84,7 +84,7 @@
 	return n
 }
 
-// recordNotified records that the platform has acknowledged notices: the first ones that are pending.
+// recordNotified records that the platform has acknowledged notices, which are the first of the pending ones.
 func (s *Sender) recordNotified(acknowledged []notice) {
 	s.noticesInFlight = false
 	s.pendingNotices = s.pendingNotices[len(acknowledged):]
--- a/internal/sender/discovery_test.go
+++ b/internal/sender/discovery_test.go
@@ -20,27 +20,28 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// notifiedWithin is when a change counts as told: so long after discovery had it and could be reached, whatever call failed.
+// notifiedWithin is how long after discovery had a change and could be reached the sender must have received it, whichever call
+// failed.
 const notifiedWithin = 6 * time.Second
 
-// span is a stretch of a test's virtual time.
+// span is an interval of a test's virtual time.
 type span struct{ from, to time.Duration }
 
 func (s span) has(at time.Duration) bool { return s.from <= at && at < s.to }
 
-// virtualRegistry is discovery in virtual time, on connections in memory. What goes wrong with it, and when, is written down
-// beforehand; times count from its begin.
+// virtualRegistry simulates discovery in virtual time, on connections in memory. Its faults and their times are set beforehand; times
+// count from begin.
 type virtualRegistry struct {
-	begin                time.Time
-	down, refusing, mute []span          // no connection; 503 to each call; calls that come then are never answered
-	unresponsive         []time.Duration // all watches that are open then say nothing any more
-	refuseAfter          bool            // the first call after each silence is refused besides
-	latency              time.Duration
-	changes              []time.Duration          // the n-th makes version n+1
-	partitionedAt        time.Duration            // connections that are open then say nothing any more
-	notices              map[string]time.Duration // when each came first
-	mu                   *sync.Mutex
-	spared               int // silences whose refusal has come
+	begin                   time.Time
+	down, refusing, hanging []span          // no connection; 503 to each call; calls that arrive then are never answered
+	unresponsive            []time.Duration // watches that are open then are never answered
+	refuseAfter             bool            // the first call after each time in unresponsive also gets 503
+	latency                 time.Duration
+	changes                 []time.Duration          // the n-th makes version n+1
+	partitionedAt           time.Duration            // connections that are open then are dead from then on
+	notices                 map[string]time.Duration // when each first arrived
+	mu                      *sync.Mutex
+	refusalsSent            int // times in unresponsive whose 503 was sent
 }
 
 func (v *virtualRegistry) now() time.Duration { return time.Since(v.begin) }
@@ -64,19 +65,19 @@
 	return n
 }
 
-// next is the first of all that is written down that comes after a time.
+// next is the time of the first change or fault after a time.
 func (v *virtualRegistry) next(after time.Duration) (time.Duration, bool) {
 	first, found := time.Duration(0), false
-	look := func(at time.Duration) {
+	consider := func(at time.Duration) {
 		if at > after && (!found || at < first) {
 			first, found = at, true
 		}
 	}
 	for _, at := range append(append([]time.Duration(nil), v.changes...), v.unresponsive...) {
-		look(at)
+		consider(at)
 	}
 	for _, s := range v.down {
-		look(s.from)
+		consider(s.from)
 	}
 	return first, found
 }
@@ -85,9 +86,9 @@
 	if during(v.down, v.now()) {
 		return nil, fmt.Errorf("connection refused")
 	}
-	ours, theirs := net.Pipe()
-	go v.serve(theirs)
-	return ours, nil
+	client, server := net.Pipe()
+	go v.serve(server)
+	return client, nil
 }
 
 func (v *virtualRegistry) serve(c net.Conn) {
@@ -110,11 +111,11 @@
 			return
 		}
 		for _, n := range lines {
-			v.noticed(n.Message)
+			v.recordNotice(n.Message)
 		}
 		switch status, body := v.answer(req); status {
 		case 0:
-			io.Copy(io.Discard, c) // until the other side gives it up
+			io.Copy(io.Discard, c) // until the sender gives up the call
 			return
 		case -1:
 			return
@@ -124,9 +125,9 @@
 	}
 }
 
-// answer is the answer to a call once it is due; 0 for none ever, -1 for the connection's end.
+// answer is the answer to a call, once it is due; the status is 0 for a call that is never answered, -1 if the connection ends.
 func (v *virtualRegistry) answer(req *http.Request) (int, string) {
-	came := v.now()
+	arrival := v.now()
 	if req.Method == http.MethodPost {
 		return http.StatusNoContent, ""
 	}
@@ -134,8 +135,8 @@
 	refused := false
 	if v.refuseAfter {
 		for n, at := range v.unresponsive {
-			if came >= at && v.spared <= n {
-				v.spared, refused = n+1, true
+			if arrival >= at && v.refusalsSent <= n {
+				v.refusalsSent, refused = n+1, true
 			}
 		}
 	}
@@ -146,11 +147,11 @@
 		after = -1
 	}
 	wait, _ := strconv.Atoi(req.URL.Query().Get("wait_ms"))
-	until := came + time.Duration(wait)*time.Millisecond
+	until := arrival + time.Duration(wait)*time.Millisecond
 	switch {
-	case during(v.mute, came):
+	case during(v.hanging, arrival):
 		return 0, ""
-	case refused || during(v.refusing, came):
+	case refused || during(v.refusing, arrival):
 		return http.StatusServiceUnavailable, ""
 	}
 	for v.version() <= after && v.now() < until {
@@ -174,7 +175,7 @@
 	return http.StatusOK, string(raw)
 }
 
-func (v *virtualRegistry) noticed(id string) {
+func (v *virtualRegistry) recordNotice(id string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if _, ok := v.notices[id]; !ok {
@@ -185,12 +186,13 @@
 	}
 }
 
-// deadline is when a change counts as told: toldAfter the first moment from which on discovery could be reached for so long.
+// deadline is when a change must have been received: notifiedWithin after the first moment from which discovery could be reached for
+// that long.
 func (v *virtualRegistry) deadline(change time.Duration) time.Duration {
 	from := change
 	for again := true; again; {
 		again = false
-		for _, s := range append(append(append([]span(nil), v.down...), v.refusing...), v.mute...) {
+		for _, s := range append(append(append([]span(nil), v.down...), v.refusing...), v.hanging...) {
 			if s.from < from+notifiedWithin && from < s.to {
 				from, again = s.to, true
 			}
@@ -199,7 +201,7 @@
 	return from + notifiedWithin
 }
 
-// updateLog notes when a sender heard of each version, by its log.
+// updateLog records when a sender received each version, from its log.
 type updateLog struct {
 	slog.Handler
 	mu    sync.Mutex
@@ -226,9 +228,10 @@
 	return nil
 }
 
-// hear runs a whole sender against a registry for a while, in virtual time, and tells when it heard of each version.
-func hear(t *testing.T, v *virtualRegistry, senders int, seed uint64, length time.Duration, held ...record) map[int64]time.Duration {
-	heard := &updateLog{Handler: slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelDebug}), at: map[int64]time.Duration{}}
+// runWithRegistry runs a sender against a registry for a while, in virtual time, and returns when it received each version. stored is the messages
+// in its journal at the start.
+func runWithRegistry(t *testing.T, v *virtualRegistry, senders int, seed uint64, length time.Duration, stored ...record) map[int64]time.Duration {
+	received := &updateLog{Handler: slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelDebug}), at: map[int64]time.Duration{}}
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		raw, err := json.Marshal(st.Config(&st.Platform{Addr: "registry:1"}, dir))
@@ -241,20 +244,20 @@
 		}
 		c.Known, c.Seed, c.Settings.Senders = Targets{Version: 1, Full: true, Servers: []Target{{ID: "s-0", State: membership.Serving}}}, seed, senders
 		j := openTest(t, dir, 1<<20)
-		for _, r := range held {
+		for _, r := range stored {
 			r.Deadline += newClock().now()
 			if _, err := j.insertAndFlush(r); err != nil {
 				t.Fatal(err)
 			}
 		}
 		j.close()
-		s, err := New(c, slog.New(heard))
+		s, err := New(c, slog.New(received))
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.discovery.dial = v.dial
 		s.gracePeriod, s.shutdownTimeout = 0, time.Millisecond
-		v.begin, heard.begin, v.mu = time.Now(), time.Now(), &sync.Mutex{}
+		v.begin, received.begin, v.mu = time.Now(), time.Now(), &sync.Mutex{}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- s.Run(ctx, func() (net.Listener, error) { return newPipeListener(), nil }) }()
@@ -263,13 +266,13 @@
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
-		time.Sleep(time.Minute) // calls that were given up end
+		time.Sleep(time.Minute) // so that abandoned calls end
 		s.discovery.registry().closeIdle()
 	})
-	return heard.at
+	return received.at
 }
 
-// pipeListener is a listener in memory to which nobody connects.
+// pipeListener is a listener in memory that never gets a connection.
 type pipeListener struct {
 	closed chan struct{}
 	once   sync.Once
@@ -281,9 +284,9 @@
 func (l *pipeListener) Close() error              { l.once.Do(func() { close(l.closed) }); return nil }
 func (l *pipeListener) Addr() net.Addr            { return &net.TCPAddr{} }
 
-// A watch waited 20 s and was given up after 23, and pauses between failed calls grew to 12 s, while a change counts as told
-// 6 s after discovery had it and could be reached, whatever call failed. Each case is one failure, or several, followed by one
-// change at the worst moment.
+// Guards against changes that arrive too late: a change must be received 6 s after discovery had it and could be reached, whichever
+// call failed. A watch once waited 20 s and was given up after 23 s, and backoffs after failed calls grew to 12 s. Each case is one or
+// more failures followed by one change at the worst moment.
 func TestDiscovery_ChangeArrivesBeforeItsDeadline(t *testing.T) {
 	s := time.Second
 	tests := []struct {
@@ -291,13 +294,13 @@
 		v    virtualRegistry
 	}{
 		{"a change on an open watch", virtualRegistry{changes: []time.Duration{9 * s}}},
-		{"the watch falls silent, then a change", virtualRegistry{unresponsive: []time.Duration{10 * s}, changes: []time.Duration{10*s + 1}}},
-		{"silent from the start", virtualRegistry{unresponsive: []time.Duration{time.Millisecond}, changes: []time.Duration{2 * time.Millisecond}}},
-		{"silent, then refused", virtualRegistry{unresponsive: []time.Duration{10 * s}, changes: []time.Duration{10*s + 1}, refuseAfter: true}},
-		{"silent, then down", virtualRegistry{unresponsive: []time.Duration{10 * s}, changes: []time.Duration{10*s + 1}, down: []span{{11 * s, 20 * s}}}},
+		{"the watch is unresponsive, then a change", virtualRegistry{unresponsive: []time.Duration{10 * s}, changes: []time.Duration{10*s + 1}}},
+		{"unresponsive from the start", virtualRegistry{unresponsive: []time.Duration{time.Millisecond}, changes: []time.Duration{2 * time.Millisecond}}},
+		{"unresponsive, then refused", virtualRegistry{unresponsive: []time.Duration{10 * s}, changes: []time.Duration{10*s + 1}, refuseAfter: true}},
+		{"unresponsive, then down", virtualRegistry{unresponsive: []time.Duration{10 * s}, changes: []time.Duration{10*s + 1}, down: []span{{11 * s, 20 * s}}}},
 		{"down for long, then a change", virtualRegistry{changes: []time.Duration{40 * s}, down: []span{{5 * s, 40 * s}}}},
 		{"refusing for long", virtualRegistry{changes: []time.Duration{7 * s}, unresponsive: []time.Duration{5 * s}, refusing: []span{{5 * s, 60 * s}}}},
-		{"cut off for long", virtualRegistry{changes: []time.Duration{7 * s}, unresponsive: []time.Duration{5 * s}, mute: []span{{5 * s, 47 * s}}}},
+		{"cut off for long", virtualRegistry{changes: []time.Duration{7 * s}, unresponsive: []time.Duration{5 * s}, hanging: []span{{5 * s, 47 * s}}}},
 		{"down at the start", virtualRegistry{changes: []time.Duration{time.Millisecond}, down: []span{{0, 30 * s}}}},
 	}
 	for _, tt := range tests {
@@ -321,7 +324,7 @@
 			for from := at(10 * s); from < 100*s; from += 10*s + at(20*s) {
 				v.unresponsive = append(v.unresponsive, from)
 			}
-			for _, kind := range []*[]span{&v.down, &v.refusing, &v.mute} {
+			for _, kind := range []*[]span{&v.down, &v.refusing, &v.hanging} {
 				for from := at(40 * s); from < 90*s; from += at(60 * s) {
 					to := from + at(15*s)
 					*kind = append(*kind, span{from, to})
@@ -338,30 +341,31 @@
 
 func checkUpdates(t *testing.T, v *virtualRegistry, senders int, seed uint64, length time.Duration) {
 	t.Helper()
-	heard := hear(t, v, senders, seed, length)
+	received := runWithRegistry(t, v, senders, seed, length)
 	for n, change := range v.changes {
-		at, ok := heard[int64(n+2)]
-		if told := v.deadline(change); told < length && (!ok || at > told) {
-			t.Errorf("%d senders, seed %d: the change at %v is heard at %v (%v), and counts as told at %v; silent %v, down %v, refusing %v, cut off %v",
-				senders, seed, change, at, ok, told, v.unresponsive, v.down, v.refusing, v.mute)
+		at, ok := received[int64(n+2)]
+		if due := v.deadline(change); due < length && (!ok || at > due) {
+			t.Errorf("%d senders, seed %d: the change at %v is received at %v (%v), and is due at %v; unresponsive %v, down %v, refusing %v, cut off %v",
+				senders, seed, change, at, ok, due, v.unresponsive, v.down, v.refusing, v.hanging)
 		}
 	}
 }
 
-// A message that ends undelivered has 300 ms after its time for its notice to arrive. Where the connection of the notice before
-// had fallen silent it took 500 ms to find out, and a message was lost (short days of fen-readings, seed 3, roll+term+brink).
+// The notice of a message that ends undelivered must arrive within 300 ms of the message's deadline. When the connection of the
+// previous notice was dead, it took 500 ms to detect that, and a message was lost (short days of fen-readings, seed 3,
+// roll+term+brink).
 func TestDiscovery_NoticeArrivesOverDeadConnection(t *testing.T) {
-	for _, cut := range []time.Duration{time.Millisecond, 2 * time.Second, 5 * time.Second, 7 * time.Second} {
+	for _, partition := range []time.Duration{time.Millisecond, 2 * time.Second, 5 * time.Second, 7 * time.Second} {
 		for seed := range uint64(10) {
-			v := &virtualRegistry{partitionedAt: cut, latency: 25 * time.Millisecond}
-			var held []record
+			v := &virtualRegistry{partitionedAt: partition, latency: 25 * time.Millisecond}
+			var stored []record
 			for n := range 10 {
-				held = append(held, record{ID: strconv.Itoa(n), Class: "safe", Tenant: "acme", Dest: 7, Deadline: time.Duration(n+1) * time.Second})
+				stored = append(stored, record{ID: strconv.Itoa(n), Class: "safe", Tenant: "acme", Dest: 7, Deadline: time.Duration(n+1) * time.Second})
 			}
-			hear(t, v, 1, seed, 15*time.Second, held...)
-			for _, r := range held {
+			runWithRegistry(t, v, 1, seed, 15*time.Second, stored...)
+			for _, r := range stored {
 				if at, ok := v.notices[r.ID]; !ok || at > r.Deadline+300*time.Millisecond {
-					t.Errorf("cut at %v, seed %d: the notice of a message whose time is up at %v arrives at %v (%v)", cut, seed, r.Deadline, at, ok)
+					t.Errorf("partitioned at %v, seed %d: the notice of a message with deadline %v arrives at %v (%v)", partition, seed, r.Deadline, at, ok)
 				}
 			}
 		}
--- a/internal/sender/errors.go
+++ b/internal/sender/errors.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// ErrBusy is that the sender is leaving, or too busy to answer.
-var ErrBusy = errors.New("the sender is leaving, or too busy")
+// ErrBusy says that the sender is shutting down or too busy to answer.
+var ErrBusy = errors.New("the sender is shutting down or too busy")
 
-// errJournalFull is that a message has no room in the journal, or that the disk takes nothing just now.
+// errJournalFull says that a message has no room in the journal, or that the disk accepts no writes at present.
 var errJournalFull = errors.New("no room in the journal")
 
-// errSnapshotNotEncoded is that the last snapshot of knowledge could not be made.
-var errSnapshotNotEncoded = errors.New("knowledge: it can't be written")
+// errSnapshotNotEncoded says that the last snapshot of knowledge could not be encoded.
+var errSnapshotNotEncoded = errors.New("knowledge: the snapshot could not be encoded")
 
-// errNoticesRejected is that discovery does not acknowledge a batch of notices.
-var errNoticesRejected = errors.New("notices are answered")
+// errNoticesRejected says that discovery has not acknowledged a batch of notices.
+var errNoticesRejected = errors.New("discovery answered the notices with")
 
-// errOverloaded is a failure for which discovery has worked: it has more calls than it can answer in time.
-var errOverloaded = errors.New("it has worked on the call in vain")
+// errOverloaded says that discovery spent work on a call before rejecting it: it has more calls than it can answer in time.
+var errOverloaded = errors.New("discovery is overloaded")
 
-// ConfigError is a configuration that a sender can't run with.
+// ConfigError reports a configuration that a sender can't run with.
 type ConfigError struct {
 	Part    string // what is wrong: "configuration" for the platform's file, else the table of the operators' file
-	Problem string // in words; "" where Err tells it
-	Err     error  // what caused it; nil if nothing did
+	Problem string // the reason; "" if Err has it
+	Err     error  // the cause; nil if there is none
 }
 
 // Error gives the part and the problem.
@@ -44,7 +44,7 @@
 	return &ConfigError{Part: part, Problem: fmt.Sprintf(format, args...)}
 }
 
-// ResendError is why an undelivered message is not accepted once more; nothing of it is left then.
+// ResendError says why an undelivered message was not accepted again. The sender then keeps nothing of it.
 type ResendError struct{ Reason string }
 
 // Error gives the reason.
@@ -55,14 +55,14 @@
 	return &ResendError{fmt.Sprintf(format, args...)}
 }
 
-// listFormatError is an endpoint list that can't be read.
+// listFormatError reports an endpoint list that can't be decoded.
 type listFormatError struct{ problem string }
 
 // Error gives the problem.
 func (e *listFormatError) Error() string { return e.problem }
 
-// listStatusError is an answer of discovery's that is no list. It wraps errOverloaded if discovery took so long for it that it has
-// worked on the call in vain.
+// listStatusError reports an answer from discovery other than a list. It wraps errOverloaded if the answer took overloadThreshold or
+// more, as discovery then spent work on a call that it rejected.
 type listStatusError struct {
 	status string // the answer's, such as "503 Service Unavailable"
 	took   time.Duration
@@ -70,7 +70,7 @@
 
 // Error gives the status and the time.
 func (e *listStatusError) Error() string {
-	text := fmt.Sprintf("discovery answers %s after %v", e.status, e.took)
+	text := fmt.Sprintf("discovery answered %s after %v", e.status, e.took)
 	if e.took >= overloadThreshold {
 		return text + ": " + errOverloaded.Error()
 	}
@@ -85,13 +85,13 @@
 	return nil
 }
 
-// identityError is an event's identity in a journal that can't be read.
+// identityError reports an event's identity in the journal that can't be decoded.
 type identityError struct{ text string }
 
 // Error gives the text.
-func (e *identityError) Error() string { return fmt.Sprintf("identity %q can't be read", e.text) }
+func (e *identityError) Error() string { return fmt.Sprintf("invalid event identity %q", e.text) }
 
-// queryError is a query of the command line's that can't be read.
+// queryError reports an invalid query from the command line.
 type queryError struct{ problem string }
 
 // Error gives the problem.
--- a/internal/sender/event_dedup.go
+++ b/internal/sender/event_dedup.go
@@ -8,11 +8,11 @@
 	"saffronyard.example/saffronyard/internal/identity"
 )
 
-// eventsFileName is the file of the ends of events, in the state folder.
+// eventsFileName is the file of the outcomes of events, in the state folder.
 const eventsFileName = "events.ended"
 
-// eventDedup is what is known of events by their identity: those that are held, and for a time how the others ended. A nil one
-// knows nothing and keeps nothing.
+// eventDedup recognizes repeated events by their identity: the pending ones, and for the retention time the outcomes of those that
+// have ended. A nil eventDedup remembers nothing.
 type eventDedup struct {
 	table       *identity.Table
 	file        *identity.File
@@ -20,7 +20,7 @@
 	flushFailed bool // the last flush failed, and its error was returned
 }
 
-// openEventDedup reads the ends that an earlier process left; nil where no events are accepted.
+// openEventDedup reads the outcomes that an earlier process left; nil if no events are accepted.
 func openEventDedup(c *Config, now time.Duration) (*eventDedup, error) {
 	if c.Events == nil {
 		return nil, nil
@@ -31,14 +31,14 @@
 	return b, err
 }
 
-// answerKnownEvent answers the submission of an event that has come before; false if it has not.
+// answerKnownEvent answers the submission of an event that was submitted before; false if it was not.
 func (s *Sender) answerKnownEvent(sub submission) bool {
 	conflict := response{status: http.StatusConflict, text: "an event of this source and id came before with other content"}
 	if m := s.eventDedup.pending[sub.Identity.key]; m != nil {
 		switch {
 		case m.Identity.digest != sub.Identity.digest:
 			sub.answer <- conflict
-		case m.reply != nil: // it came in this very turn: it hears what the first hears
+		case m.reply != nil: // the first submission came in this turn: both get the same answer
 			m.alsoWaiting = append(m.alsoWaiting, sub.answer)
 		default:
 			sub.answer <- response{status: http.StatusAccepted, messageID: m.ID}
@@ -49,7 +49,7 @@
 	e, ok := s.eventDedup.table.Lookup(now, sub.Identity.key)
 	left := e.At + e.RetryAfter - now
 	switch {
-	case !ok || e.Outcome == identity.HandedBack && left <= 0: // it was asked to come again, and does
+	case !ok || e.Outcome == identity.HandedBack && left <= 0: // its client was told to submit it again after a wait that is over
 		return false
 	case e.Digest != sub.Identity.digest:
 		sub.answer <- conflict
@@ -63,7 +63,7 @@
 	return true
 }
 
-// reserve keeps room for an event's end; without room, why there is none and after how long there may be some.
+// reserve reserves room for an event's outcome. Without room, it gives the reason and after how long there may be some.
 func (b *eventDedup) reserve(now time.Duration) (ok bool, why string, retryAfter time.Duration) {
 	if err := b.file.Err(); err != nil {
 		return false, "how events end can't be written down", 0
@@ -81,14 +81,15 @@
 	}
 }
 
-// register adds a message that is an event to those that are held.
+// register adds a message to the pending ones if it is an event.
 func (b *eventDedup) register(m *message) {
 	if b != nil && m.Identity != nil {
 		b.pending[m.Identity.key] = m
 	}
 }
 
-// wasDelivered takes in an event that an earlier process left; true if that one knew that it was delivered.
+// wasDelivered reports whether an event that an earlier process left is recorded as delivered. If it is not, wasDelivered reserves
+// room for its outcome.
 func (b *eventDedup) wasDelivered(now time.Duration, m *storedMessage) bool {
 	if b == nil || m.Identity == nil {
 		return false
@@ -96,11 +97,11 @@
 	if e, ok := b.table.Lookup(now, m.Identity.key); ok && e.Outcome == identity.Delivered && e.Digest == m.Identity.digest {
 		return true
 	}
-	b.table.Reserve(now) // it is owed its end whether there is room or not
+	b.table.Reserve(now) // even without room: its outcome must be recorded
 	return false
 }
 
-// recordEnd remembers how a message ended, if it is an event. retryAfter is of one that was handed back.
+// recordEnd records how a message ended, if it is an event. retryAfter is only set for one that was handed back.
 func (b *eventDedup) recordEnd(m *message, now time.Duration, outcome identity.Outcome, retryAfter time.Duration) {
 	if b == nil || m.Identity == nil || m.ended {
 		return
@@ -118,7 +119,7 @@
 	}
 }
 
-// flush writes down how events ended. An error that lasts is returned once.
+// flush writes the recorded outcomes. A persistent error is returned once.
 func (b *eventDedup) flush() error {
 	if b == nil {
 		return nil
@@ -131,7 +132,7 @@
 	return err
 }
 
-// close writes what is left and closes the file.
+// close writes the remaining outcomes and closes the file.
 func (b *eventDedup) close() error {
 	if b == nil {
 		return nil
@@ -145,7 +146,7 @@
 	*eventDedup
 }
 
-// beforeFlush writes down how events ended.
+// beforeFlush writes the recorded outcomes.
 func (x eventsExtension) beforeFlush() error { return x.flush() }
 
 // shutdown closes the file.
--- a/internal/sender/event_dedup_crash_test.go
+++ b/internal/sender/event_dedup_crash_test.go
@@ -17,7 +17,7 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// diskLog is every write of a run, in order, to both files.
+// diskLog records every write of a run to both files, in order.
 type diskLog struct {
 	mu  sync.Mutex
 	ops []diskOp
@@ -63,9 +63,9 @@
 	return d.Disk.WriteAt(b, at)
 }
 
-// Killed at each step that writes, between the first byte and the final answer of an event and of a batch, with the
-// write done, not done, or half done; then its client hands the same in again. The receiver counts one effect for
-// each event, whether or not a call that stood in the journal had reached it.
+// The sender is killed at each write between the first byte and the final answer of an event or a batch, with the write done, not
+// done, or half done. Then the client submits the same again. The receiver must count one effect for each event, whether or not a call
+// recorded in the journal had reached it.
 func TestEventDedup_KilledAtEachStep(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{"keyed", "unsafe"} {
@@ -78,7 +78,7 @@
 				}
 				body, contentType = `[`+strings.Join(all, ",")+`]`, someJSON
 			}
-			log := firstAttempt(t, contentType, body, n)
+			log := runWithoutKill(t, contentType, body, n)
 			for cut := range len(log.ops) + 1 {
 				for _, torn := range []bool{false, true} {
 					if torn && cut == len(log.ops) {
@@ -87,7 +87,7 @@
 					for _, ran := range []bool{false, true} {
 						t.Run(fmt.Sprintf("%s %d, %d writes, torn %v, ran %v", kind, n, cut, torn, ran), func(t *testing.T) {
 							t.Parallel()
-							secondAttempt(t, log, cut, torn, ran, kind, contentType, body, n)
+							runAfterKill(t, log, cut, torn, ran, kind, contentType, body, n)
 						})
 					}
 				}
@@ -96,7 +96,7 @@
 	}
 }
 
-// longLived is takesEvents with keys and deadlines that outlast the test, however long its turn takes to come.
+// longLived is acceptEvents with key windows and deadlines that outlast the test, however late it is scheduled.
 func longLived(c *Config) {
 	acceptEvents(c)
 	c.Events.Rules.Deadline = 10 * time.Minute
@@ -105,8 +105,8 @@
 	}
 }
 
-// firstAttempt is an undisturbed run; it gives all that was written.
-func firstAttempt(t *testing.T, contentType, body string, n int) *diskLog {
+// runWithoutKill runs without a kill and returns all writes.
+func runWithoutKill(t *testing.T, contentType, body string, n int) *diskLog {
 	t.Helper()
 	log := &diskLog{}
 	e := st.NewEndpoint(t, st.Status(200))
@@ -116,8 +116,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s.step(ctx, s.initialListEvents())
-	front := &eventIngress{s.config, s.clock, s.config.Events}
-	h, err := front.readHead(mustRequest(t, contentType))
+	protocol := &eventIngress{s.config, s.clock, s.config.Events}
+	h, err := protocol.readHead(mustRequest(t, contentType))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,15 +134,15 @@
 	for s.pending > 0 {
 		s.turn(ctx, st.Receive(t, s.events))
 	}
-	if len(e.Calls) != n || len(log.ops) < n+2 { // what ends in one turn is written in one
+	if len(e.Calls) != n || len(log.ops) < n+2 { // the ends of one turn are written at once
 		t.Fatalf("%d calls, %d writes", len(e.Calls), len(log.ops))
 	}
 	s.shutdown(cancel)
 	return log
 }
 
-func secondAttempt(t *testing.T, log *diskLog, cut int, torn, ran bool, kind, contentType, body string, n int) {
-	// The folder as the kill leaves it, and which calls the journal knows of.
+func runAfterKill(t *testing.T, log *diskLog, cut int, torn, ran bool, kind, contentType, body string, n int) {
+	// The state folder as the kill leaves it.
 	state := t.TempDir()
 	files := map[string][]byte{}
 	for i, op := range log.ops[:min(len(log.ops), cut+1)] {
@@ -167,23 +167,23 @@
 	}
 	effects := map[string]int{} // by event
 	seen := map[string]bool{}   // keys that the receiver remembers
-	if ran {                    // what may have reached it before the kill did
-		held := map[string]record{}
+	if ran {                    // the calls in the journal that may have reached the receiver before the kill
+		accepted := map[string]record{}
 		for line := range strings.SplitSeq(string(files[journalFileName]), "\n") {
 			var rec record
 			switch {
 			case !decodeLine([]byte(line+"\n"), &rec): // torn: its call was not made yet
 			case rec.Op == opAccept:
-				held[rec.ID] = rec
+				accepted[rec.ID] = rec
 			case rec.Op == opSend:
-				effects[held[rec.ID].Event.Get("id")]++
-				seen[held[rec.ID].Key] = true
+				effects[accepted[rec.ID].Event.Get("id")]++
+				seen[accepted[rec.ID].Key] = true
 			}
 		}
 	}
 	before := len(effects)
 	if !ran && (len(files[eventsFileName]) > 0 || strings.Contains(string(files[journalFileName]), `"op":"over"`)) {
-		return // something came to its end, so its call had run
+		return // an event has ended, so its call had run
 	}
 	e := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, e.Addr)
@@ -191,7 +191,7 @@
 		longLived(c)
 		c.StateDir = state
 	})
-	// The client hands in again until it knows how each event ended.
+	// The client submits again until it has the final answer for each event.
 	status := make([]int, n)
 	until(t, func() bool {
 		resp, text := post(t, addr, contentType, body)
@@ -237,5 +237,5 @@
 	}
 }
 
-// brainEvent is what the module is told.
+// brainEvent is an event for the module.
 type brainEvent = brain.Event
--- a/internal/sender/event_dedup_test.go
+++ b/internal/sender/event_dedup_test.go
@@ -15,19 +15,20 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// An event that comes again counts as the first try: held, its client gets the same promise; over, the same answer.
+// A repeat of an event is answered like the first submission: with the same acceptance while the event is pending, with the same
+// result once it has ended.
 func TestEventDedup_Repeats(t *testing.T) {
 	t.Parallel()
-	how := make(chan int)
-	e := st.NewEndpoint(t, gate(how))
+	statuses := make(chan int)
+	e := st.NewEndpoint(t, gate(statuses))
 	p := st.NewPlatform(t, e.Addr)
 	addr := run(t, p, acceptEvents)
-	first := handEvent(t, addr, "1", "keyed", 202)
+	first := submitEvent(t, addr, "1", "keyed", 202)
 	e.Next(t)
-	if again := handEvent(t, addr, "1", "keyed", 202); again.Header.Get("X-Request-Id") != first.Header.Get("X-Request-Id") {
+	if again := submitEvent(t, addr, "1", "keyed", 202); again.Header.Get("X-Request-Id") != first.Header.Get("X-Request-Id") {
 		t.Error("the repeat is another message")
 	}
-	// In another mode, with a trace of its own, it is the same event.
+	// In another content mode and with another trace context, it is the same event.
 	binary := []string{"Ce-Specversion", "1.0", "Ce-Id", "1", "Ce-Source", "/s", "Ce-Type", "keyed", "Ce-Subject", "0", "Ce-Traceparent", "2"}
 	if resp, text := post(t, addr, "application/json", `{ "n" : 1 }`, binary...); resp.StatusCode != 202 {
 		t.Errorf("%s %s", resp.Status, text)
@@ -39,17 +40,17 @@
 	if resp, text := post(t, addr, oneEvent, strings.Replace(eventJSON("1", "keyed", ""), `"/s"`, `"/other"`, 1)); resp.StatusCode != 202 {
 		t.Errorf("%s %s", resp.Status, text)
 	}
-	how <- 200
+	statuses <- 200
 	if c := e.Next(t); c.Header.Get("Ce-Source") != "/other" {
 		t.Errorf("%+v", c)
 	}
-	how <- 200
+	statuses <- 200
 	until(t, func() bool {
 		resp, _ := post(t, addr, oneEvent, eventJSON("1", "keyed", `,"data":{"n":1}`))
 		return resp.StatusCode == 200
 	})
 	if resp, text := post(t, addr, "application/json", `{"n":2}`, binary...); resp.StatusCode != 409 {
-		t.Errorf("over, with another body: %s %s", resp.Status, text)
+		t.Errorf("after its end, with another body: %s %s", resp.Status, text)
 	}
 	if n := len(e.Calls); n != 0 {
 		t.Errorf("%d further calls", n)
@@ -61,13 +62,13 @@
 
 func (*failingFile) Write([]byte) (int, error) { return 0, errors.New("no space left") }
 
-// An event that failed is answered so again, and is not tried again.
+// A repeat of a failed event gets the same answer, and the event is not sent again.
 func TestEventDedup_FailedEvent(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Reset)
 	p := st.NewPlatform(t, e.Addr)
 	addr := run(t, p, acceptEvents)
-	id := handEvent(t, addr, "1", "unsafe", 202).Header.Get("X-Request-Id")
+	id := submitEvent(t, addr, "1", "unsafe", 202).Header.Get("X-Request-Id")
 	if n := st.Receive(t, p.Notices); n.Message != id || n.Outcome != outcomeGivenUp {
 		t.Fatalf("%+v", n)
 	}
@@ -79,18 +80,18 @@
 	}
 }
 
-// newManualSender is a sender whose loop the test turns itself, and a way to hand in an event, with its answer.
-func newManualSender(t *testing.T, answer func(st.Call, net.Conn) bool, edit func(*Config)) (s *Sender, e *st.Endpoint, hand func(body string) response) {
+// newManualSender returns a sender whose loop turns the test runs itself, and a function that submits an event and returns its answer.
+func newManualSender(t *testing.T, answer func(st.Call, net.Conn) bool, edit func(*Config)) (s *Sender, e *st.Endpoint, submit func(body string) response) {
 	t.Helper()
 	e = st.NewEndpoint(t, answer)
 	s = newTest(t, st.NewPlatform(t, e.Addr), edit)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { s.shutdown(cancel) })
 	s.step(ctx, s.initialListEvents())
-	front := &eventIngress{s.config, s.clock, s.config.Events}
+	protocol := &eventIngress{s.config, s.clock, s.config.Events}
 	return s, e, func(body string) response {
 		t.Helper()
-		h, err := front.readHead(mustRequest(t, oneEvent))
+		h, err := protocol.readHead(mustRequest(t, oneEvent))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -103,55 +104,56 @@
 	}
 }
 
-// One that was handed back is asked to wait until it may come again, and then is a new try.
+// The client of an event that was handed back must wait before it may submit the event again, which then becomes a new message.
 func TestEventDedup_HandedBackEvent(t *testing.T) {
 	t.Parallel()
-	s, _, hand := newManualSender(t, st.Unresponsive, acceptEvents)
-	const hold = 300 * time.Millisecond
+	s, _, submit := newManualSender(t, st.Unresponsive, acceptEvents)
+	const wait = 300 * time.Millisecond
 	body := eventJSON("1", "safe", "")
-	first := hand(body)
+	first := submit(body)
 	m := s.byID[first.messageID]
 	if first.status != 202 || m == nil {
 		t.Fatalf("%+v", first)
 	}
-	s.finish(m.number, outcomeHandedBack, 503, hold)
+	s.finish(m.number, outcomeHandedBack, 503, wait)
 	s.flush()
-	if a := hand(body); a.status != 503 || a.text != outcomeHandedBack || a.retryAfter <= 0 || a.retryAfter > hold {
+	if a := submit(body); a.status != 503 || a.text != outcomeHandedBack || a.retryAfter <= 0 || a.retryAfter > wait {
 		t.Errorf("%+v", a)
 	}
-	if a := hand(eventJSON("1", "safe", `,"data":1`)); a.status != 409 {
+	if a := submit(eventJSON("1", "safe", `,"data":1`)); a.status != 409 {
 		t.Errorf("with another body: %+v", a)
 	}
 	var again response
-	until(t, func() bool { again = hand(body); return again.status == 202 })
+	until(t, func() bool { again = submit(body); return again.status == 202 })
 	if again.messageID == first.messageID {
-		t.Error("the message that was handed back lives on")
+		t.Error("the event was accepted under the id of the message that was handed back")
 	}
-	if a := hand(body); a.status != 202 || a.messageID != again.messageID {
-		t.Errorf("the new try's repeat: %+v", a)
+	if a := submit(body); a.status != 202 || a.messageID != again.messageID {
+		t.Errorf("the repeat of the new message: %+v", a)
 	}
 	s.finish(s.byID[again.messageID].number, outcomeGivenUp, 500, 0)
 	s.flush()
-	if a := hand(body); a.status != 500 || a.text != outcomeGivenUp {
-		t.Errorf("the end of the new try is not the one that counts: %+v", a)
+	if a := submit(body); a.status != 500 || a.text != outcomeGivenUp {
+		t.Errorf("the end of the new message is not the one that is answered: %+v", a)
 	}
 }
 
-// A sender that is about to leave says of an event that it holds that it does: its client would hand it in elsewhere.
+// A sender that is shutting down still answers the repeat of a pending event with its acceptance: if it rejected the repeat, the
+// client would submit the event to another sender.
 func TestEventDedup_RepeatDuringShutdown(t *testing.T) {
 	t.Parallel()
-	s, _, hand := newManualSender(t, st.Unresponsive, acceptEvents)
-	first := hand(eventJSON("1", "unsafe", ""))
+	s, _, submit := newManualSender(t, st.Unresponsive, acceptEvents)
+	first := submit(eventJSON("1", "unsafe", ""))
 	s.stopping = true
-	if a := hand(eventJSON("1", "unsafe", "")); a.status != 202 || a.messageID != first.messageID {
+	if a := submit(eventJSON("1", "unsafe", "")); a.status != 202 || a.messageID != first.messageID {
 		t.Errorf("%+v", a)
 	}
-	if a := hand(eventJSON("2", "unsafe", "")); a.status != 503 {
+	if a := submit(eventJSON("2", "unsafe", "")); a.status != 503 {
 		t.Errorf("%+v", a)
 	}
 }
 
-// Two hand-ins of one event in one turn: both hear what became of the one message, also if it can't be written down.
+// Two submissions of one event in one turn get the same answer, also if the message can't be written to the journal.
 func TestEventDedup_RepeatInOneTurn(t *testing.T) {
 	t.Parallel()
 	for name, fails := range map[string]bool{"written": false, "not written": true} {
@@ -162,10 +164,10 @@
 		if fails {
 			s.journal.file = &failingFile{s.journal.file}
 		}
-		front := &eventIngress{s.config, s.clock, s.config.Events}
+		protocol := &eventIngress{s.config, s.clock, s.config.Events}
 		var all []submission
 		for range 2 {
-			h, err := front.readHead(mustRequest(t, oneEvent))
+			h, err := protocol.readHead(mustRequest(t, oneEvent))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -183,11 +185,11 @@
 		}
 		for i, sub := range all {
 			if a := st.Receive(t, sub.answer); a.status != want {
-				t.Errorf("%s: hand-in %d is answered %+v", name, i, a)
+				t.Errorf("%s: submission %d is answered %+v", name, i, a)
 			}
 		}
-		if held, ends := len(s.eventDedup.pending), s.eventDedup.table.Reserved(); fails && held+ends != 0 || !fails && held+ends != 2 {
-			t.Errorf("%s: %d held, room for %d", name, held, ends)
+		if pending, reserved := len(s.eventDedup.pending), s.eventDedup.table.Reserved(); fails && pending+reserved != 0 || !fails && pending+reserved != 2 {
+			t.Errorf("%s: %d pending events, room reserved for %d", name, pending, reserved)
 		}
 		cancel()
 		s.shutdown(cancel)
@@ -205,7 +207,7 @@
 	return r
 }
 
-// With all room for remembering taken, new events are refused with a time, and those that came before are known.
+// When the table has no room left, new events are rejected with a Retry-After, and repeats are still recognized.
 func TestEventDedup_TableFull(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
@@ -214,7 +216,7 @@
 		c.Events.MaxRemembered = 3
 	})
 	for i := range 3 {
-		handEvent(t, addr, strconv.Itoa(i), "safe", 202)
+		submitEvent(t, addr, strconv.Itoa(i), "safe", 202)
 		e.Next(t)
 	}
 	until(t, func() bool {
@@ -227,14 +229,14 @@
 			t.Fatalf("%s %s, Retry-After %q", resp.Status, text, resp.Header.Get("Retry-After"))
 		}
 	}
-	handEvent(t, addr, "0", "safe", 200)
-	st.Submit(t, addr, st.Submission{ID: "plain", Class: "safe", Destination: 0, Deadline: 5 * time.Second}) // plain messages are not concerned
+	submitEvent(t, addr, "0", "safe", 200)
+	st.Submit(t, addr, st.Submission{ID: "plain", Class: "safe", Destination: 0, Deadline: 5 * time.Second}) // plain messages need no room in the table
 	if c := e.Next(t); c.ID != "plain" {
 		t.Errorf("%+v", c)
 	}
 }
 
-// A restart, with events held, over, and over with their notice owed.
+// A restart with events that are pending, that were delivered, and that failed with their notice not yet acknowledged.
 func TestEventDedup_SurvivesRestart(t *testing.T) {
 	t.Parallel()
 	var hang atomic.Bool
@@ -257,21 +259,21 @@
 		return serving(t, s)
 	}
 	addr, stop := begin()
-	handEvent(t, addr, "over", "keyed", 202)
+	submitEvent(t, addr, "over", "keyed", 202)
 	e.Next(t)
 	until(t, func() bool {
 		resp, _ := post(t, addr, oneEvent, eventJSON("over", "keyed", `,"data":{"n":1}`))
 		return resp.StatusCode == 200
 	})
 	p.RejectNotices(true)
-	handEvent(t, addr, "failed", "unsafe", 202)
+	submitEvent(t, addr, "failed", "unsafe", 202)
 	e.Next(t)
 	until(t, func() bool {
 		resp, _ := post(t, addr, oneEvent, eventJSON("failed", "unsafe", `,"data":{"n":1}`))
 		return resp.StatusCode == 500
 	})
 	hang.Store(true)
-	held := handEvent(t, addr, "held", "keyed", 202).Header.Get("X-Request-Id")
+	pendingID := submitEvent(t, addr, "held", "keyed", 202).Header.Get("X-Request-Id")
 	key := e.Next(t).Key
 	stop()
 	p.RejectNotices(false)
@@ -279,16 +281,16 @@
 
 	addr, stop = begin()
 	defer stop()
-	handEvent(t, addr, "over", "keyed", 200)
-	handEvent(t, addr, "failed", "unsafe", 500)
+	submitEvent(t, addr, "over", "keyed", 200)
+	submitEvent(t, addr, "failed", "unsafe", 500)
 	resp, text := post(t, addr, oneEvent, eventJSON("held", "keyed", `,"data":{"n":1}`))
-	if resp.StatusCode == 202 && resp.Header.Get("X-Request-Id") != held || resp.StatusCode != 202 && resp.StatusCode != 200 {
+	if resp.StatusCode == 202 && resp.Header.Get("X-Request-Id") != pendingID || resp.StatusCode != 202 && resp.StatusCode != 200 {
 		t.Errorf("%s %s", resp.Status, text)
 	}
 	if resp, _ := post(t, addr, oneEvent, eventJSON("held", "keyed", `,"data":2`)); resp.StatusCode != 409 {
 		t.Errorf("with another body: %s", resp.Status)
 	}
-	if c := e.Next(t); c.Key != key || c.Header.Get("Ce-Id") != "held" || c.Body != `{"n":1}` || c.ID != held {
+	if c := e.Next(t); c.Key != key || c.Header.Get("Ce-Id") != "held" || c.Body != `{"n":1}` || c.ID != pendingID {
 		t.Errorf("%+v", c)
 	}
 	if n := st.Receive(t, p.Notices); n.Outcome != outcomeGivenUp {
@@ -299,8 +301,8 @@
 	}
 }
 
-// An event under the id of another message that has failed, and waits to be kept, is another message: it is not answered
-// as that was.
+// An event submitted under the id of a message that failed and still waits for the recorder is a different message: it must not get
+// that message's answer.
 func TestEventDedup_IDOfFailedMessage(t *testing.T) {
 	s := newTest(t, st.NewPlatform(t), acceptEvents)
 	m, err := s.journal.insert(record{ID: "m", Class: "keyed", Key: "k", Deadline: time.Hour})
@@ -311,7 +313,7 @@
 	for want, id := range map[int]*eventIdentity{http.StatusConflict: {key: identity.Key{1}}, http.StatusInternalServerError: nil} {
 		answer := make(chan response, 1)
 		if e := s.submit(submission{record: record{ID: "m", Identity: id}, answer: answer}); e != nil {
-			t.Errorf("the module is told %+v", e)
+			t.Errorf("the module gets %+v", e)
 		}
 		if got := st.Receive(t, answer); got.status != want {
 			t.Errorf("answered %d, want %d", got.status, want)
--- a/internal/sender/extension.go
+++ b/internal/sender/extension.go
@@ -7,31 +7,29 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// extension is a feature that takes part in the loop's turns. The loop calls it in its own goroutine, so nothing here waits
-// for a network, a slow disk or anyone else. What a method returns is told to the module in the same turn. A feature that
-// needs only some of the methods embeds noopExtension.
+// extension is a feature that takes part in the loop's turns. The loop calls it in its own goroutine, so no method may wait for a
+// network, a slow disk or another goroutine. The events that a method returns go to the module in the same turn. A feature that needs
+// only some of the methods embeds noopExtension.
 type extension interface {
-	// onResume is called once, before any client is heard, when the endpoint list is known.
+	// onResume is called once, when the endpoint list is known and before any client can connect.
 	onResume(now time.Duration) []brain.Event
-	// onListUpdate is called after an update of the endpoint list; the module is told of the update first.
+	// onListUpdate is called after an update of the endpoint list; the module gets the update first.
 	onListUpdate(now time.Duration) []brain.Event
-	// handle is called with each extension's events, which it had posted to the loop; it passes over those of others.
+	// handle is called with the events that extensions post to the loop; an extension ignores those of others.
 	handle(e extensionEvent, now time.Duration) []brain.Event
-	// beforeFlush is called before the journal is written: what must be on the disk no later than that is written here.
+	// beforeFlush is called before the journal is written. It writes what must be on the disk no later than the journal's records.
 	beforeFlush() error
-	// afterTurn is called at the end of each turn, when all of it is in the journal.
+	// afterTurn is called at the end of each turn, after the journal was written.
 	afterTurn(ctx context.Context)
-	// onTick is called about once a second, the more rarely the longer the endpoint list, until no more calls are begun.
+	// onTick is called about once a second, less often the longer the endpoint list is, until no more calls are begun.
 	onTick(now time.Duration)
 	// shutdown is called as the sender ends, when the loop takes no more events.
 	shutdown() error
 }
 
-// noopExtension takes part in nothing.
+// noopExtension implements extension without any effect.
 type noopExtension struct{}
 
-// The methods of extension, without effect.
-
 func (noopExtension) onResume(time.Duration) []brain.Event               { return nil }
 func (noopExtension) onListUpdate(time.Duration) []brain.Event           { return nil }
 func (noopExtension) handle(extensionEvent, time.Duration) []brain.Event { return nil }
@@ -52,7 +50,7 @@
 	if s.config.Knowledge != nil {
 		extensions = append(extensions, newKnowledgeStore(s))
 	}
-	if s.config.Peers != nil { // the module was made to report changes
+	if s.config.Peers != nil { // the module reports changes: see Settings.ReportsChanges
 		p, err := newPeersExtension(s)
 		if err != nil {
 			return extensions, err
@@ -67,7 +65,7 @@
 	}
 	if s.config.Knowledge != nil || s.config.Peers != nil || s.config.Names != nil || s.config.Background || s.config.Fleet != nil {
 		i, err := newAdminServer(s)
-		if err != nil { // without it the sender goes on, and the command line gets no answer
+		if err != nil { // the sender runs without it; only the command line gets no answers
 			s.log.Error("the admin socket could not be opened", "err", err)
 			return extensions, nil
 		}
--- a/internal/sender/extension_admin.go
+++ b/internal/sender/extension_admin.go
@@ -21,7 +21,7 @@
 // SocketName is the Unix socket in the state folder by which the command line queries a sender that runs.
 const SocketName = "sender.sock"
 
-// adminServer answers the command line, by HTTP on a Unix socket. Queries go through the loop, which owns all that is known.
+// adminServer answers the command line, by HTTP on a Unix socket. Queries go through the loop, which owns the sender's state.
 type adminServer struct {
 	noopExtension
 	s      *Sender
@@ -29,13 +29,13 @@
 	done   sync.WaitGroup
 }
 
-// adminQuery is put to the loop; it is answered in the same turn.
+// adminQuery is a query posted to the loop, which answers it in the same turn.
 type adminQuery struct {
-	ask    report
+	run    report
 	answer chan any // with room for one
 }
 
-// report works out what is known of something, in the loop; it is encoded as JSON.
+// report computes the answer to a query, in the loop; the answer is encoded as JSON.
 type report func(s *Sender, now time.Duration) any
 
 func (adminQuery) isExtensionEvent() {}
@@ -43,19 +43,19 @@
 // adminTimeout is how long a query may wait for the loop.
 const adminTimeout = 2 * time.Second
 
-// newAdminServer listens on the socket; one of a process that was killed is replaced.
+// newAdminServer listens on the socket and replaces the socket of a process that was killed.
 func newAdminServer(s *Sender) (*adminServer, error) {
 	path := filepath.Join(s.config.StateDir, SocketName)
-	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) { // a process that was killed leaves its own
-		return nil, fmt.Errorf("command line: %w", err)
+	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) { // a process that was killed leaves its socket
+		return nil, fmt.Errorf("admin socket: %w", err)
 	}
 	l, err := net.Listen("unix", path)
 	if err != nil {
-		return nil, fmt.Errorf("command line: %w", err)
+		return nil, fmt.Errorf("admin socket: %w", err)
 	}
 	if err := os.Chmod(path, 0o600); err != nil {
 		l.Close()
-		return nil, fmt.Errorf("command line: %w", err)
+		return nil, fmt.Errorf("admin socket: %w", err)
 	}
 	i := &adminServer{s: s}
 	i.server = &http.Server{Handler: i.routes(), ReadHeaderTimeout: adminTimeout}
@@ -74,12 +74,12 @@
 		return func(s *Sender, now time.Duration) any { return s.peersReport(now) }, nil
 	}))
 	mux.HandleFunc("GET /knowledge", i.queryHandler(func(r *http.Request) (report, error) {
-		only := r.URL.Query().Get("receiver")
-		n, err := strconv.ParseUint(only, 10, 32)
-		if only != "" && err != nil {
-			return nil, &queryError{fmt.Sprintf("receiver %q is no number", only)}
+		receiver := r.URL.Query().Get("receiver")
+		n, err := strconv.ParseUint(receiver, 10, 32)
+		if receiver != "" && err != nil {
+			return nil, &queryError{fmt.Sprintf("receiver %q is no number", receiver)}
 		}
-		return func(s *Sender, now time.Duration) any { return s.knowledgeReport(now, only == "", uint32(n)) }, nil
+		return func(s *Sender, now time.Duration) any { return s.knowledgeReport(now, receiver == "", uint32(n)) }, nil
 	}))
 	mux.HandleFunc("GET /zones", i.zones)
 	if i.s.config.Fleet != nil {
@@ -93,7 +93,7 @@
 	return mux
 }
 
-// zones answers GET /zones. It has locks of its own, and does not go through the loop.
+// zones answers GET /zones. The report has its own locks, so it does not go through the loop.
 func (i *adminServer) zones(w http.ResponseWriter, _ *http.Request) {
 	if n := i.s.config.Names; n != nil && n.Report != nil {
 		json.NewEncoder(w).Encode(n.Report())
@@ -102,17 +102,17 @@
 	http.Error(w, "no names are followed: the operators' file has no [dns]", http.StatusNotFound)
 }
 
-// queryHandler answers requests with the report that read makes of them; an error of read's is answered 400.
+// queryHandler answers requests with the report that read selects; an error from read is answered 400.
 func (i *adminServer) queryHandler(read func(*http.Request) (report, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		ask, err := read(r)
+		run, err := read(r)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), adminTimeout)
 		defer cancel()
-		q := adminQuery{ask, make(chan any, 1)}
+		q := adminQuery{run, make(chan any, 1)}
 		if i.s.post(ctx, extensionMessage{q}) {
 			select {
 			case v := <-q.answer:
@@ -162,7 +162,7 @@
 // handle answers a query.
 func (i *adminServer) handle(e extensionEvent, now time.Duration) []brain.Event {
 	if q, ok := e.(adminQuery); ok {
-		q.answer <- q.ask(i.s, now)
+		q.answer <- q.run(i.s, now)
 	}
 	return nil
 }
--- a/internal/sender/extension_background.go
+++ b/internal/sender/extension_background.go
@@ -15,25 +15,25 @@
 	"saffronyard.example/saffronyard/internal/work"
 )
 
-// Background is what work behind the messages asks of the sender, from any goroutine. It is there once the sender runs. Each
-// method goes through the loop and fails with ErrBusy if that does not answer within backgroundTimeout.
+// Background is background work's access to a running sender, from any goroutine. Each method runs in a turn of the loop and fails
+// with ErrBusy if the loop does not answer within backgroundTimeout.
 type Background struct{ s *Sender }
 
 // backgroundExtension answers Background's queries in the loop's turns.
 type backgroundExtension struct {
 	noopExtension
 	s          *Sender
-	queueDelay time.Duration // of the last question, from when it was asked
-	flushTime  time.Duration // the last writing of the journal
+	queueDelay time.Duration // of the last query, from its post to its turn
+	flushTime  time.Duration // duration of the last flush of the journal
 	flushBegan time.Time
-	resumed    bool // what the journal held has been resumed
+	resumed    bool // the journal's messages have been resumed
 }
 
-// backgroundQuery is put to the loop; it is answered in the same turn, and what it gives is told to the module.
+// backgroundQuery is a query posted to the loop, which answers it in the same turn. The events that run returns go to the module.
 type backgroundQuery struct {
 	asked  time.Time
-	state  *atomic.Uint32 // who is first: the loop, or the one who asked and waits no more
-	ask    func(p *backgroundExtension, now time.Duration) []brain.Event
+	state  *atomic.Uint32 // set by the loop that takes the query or by the caller that abandons it, whichever is first
+	run    func(p *backgroundExtension, now time.Duration) []brain.Event
 	answer chan struct{}
 }
 
@@ -42,36 +42,36 @@
 // backgroundTimeout is how long a query may wait for the loop.
 const backgroundTimeout = 2 * time.Second
 
-// Background is for work behind the messages; it needs Config.Background.
+// Background gives background work access to the sender; it needs Config.Background.
 func (s *Sender) Background() *Background { return &Background{s} }
 
-// within has ask called in a turn of the loop. Once it has returned, ask is not called any more.
-func (b *Background) within(ctx context.Context, ask func(p *backgroundExtension, now time.Duration) []brain.Event) error {
+// runInLoop runs query in a turn of the loop. After runInLoop has returned, query is not called any more.
+func (b *Background) runInLoop(ctx context.Context, query func(p *backgroundExtension, now time.Duration) []brain.Event) error {
 	ctx, cancel := context.WithTimeout(ctx, backgroundTimeout)
 	defer cancel()
-	q := backgroundQuery{time.Now(), new(atomic.Uint32), ask, make(chan struct{})}
+	q := backgroundQuery{time.Now(), new(atomic.Uint32), query, make(chan struct{})}
 	if b.s.post(ctx, extensionMessage{q}) {
 		select {
 		case <-q.answer:
 			return nil
 		case <-ctx.Done():
-			if !q.state.CompareAndSwap(queryWaiting, queryAbandoned) { // it is being answered
+			if !q.state.CompareAndSwap(queryWaiting, queryAbandoned) { // the loop has taken it
 				<-q.answer
 				return nil
 			}
 		}
 	}
-	return ErrBusy // and it will not be answered later
+	return ErrBusy // and query will not be called later
 }
 
-// The states of a query: the loop takes it, or who asked waits no more, whoever is first.
+// The states of a query: the loop takes it or its caller abandons it, whichever is first.
 const (
 	queryWaiting uint32 = iota
 	queryTaken
 	queryAbandoned
 )
 
-// handle answers a query, unless who asked waits no more.
+// handle answers a query unless its caller has abandoned it.
 func (p *backgroundExtension) handle(e extensionEvent, now time.Duration) []brain.Event {
 	q, ok := e.(backgroundQuery)
 	if !ok {
@@ -81,7 +81,7 @@
 		return nil
 	}
 	p.queueDelay = time.Since(q.asked)
-	events := q.ask(p, now)
+	events := q.run(p, now)
 	close(q.answer)
 	return events
 }
@@ -92,22 +92,22 @@
 	return nil
 }
 
-// beforeFlush begins to measure the time of a flush.
+// beforeFlush starts the measurement of the flush.
 func (p *backgroundExtension) beforeFlush() error {
 	p.flushBegan = time.Now()
 	return nil
 }
 
-// afterTurn ends it.
+// afterTurn ends the measurement of the flush.
 func (p *backgroundExtension) afterTurn(context.Context) {
 	if !p.flushBegan.IsZero() {
 		p.flushTime, p.flushBegan = time.Since(p.flushBegan), time.Time{}
 	}
 }
 
-// Facts is how busy live work is.
+// Facts reports the load of the sender by live messages.
 func (b *Background) Facts(ctx context.Context) (f work.LoadSignals, err error) {
-	err = b.within(ctx, func(p *backgroundExtension, _ time.Duration) []brain.Event {
+	err = b.runInLoop(ctx, func(p *backgroundExtension, _ time.Duration) []brain.Event {
 		s := p.s
 		f.TurnLate, f.DiskLatency = p.queueDelay, p.flushTime
 		if n := s.config.Settings.Slots; n > 0 {
@@ -124,31 +124,30 @@
 	return f, err
 }
 
-// InFlight is the messages that went again and that the sender still has: out, waiting, or ended and not yet with the
-// recorder.
-func (b *Background) InFlight(ctx context.Context) (held map[string]bool, err error) {
-	held = map[string]bool{}
-	err = b.within(ctx, func(p *backgroundExtension, _ time.Duration) []brain.Event {
+// InFlight lists the resent messages that the sender still has: in flight, waiting, or ended and not yet stored by the recorder.
+func (b *Background) InFlight(ctx context.Context) (ids map[string]bool, err error) {
+	ids = map[string]bool{}
+	err = b.runInLoop(ctx, func(p *backgroundExtension, _ time.Duration) []brain.Event {
 		for id, m := range p.s.journal.byID {
 			if m.Incarnation > 0 {
-				held[id] = true
+				ids[id] = true
 			}
 		}
 		return nil
 	})
-	return held, err
+	return ids, err
 }
 
-// Receivers is what is known now of destinations that calls have gone to.
+// Receivers reports the state of each listed destination.
 func (b *Background) Receivers(ctx context.Context) (all map[uint32]undelivered.Receiver, err error) {
 	all = map[uint32]undelivered.Receiver{}
-	err = b.within(ctx, func(p *backgroundExtension, now time.Duration) []brain.Event {
+	err = b.runInLoop(ctx, func(p *backgroundExtension, now time.Duration) []brain.Event {
 		s := p.s
 		ready := map[uint32]bool{}
 		for _, e := range s.endpoints.ByID {
 			ready[uint32(e.Entry.Destination)] = ready[uint32(e.Entry.Destination)] || e.Entry.Ready
 		}
-		for dest, ok := range ready { // one of which nothing is known is well, as far as anybody can say
+		for dest, ok := range ready { // a destination with a ready endpoint counts as healthy unless an observation says otherwise
 			all[dest] = undelivered.Receiver{Healthy: ok, HealthyFor: math.MaxInt64}
 		}
 		for _, f := range s.knownFacts(now) {
@@ -193,20 +192,20 @@
 	return 0
 }
 
-// Resend accepts an undelivered message once more, in its next incarnation: it passes the journal and the module as any. An
-// error, ErrBusy or a *ResendError or one of the journal's, says that it was not accepted, and why; nothing of it is left
-// then.
+// Resend accepts an undelivered message again as its next incarnation, which goes through the journal and the module like any message.
+// An error, which is ErrBusy, a *ResendError or an error of the journal, says why it was not accepted; the sender then keeps nothing
+// of it.
 func (b *Background) Resend(ctx context.Context, e undelivered.Entry, deadline time.Duration) error {
-	var refused error
-	err := b.within(ctx, func(p *backgroundExtension, now time.Duration) []brain.Event {
+	var rejected error
+	err := b.runInLoop(ctx, func(p *backgroundExtension, now time.Duration) []brain.Event {
 		var ev brain.Event
-		ev, refused = p.resend(&e, now, deadline)
-		if refused != nil {
+		ev, rejected = p.resend(&e, now, deadline)
+		if rejected != nil {
 			return nil
 		}
 		return []brain.Event{ev}
 	})
-	return errors.Join(err, refused)
+	return errors.Join(err, rejected)
 }
 
 // resend is Resend in the loop's turn.
@@ -231,24 +230,25 @@
 		MayHaveRun: mayHaveRun, FirstRunAt: first.At, FirstRunZone: s.config.zoneOf(first)}, nil
 }
 
-// checkResend says why a message can't be resent now. It is checked at the moment of accepting it: between the choice and this lie a
-// write to the store and the loop's queue. class and tenant are their numbers, below 0 if there are none any more.
+// checkResend says why a message can't be resent now. It is called when the message is about to be accepted: since the message was
+// chosen, the store was written and the query waited in the loop's queue. class and tenant are the indexes of its names in the
+// settings, negative if they are gone.
 func (p *backgroundExtension) checkResend(e *undelivered.Entry, class, tenant int, now time.Duration) error {
 	s := p.s
 	switch {
-	case !p.resumed: // what goes into the journal now would be resumed from it as well
+	case !p.resumed: // a message that is inserted now would be resumed from the journal as well
 		return ErrBusy
 	case s.stopping || s.server.closing.Load():
 		return ErrBusy
 	case class < 0:
-		return resendError("there is no class %q any more", e.Class)
+		return resendError("class %q is no longer configured", e.Class)
 	case tenant < 0:
-		return resendError("there is no member %q any more", e.Member)
+		return resendError("member %q is no longer configured", e.Member)
 	case s.journal.byID[e.Message] != nil:
-		return resendError("it is held")
+		return resendError("the sender still holds the message")
 	}
 	if _, known := s.endpoints.Destinations[e.Destination]; !known {
-		return resendError("destination %d does not exist any more", e.Destination)
+		return resendError("destination %d no longer exists", e.Destination)
 	}
 	if v, why := undelivered.MayResend(e.History(), s.config.Settings.Classes[class].IdempotencyKeyTTL, int64(now)); v == undelivered.Forbidden {
 		return &ResendError{why}
@@ -256,24 +256,24 @@
 	if e.Key != "" {
 		for _, m := range s.messages {
 			if !m.ended && m.Key == e.Key && m.Tenant == e.Member && m.Dest == e.Destination {
-				return resendError("its client has handed it in anew")
+				return resendError("its client has submitted it again")
 			}
 		}
 	}
-	if limit := s.config.Settings.MaxPending; limit > 0 && s.pending >= limit/2 { // the rest is for live ones
-		return resendError("the room for messages is half taken")
+	if limit := s.config.Settings.MaxPending; limit > 0 && s.pending >= limit/2 { // the rest is for live messages
+		return resendError("half of the room for pending messages is taken")
 	}
 	return nil
 }
 
-// nextIncarnation is the record of an undelivered message that goes again, with the attempts of its earlier incarnations.
+// nextIncarnation is the record of an undelivered message that is resent, with the attempts of its earlier incarnations.
 func nextIncarnation(e *undelivered.Entry, deadline time.Duration) (record, error) {
 	rec := record{ID: e.Message, Key: e.Key, Class: e.Class, Tenant: e.Member, Dest: e.Destination, Deadline: deadline, Body: e.Body,
 		Incarnation: e.Resends + 1, EarlierAttempts: len(e.Attempts)}
 	if len(e.Event) > 0 {
 		event, err := cloudevents.ReadHead(e.Event)
 		if err != nil {
-			return record{}, fmt.Errorf("its event can't be read: %w", err)
+			return record{}, fmt.Errorf("decode the message's event: %w", err)
 		}
 		rec.Event = event
 	}
--- a/internal/sender/extension_background_test.go
+++ b/internal/sender/extension_background_test.go
@@ -9,7 +9,8 @@
 	"saffronyard.example/saffronyard/internal/undelivered"
 )
 
-// A message's next life in the journal: its attempts of before are there for what is lawful, and do not count as made.
+// The next incarnation of a message in the journal has the earlier attempts, which decide whether it may be repeated, but does not
+// count them as made.
 func TestJournal_NextIncarnation(t *testing.T) {
 	dir := t.TempDir()
 	j, err := openJournal(dir, 1<<20)
@@ -40,41 +41,40 @@
 			t.Errorf("first run %+v %v", first, may)
 		}
 	}
-	// Delivered, it stays until the recorder has heard so, with nobody else to be told.
+	// A delivered message stays until the recorder has its end; no notice is pending.
 	j.update(j.byID["m"], record{Op: opOver, Outcome: outcomeDelivered, AwaitsRecorder: true, At: 10})
 	if got := j.byID["m"]; got == nil || !got.awaitsRecorder || !got.notified {
 		t.Errorf("%+v", got)
 	}
 	j.update(j.byID["m"], record{Op: opRecorded})
 	if j.byID["m"] != nil {
-		t.Error("it is not forgotten")
+		t.Error("the message is still in the journal")
 	}
 }
 
-// What background work asks before the journal's messages are resumed: it does not stand for discovery's first word, so that
-// an endpoint which has drained gets nothing; and a message that it would have go again is not taken, or it would be
-// resumed beside.
+// A query of background work before the journal's messages are resumed must not be taken for discovery's first answer, or an endpoint
+// that has drained would get calls. A resend at that time must be rejected, or the message would be resumed from the journal as well.
 func TestBackground_QueriesBeforeResume(t *testing.T) {
 	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, old.Addr)
 	p.Change(st.Target("s-0", old.Addr, 0, "DRAINING"))
 	p.Change(st.Target("s-1", other.Addr, 0, "SERVING"))
-	again := make(chan error, 1)
+	resent := make(chan error, 1)
 	runWith(t, p, func(c *Config) {
 		c.Background = true
 		leaveMessage(t, c, old, func(*journal) {})
 	}, func(s *Sender) {
 		go func() {
-			again <- s.Background().Resend(t.Context(), undelivered.Entry{Message: "x", Member: "acme", Class: "unsafe", Ending: undelivered.GivenUp, Effect: undelivered.Unsafe}, 10*time.Second)
+			resent <- s.Background().Resend(t.Context(), undelivered.Entry{Message: "x", Member: "acme", Class: "unsafe", Ending: undelivered.GivenUp, Effect: undelivered.Unsafe}, 10*time.Second)
 		}()
-		for over := time.Now().Add(st.Wait); len(s.events) == 0; time.Sleep(time.Millisecond) {
-			if time.Now().After(over) {
-				t.Fatal("it is not asked")
+		for deadline := time.Now().Add(st.Wait); len(s.events) == 0; time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatal("no query was posted")
 			}
 		}
 	})
-	if err := st.Receive(t, again); !errors.Is(err, ErrBusy) {
-		t.Errorf("a message goes again before the journal's are resumed: %v", err)
+	if err := st.Receive(t, resent); !errors.Is(err, ErrBusy) {
+		t.Errorf("a resend before the journal's messages are resumed: %v", err)
 	}
 	if c := other.Next(t); c.ID != "m" {
 		t.Errorf("the new endpoint got %s", c.ID)
--- a/internal/sender/extension_fleet.go
+++ b/internal/sender/extension_fleet.go
@@ -14,44 +14,45 @@
 	"saffronyard.example/saffronyard/internal/knowledge"
 )
 
-// Fleet is what senders agree on, as far as it concerns messages and calls. None of its methods waits.
+// Fleet is the policy and the limits that the senders of a fleet share, for messages and calls. None of its methods blocks.
 type Fleet interface {
-	// Admit asks at the moment of writing whether a call may be begun, and takes what it uses of the fleet's limits; left is called when
-	// it is written, over when it has ended.
-	Admit(fleetpolicy.Call) (left func(), over func(written bool), why string)
-	// AddBacklog counts so many messages more, or fewer, that wait; SetBacklog puts all that wait in place of what was counted.
+	// Admit asks, right before a call is written, whether it may be begun, and takes its part of the fleet's limits; sent is called
+	// when the call is written, ended once it has ended.
+	Admit(fleetpolicy.Call) (sent func(), ended func(written bool), why string)
+	// AddBacklog adds messages, which may be negative, to the count of those that wait; SetBacklog replaces all counts.
 	AddBacklog(c fleetpolicy.Call, messages int64)
 	SetBacklog(map[fleetpolicy.Call]int64)
-	// RateLimits are what this sender may send where the fleet shares a limit out: those that have changed, or all.
+	// RateLimits gives this sender's shares of the rate limits that the fleet divides: those that have changed, or all.
 	RateLimits(all bool) []fleet.RateLimit
-	// OnRateLimits has f called, from any goroutine, when some have.
+	// OnRateLimits has f called, from any goroutine, when such shares have changed.
 	OnRateLimits(f func())
-	// ReportHealth takes what this sender has seen of receivers itself.
+	// ReportHealth takes this sender's own observations of receivers.
 	ReportHealth([]health.Observation)
-	// ObserveLimit is that a receiver has told this sender its limit, in calls a second.
+	// ObserveLimit takes the limit that a receiver has stated to this sender, in calls a second.
 	ObserveLimit(destination uint32, perSecond float64)
-	// View is what calls go by; acts is whether any is begun at all. It is nil while nothing is known.
-	View() (v *fleetpolicy.View, acts bool)
-	// OnChange has f called, from any goroutine, when either is another.
+	// View is the policy that applies to calls; mayCall reports whether this sender may begin calls at all. The view is nil while none is
+	// known.
+	View() (v *fleetpolicy.View, mayCall bool)
+	// OnChange has f called, from any goroutine, when either result of View changes.
 	OnChange(f func())
-	// Register adds what the command line asks of it.
+	// Register adds the handlers of the command line's queries on the fleet.
 	Register(*http.ServeMux)
 }
 
-// fleetExtension is the fleet's policy as an extension: for the module the endpoints of a closed destination drain, and messages that
-// can't go are handed back.
+// fleetExtension applies the fleet's policy: to the module, the endpoints of a closed destination are draining, and messages that are
+// no longer allowed are handed back.
 type fleetExtension struct {
 	noopExtension
 	s         *Sender
-	verdictOf map[uint32]health.Kind // verdicts as the module was told
+	verdictOf map[uint32]health.Kind // verdicts that the module has been given, by destination
 }
 
-// rateLimitChange is that this sender may send more or less where the fleet shares a rate limit out.
+// rateLimitChange says that this sender's share of a rate limit has changed.
 type rateLimitChange struct{}
 
 func (rateLimitChange) isExtensionEvent() {}
 
-// policyChange is that the policy is another, or that this sender may begin calls, or may not any more.
+// policyChange says that the policy has changed, or whether this sender may begin calls.
 type policyChange struct{}
 
 func (policyChange) isExtensionEvent() {}
@@ -80,7 +81,8 @@
 	return &fleetExtension{s: s, verdictOf: map[uint32]health.Kind{}}
 }
 
-// signalTo signals on a channel with room for one: one signal is enough, however often there is cause. It never waits.
+// signalTo is a function that signals on a channel with room for one signal, without blocking. One pending signal is enough, however
+// often the function is called.
 func signalTo(c chan<- struct{}) func() {
 	return func() {
 		select {
@@ -96,7 +98,7 @@
 	return nil
 }
 
-// handle tells the module of changed rate limits, or of all that a changed policy means.
+// handle gives the module the changed rate limits, or all effects of a changed policy.
 func (x *fleetExtension) handle(e extensionEvent, _ time.Duration) []brain.Event {
 	switch e.(type) {
 	case rateLimitChange:
@@ -108,8 +110,8 @@
 	}
 }
 
-// policyChanged tells the module which destinations are closed now, their rate limits and verdicts, and ends messages that the policy
-// doesn't let go.
+// policyChanged gives the module the destinations that are closed now, the rate limits and the verdicts, and ends messages that the
+// policy does not allow.
 func (x *fleetExtension) policyChanged() []brain.Event {
 	s := x.s
 	var events []brain.Event
@@ -125,19 +127,19 @@
 		}
 	}
 	s.config.Fleet.SetBacklog(backlog)
-	return append(events, x.withdrawObjected()...)
+	return append(events, x.withdrawDisallowed()...)
 }
 
-// withdrawObjected ends the messages that the policy is against, in the order in which they were accepted. One in flight ends as it
-// does, and the module looks at it again then.
-func (x *fleetExtension) withdrawObjected() (events []brain.Event) {
+// withdrawDisallowed ends the messages that the policy does not allow, in the order in which they were accepted. It skips messages in
+// flight: recheckPolicy checks them when their calls end.
+func (x *fleetExtension) withdrawDisallowed() (events []brain.Event) {
 	s := x.s
 	for _, number := range slices.Sorted(maps.Keys(s.messages)) {
 		m := s.messages[number]
 		if m.ended || len(m.calls) > 0 {
 			continue
 		}
-		why, suspended := s.policyObjection(m.storedMessage.record)
+		why, suspended := s.whyDisallowed(m.storedMessage.record)
 		if why == "" {
 			continue
 		}
@@ -145,9 +147,9 @@
 		switch {
 		case !mayHaveRun:
 			s.finish(m.number, outcomeHandedBack, http.StatusServiceUnavailable, s.config.Settings.MaxRetryAfter)
-		case suspended: // another attempt won't come, and whether it ran nobody knows
+		case suspended: // there will be no further attempt, and whether it ran is unknown
 			s.finish(m.number, outcomeGivenUp, http.StatusInternalServerError, 0)
-		default: // it waits for its destination, to its deadline
+		default: // it waits for its destination until its deadline
 			continue
 		}
 		events = append(events, brain.Withdrawn{Message: m.number})
@@ -155,7 +157,7 @@
 	return events
 }
 
-// rateLimits tells the module what it may send where the fleet shares a rate limit out: all of it, or what has changed.
+// rateLimits gives the module this sender's shares of the rate limits that the fleet divides: all of them, or those that have changed.
 func (x *fleetExtension) rateLimits(all bool) (events []brain.Event) {
 	for _, f := range x.s.config.Fleet.RateLimits(all) {
 		events = append(events, brain.RateGrant{Destination: brain.DestinationID(f.Destination), Limited: f.Limited, Rate: f.Own, TotalRate: f.Fleet})
@@ -163,7 +165,7 @@
 	return events
 }
 
-// verdicts tells the module the fleet's verdicts on the health of receivers that have changed since it was told.
+// verdicts gives the module the fleet's verdicts on the health of receivers that differ from those that it was given before.
 func (x *fleetExtension) verdicts() (events []brain.Event) {
 	v, _ := x.s.config.Fleet.View()
 	current := map[uint32]health.Kind{}
@@ -173,37 +175,37 @@
 		}
 	}
 	brainHealth := map[health.Kind]brain.Health{health.KindEjected: brain.Unhealthy, health.KindWarmingUp: brain.WarmingUp, health.KindNone: brain.Healthy}
-	tell := func(d uint32, kind health.Kind) {
+	addVerdict := func(d uint32, kind health.Kind) {
 		if _, listed := x.s.endpoints.Destinations[d]; listed {
 			events = append(events, brain.Observation{Destination: brain.DestinationID(d), Health: brainHealth[kind]})
 		}
 	}
 	for _, d := range slices.Sorted(maps.Keys(current)) {
 		if x.verdictOf[d] != current[d] {
-			tell(d, current[d])
+			addVerdict(d, current[d])
 		}
 	}
 	for _, d := range slices.Sorted(maps.Keys(x.verdictOf)) {
 		if current[d] == health.KindNone {
-			tell(d, health.KindNone)
+			addVerdict(d, health.KindNone)
 		}
 	}
 	x.verdictOf = current
 	return events
 }
 
-// afterTurn reports what has just been observed of receivers.
+// afterTurn reports the observations of receivers that have just changed.
 func (x *fleetExtension) afterTurn(context.Context) { x.report(x.s.changedObservations, false) }
 
-// onTick reports what is known of receivers on which there is a verdict, or which are not healthy.
+// onTick reports the observations of receivers on which there is a verdict, or which are not healthy.
 func (x *fleetExtension) onTick(time.Duration) {
 	if v, _ := x.s.config.Fleet.View(); v != nil && v.Policy.HasHealthRules() {
 		x.report(x.s.brain.Observations(), true)
 	}
 }
 
-// report passes observations on to the fleet, of destinations for which the policy has a health rule. changedOnly leaves out those
-// that have been healthy for a while and on which there is no verdict.
+// report passes observations of destinations for which the policy has a health rule on to the fleet. changedOnly leaves out
+// destinations that have been healthy for a while and on which there is no verdict.
 func (x *fleetExtension) report(known []brain.Observation, changedOnly bool) {
 	if len(known) == 0 {
 		return
--- a/internal/sender/extension_knowledge.go
+++ b/internal/sender/extension_knowledge.go
@@ -11,19 +11,19 @@
 	"saffronyard.example/saffronyard/internal/knowledge"
 )
 
-// Knowledge is how what this sender knows of receivers outlasts its process.
+// Knowledge configures the snapshots by which what this sender knows of receivers outlasts its process.
 type Knowledge struct {
-	Interval time.Duration // a snapshot is written so often
-	MaxBytes int64         // and takes so many at most
+	Interval time.Duration // between two snapshots
+	MaxBytes int64         // of a snapshot, at most
 }
 
 const (
 	knowledgeFileName = "knowledge"
-	maxSubjects       = 1 << 17 // of which anything is known
+	maxSubjects       = 1 << 17 // receivers and routes of which facts are kept
 )
 
-// knowledgeStore keeps what the sender knows of receivers in a snapshot file. What an earlier process knew is told to the
-// module as the list names the receivers; a new snapshot is written now and then by a goroutine of its own.
+// knowledgeStore keeps what the sender knows of receivers in a snapshot file. The facts of an earlier process go to the module once
+// the list names their receivers; a separate goroutine writes a new snapshot at intervals.
 type knowledgeStore struct {
 	noopExtension
 	s         *Sender
@@ -31,15 +31,15 @@
 	lastWrite time.Duration
 
 	view     *knowledge.View
-	unlisted map[knowledge.Subject]struct{} // of the snapshot, and not given to the module yet
+	unlisted map[knowledge.Subject]struct{} // subjects of the snapshot that the module was not given yet
 
-	writes chan []byte // room for one; what comes while that is taken waits for the next look
+	writes chan []byte // room for one snapshot; while it is taken, the next one waits for a later tick
 	done   sync.WaitGroup
-	failed bool // the last write did, and that is logged
+	failed bool // the last write failed, and that was logged
 	saving sync.Mutex
 }
 
-// knowledgeDiskBytes is the bytes on the disk for snapshots: the one that stands, and the one that is written.
+// knowledgeDiskBytes is the bytes on the disk for snapshots: the current one and the one being written.
 func (c *Config) knowledgeDiskBytes() int64 {
 	if c.Knowledge == nil {
 		return 0
@@ -47,15 +47,14 @@
 	return 2 * (c.Knowledge.MaxBytes + 512)
 }
 
-// newKnowledgeStore reads the snapshot of an earlier process; without one that can be read, it starts as one that knows
-// nothing.
+// newKnowledgeStore reads the snapshot of an earlier process; if there is none that can be read, the store starts empty.
 func newKnowledgeStore(s *Sender) *knowledgeStore {
 	p := &knowledgeStore{s: s, path: filepath.Join(s.config.StateDir, knowledgeFileName), view: knowledge.NewView(maxSubjects),
 		unlisted: map[knowledge.Subject]struct{}{}, writes: make(chan []byte, 1)}
-	os.Remove(p.path + ".new") // of a process that was killed as it wrote
+	os.Remove(p.path + ".new") // left by a process that was killed while writing
 	now := s.clock.now()
 	facts, skipped, err := knowledge.Load(p.path, now, time.Now())
-	if err != nil { // it starts as one that knows nothing
+	if err != nil { // the store starts empty
 		s.log.Warn("what an earlier process knew is left aside", "err", err)
 	}
 	for _, f := range facts {
@@ -64,7 +63,7 @@
 		}
 	}
 	if len(facts) > 0 {
-		s.log.Info("what an earlier process knew is read", "receivers", len(p.unlisted), "facts", len(facts), "skipped", skipped)
+		s.log.Info("knowledge of an earlier process is read", "receivers", len(p.unlisted), "facts", len(facts), "skipped", skipped)
 	}
 	p.done.Add(1)
 	go func() {
@@ -88,7 +87,7 @@
 	return p.observationEvents(now)
 }
 
-// observationEvents gives the module what is known of receivers that the list names by now, each once.
+// observationEvents gives the module the facts of the snapshot on receivers that the list names by now, each once.
 func (p *knowledgeStore) observationEvents(now time.Duration) []brain.Event {
 	var events []brain.Event
 	for subject := range p.unlisted {
@@ -104,8 +103,7 @@
 	return events
 }
 
-// factsToKeep is all that the module has observed, and what is left of an earlier process's knowledge of receivers that the
-// list does not name yet.
+// factsToKeep is the facts that the module has observed, and the snapshot's facts on receivers that the list does not name yet.
 func (p *knowledgeStore) factsToKeep(now time.Duration) []knowledge.Fact {
 	var all []knowledge.Fact
 	all = append(all, p.s.knownFacts(now)...)
@@ -118,7 +116,7 @@
 	return all
 }
 
-// onTick hands a snapshot to the writer once it is due and the one before is written.
+// onTick hands a snapshot to the writer once it is due and the writer has taken the one before.
 func (p *knowledgeStore) onTick(now time.Duration) {
 	if p.s.config.Background || now-p.lastWrite < p.s.config.Knowledge.Interval || len(p.writes) > 0 {
 		return
@@ -126,7 +124,7 @@
 	p.lastWrite = now
 	raw, _ := knowledge.Marshal(p.factsToKeep(now), now, time.Now(), int(p.s.config.Knowledge.MaxBytes))
 	if raw != nil {
-		p.writes <- raw // there is room
+		p.writes <- raw // does not block: the channel is empty
 	}
 }
 
@@ -142,22 +140,22 @@
 	return p.save(raw)
 }
 
-// save writes a snapshot; two at a time would write into one file.
+// save writes a snapshot. The lock keeps two writes from using the same file at once.
 func (p *knowledgeStore) save(raw []byte) error {
 	p.saving.Lock()
 	defer p.saving.Unlock()
 	return knowledge.Save(p.path, raw)
 }
 
-// Snapshot writes down what is known of receivers, as onTick does for a sender without background work. It gives the bytes
-// that it wrote, 0 where nothing is to be kept.
+// Snapshot writes a snapshot of what is known of receivers, as onTick does for a sender without background work. It returns the bytes
+// written, 0 if there is nothing to write.
 func (b *Background) Snapshot(ctx context.Context) (n int, err error) {
 	p, ok := extensionOf[*knowledgeStore](b.s)
 	if !ok {
 		return 0, nil
 	}
 	var raw []byte
-	err = b.within(ctx, func(_ *backgroundExtension, now time.Duration) []brain.Event {
+	err = b.runInLoop(ctx, func(_ *backgroundExtension, now time.Duration) []brain.Event {
 		p.lastWrite = now
 		raw, _ = knowledge.Marshal(p.factsToKeep(now), now, time.Now(), int(b.s.config.Knowledge.MaxBytes))
 		return nil
--- a/internal/sender/extension_peers.go
+++ b/internal/sender/extension_peers.go
@@ -9,16 +9,16 @@
 	"saffronyard.example/saffronyard/internal/peers"
 )
 
-// peersExtension is the other senders: what they tell goes to the module as hearsay, and what the module has observed goes to
-// them. Nothing here waits for any of them.
+// peersExtension exchanges facts with the other senders: their facts go to the module as second-hand observations, and the module's
+// own observations go to them. It never waits for a peer.
 type peersExtension struct {
 	noopExtension
 	s        *Sender
 	node     *peers.Node
 	stop     context.CancelFunc
-	view     *knowledge.View // what peers told, but for health
+	view     *knowledge.View // facts from peers, except health
 	reports  *knowledge.Reports
-	unlisted map[knowledge.Subject]struct{} // of which peers told, and not on the endpoint list yet
+	unlisted map[knowledge.Subject]struct{} // subjects of facts from peers that are not on the endpoint list yet
 }
 
 // PeerKeys changes the keys of the peers' membership (see peers.Node.SetKeys); without peers it does nothing. Any goroutine
@@ -30,12 +30,12 @@
 	return nil
 }
 
-// peerFacts is what one peer tells.
+// peerFacts is the facts received from one peer.
 type peerFacts struct{ facts []knowledge.Fact }
 
 func (peerFacts) isExtensionEvent() {}
 
-// newPeersExtension joins the peers; their facts come to the loop as events.
+// newPeersExtension joins the peers; their facts are posted to the loop.
 func newPeersExtension(s *Sender) (*peersExtension, error) {
 	c := *s.config.Peers
 	if c.MaxFacts == 0 {
@@ -56,7 +56,7 @@
 	return p, nil
 }
 
-// handle takes in what a peer tells and gives the module what it comes to.
+// handle stores the facts of a peer and gives the module the observations that result.
 func (p *peersExtension) handle(e extensionEvent, now time.Duration) []brain.Event {
 	h, ok := e.(peerFacts)
 	if !ok {
@@ -64,7 +64,7 @@
 	}
 	touched := map[knowledge.Subject]struct{}{}
 	for _, f := range h.facts {
-		if f.Source.Own() { // it can't be: a peer has a name
+		if f.Source.Own() { // can't happen: a peer has a name
 			continue
 		}
 		if f.Kind == knowledge.Health {
@@ -77,15 +77,15 @@
 	return p.observationEvents(touched, now)
 }
 
-// onListUpdate gives the module what was heard of receivers before they were listed.
+// onListUpdate gives the module the facts that came before their receivers were listed.
 func (p *peersExtension) onListUpdate(now time.Duration) []brain.Event {
 	return p.observationEvents(p.unlisted, now)
 }
 
-// observationEvents gives what is heard of some receivers to the module, as far as the list names them.
-func (p *peersExtension) observationEvents(some map[knowledge.Subject]struct{}, now time.Duration) []brain.Event {
+// observationEvents gives the module the facts from peers on some subjects, as far as the list names them.
+func (p *peersExtension) observationEvents(subjects map[knowledge.Subject]struct{}, now time.Duration) []brain.Event {
 	var events []brain.Event
-	for subject := range some {
+	for subject := range subjects {
 		e, listed := p.s.newObservation(subject)
 		if !listed {
 			if len(p.unlisted) < maxSubjects {
@@ -108,17 +108,17 @@
 	return events
 }
 
-// afterTurn publishes at once what matters most to others: an outage, a recovery, a Retry-After.
+// afterTurn publishes the most urgent changes at once: an outage, a recovery, a Retry-After.
 func (p *peersExtension) afterTurn(context.Context) {
 	if len(p.s.changedObservations) > 0 {
 		p.node.PublishSome(p.s.factsFrom(p.s.changedObservations, p.s.clock.now()))
 	}
 }
 
-// onTick drops what is trusted no more and publishes all that is known.
+// onTick drops facts that are no longer trusted and publishes all observations.
 func (p *peersExtension) onTick(now time.Duration) {
 	p.view.Forget(now)
-	for subject := range p.unlisted { // what is heard of one that no list names is kept as long as it is trusted
+	for subject := range p.unlisted { // facts on a subject that is never listed are kept as long as they are trusted
 		if _, ok := p.reports.Verdict(subject, now); !ok && len(p.view.FactsOf(subject)) == 0 {
 			delete(p.unlisted, subject)
 		}
--- a/internal/sender/extension_peers_test.go
+++ b/internal/sender/extension_peers_test.go
@@ -18,7 +18,7 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// asked gets an answer over a sender's socket.
+// asked decodes the answer to a query over a sender's admin socket.
 func asked(t *testing.T, state, path string, into any) {
 	t.Helper()
 	client := http.Client{Timeout: st.Wait, Transport: &http.Transport{DisableKeepAlives: true,
@@ -39,20 +39,20 @@
 	}
 }
 
-func knows(t *testing.T, state, sort, source, says string) bool {
+func hasFact(t *testing.T, state, sort, source, text string) bool {
 	t.Helper()
 	var facts []KnownFact
 	asked(t, state, "/knowledge?receiver=0", &facts)
 	for _, f := range facts {
-		if f.Kind == sort && f.Source == source && strings.Contains(f.Says, says) {
+		if f.Kind == sort && f.Source == source && strings.Contains(f.Says, text) {
 			return true
 		}
 	}
 	return false
 }
 
-// begun is a sender that a test ends itself, in a folder that outlasts it.
-func begun(t *testing.T, p *st.Platform, state string, edit func(*Config)) (addr string, leave func()) {
+// startIn runs a sender that the test ends itself, in a folder that outlasts it.
+func startIn(t *testing.T, p *st.Platform, state string, edit func(*Config)) (addr string, leave func()) {
 	t.Helper()
 	s := newTest(t, p, func(c *Config) {
 		c.StateDir = state
@@ -65,7 +65,7 @@
 	return addr, leave
 }
 
-// rateLimitingEndpoint is an endpoint that asks for a wait with its first call and serves the others.
+// rateLimitingEndpoint is an endpoint that answers its first call with a wait and serves the others.
 func rateLimitingEndpoint(t *testing.T, wait time.Duration) *st.Endpoint {
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
@@ -79,14 +79,14 @@
 	})
 }
 
-// A process heeds the wait that the one before it was told; without its own past it would not know of it. A snapshot
-// that is damaged costs that knowledge and nothing else.
+// A process respects the wait that an earlier process was told of, as it has that process's snapshot. A damaged snapshot loses this
+// knowledge and nothing else.
 func TestKnowledge_OfEarlierProcess(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		spoil func(path string) error
-		heeds bool
-	}{"whole": {func(string) error { return nil }, true}, "damaged": {func(path string) error { return os.WriteFile(path, []byte("SYKNOW"), 0o600) }, false},
+		damage func(path string) error
+		waits  bool
+	}{"intact": {func(string) error { return nil }, true}, "damaged": {func(path string) error { return os.WriteFile(path, []byte("SYKNOW"), 0o600) }, false},
 		"none": {os.Remove, false}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -94,51 +94,51 @@
 			e := rateLimitingEndpoint(t, wait)
 			p := st.NewPlatform(t, e.Addr)
 			state := t.TempDir()
-			addr, leave := begun(t, p, state, func(*Config) {})
+			addr, leave := startIn(t, p, state, func(*Config) {})
 			st.Submit(t, addr, st.Submission{ID: "first", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 			e.Next(t)
 			from := time.Now()
-			until(t, func() bool { return knows(t, state, "wait", "self", "asked for a wait") })
+			until(t, func() bool { return hasFact(t, state, "wait", "self", "asked for a wait") })
 			leave()
-			if err := c.spoil(filepath.Join(state, knowledgeFileName)); err != nil {
+			if err := c.damage(filepath.Join(state, knowledgeFileName)); err != nil {
 				t.Fatal(err)
 			}
-			begun(t, p, state, func(*Config) {})
+			startIn(t, p, state, func(*Config) {})
 			e.Next(t)
 			// The first process was told after from: what comes a little before the wait's end by that is within it.
-			if heeds := time.Since(from) >= wait-50*time.Millisecond; heeds != c.heeds {
+			if waits := time.Since(from) >= wait-50*time.Millisecond; waits != c.waits {
 				t.Errorf("the next call came %v after a wait of %v was asked for", time.Since(from), wait)
 			}
 		})
 	}
 }
 
-// A sender that is new heeds a wait that another was told, and says whose word that is; the one that is told leaves it
+// A new sender respects a wait that another sender was told of, and reports that sender as the source. The one that is told leaves it
 // to itself when its peer is silent.
 func TestPeers_ShareObservations(t *testing.T) {
 	t.Parallel()
 	const wait = 5 * time.Second
 	e := rateLimitingEndpoint(t, wait)
 	p := st.NewPlatform(t, e.Addr)
-	among := func(name string, seeds ...string) func(*Config) {
+	withPeers := func(name string, seeds ...string) func(*Config) {
 		return func(c *Config) {
 			c.Name = name
 			c.Peers = &peers.Config{Name: name, Incarnation: 1, Cluster: "test", Listen: "127.0.0.1:0", Exchange: "127.0.0.1:0", Seeds: seeds}
 		}
 	}
 	oldState, newState := t.TempDir(), t.TempDir()
-	old, _ := begun(t, p, oldState, among("old"))
+	old, _ := startIn(t, p, oldState, withPeers("old"))
 	st.Submit(t, old, st.Submission{ID: "first", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	e.Next(t)
 	from := time.Now()
-	until(t, func() bool { return knows(t, oldState, "wait", "self", "asked for a wait") })
+	until(t, func() bool { return hasFact(t, oldState, "wait", "self", "asked for a wait") })
 	var report PeersReport
 	asked(t, oldState, "/peers", &report)
 	if report.Name != "old" || report.Cluster != "test" || report.OwnFacts == 0 {
 		t.Errorf("%+v", report)
 	}
-	fresh, _ := begun(t, p, newState, among("fresh", membershipAt(t, oldState)))
-	until(t, func() bool { return knows(t, newState, "wait", "old", "asked for a wait") })
+	fresh, _ := startIn(t, p, newState, withPeers("fresh", membershipAt(t, oldState)))
+	until(t, func() bool { return hasFact(t, newState, "wait", "old", "asked for a wait") })
 	st.Submit(t, fresh, st.Submission{ID: "second", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	e.Next(t)
 	if got := time.Since(from); got < wait-50*time.Millisecond {
@@ -150,7 +150,7 @@
 	}
 }
 
-// membershipAt is where a sender's membership listens, as it tells itself.
+// membershipAt is the address of a sender's membership, as the sender reports it.
 func membershipAt(t *testing.T, state string) string {
 	t.Helper()
 	var r PeersReport
@@ -158,8 +158,8 @@
 	return r.Address
 }
 
-// What is heard of a receiver before the list names it is told as it does; what no list ever names is forgotten with its
-// trust. What the module is told is a single word for each.
+// Facts on a receiver that come before the list names it go to the module once it does. Facts on a receiver that is never listed are
+// dropped once they are not trusted any more. The module gets a single observation for each receiver.
 func TestPeers_FactsBeforeEndpointListed(t *testing.T) {
 	s := newTest(t, st.NewPlatform(t), nil)
 	p := &peersExtension{s: s, view: knowledge.NewView(10), reports: knowledge.NewReports(10), unlisted: map[knowledge.Subject]struct{}{}}
@@ -171,7 +171,7 @@
 	own := fact(3, "")
 	own.Source = knowledge.Source{}
 	if got := p.handle(peerFacts{[]knowledge.Fact{fact(3, ""), fact(4, "e4"), own}}, now); len(got) != 0 {
-		t.Errorf("of those that no list names the module is told %+v", got)
+		t.Errorf("the module gets observations of receivers that are not listed: %+v", got)
 	}
 	s.endpoints.Apply(Targets{Servers: []Target{{ID: "e3", Addr: "127.0.0.1:1", Destination: 3, State: "SERVING"}}}, false, s.config.endpointNames(), s.pool)
 	got := p.onListUpdate(now)
@@ -180,9 +180,9 @@
 	}
 	s.endpoints.Apply(Targets{Servers: []Target{{ID: "e4", Addr: "127.0.0.1:1", Destination: 9, State: "SERVING"}}}, false, s.config.endpointNames(), s.pool)
 	if got := p.onListUpdate(now); len(got) != 0 {
-		t.Errorf("of an endpoint that serves another receiver the module is told %+v", got)
+		t.Errorf("the module gets observations of an endpoint that serves another receiver: %+v", got)
 	}
 	if len(p.unlisted) != 1 {
-		t.Errorf("%v wait for the list", p.unlisted)
+		t.Errorf("subjects that are not listed: %v", p.unlisted)
 	}
 }
--- a/internal/sender/extension_recorder.go
+++ b/internal/sender/extension_recorder.go
@@ -8,39 +8,39 @@
 	"saffronyard.example/saffronyard/internal/undelivered"
 )
 
-// Recorder keeps messages that were not delivered. It is told of an end only after that is in the journal, and of each end
-// until it has said once that it keeps it: an end that it has seen before changes nothing. Its methods may block: the loop
+// Recorder stores messages that were not delivered. The end of a message is offered to it only after the end is in the journal, and
+// repeatedly until Record has succeeded once: recording the same end again must change nothing. Its methods may block, as the loop
 // does not call them.
 type Recorder interface {
-	// Record puts ends where they outlast the process. It may take its time: it is not called by the loop.
+	// Record stores ends durably.
 	Record(entries []undelivered.Entry, now int64) error
 	// RecordDropped counts ends that were not offered, by member and reason.
 	RecordDropped(counts map[[2]string]int64) error
-	// ResolveResubmitted tells of messages that clients submitted under a key, by member and key: one that is kept under it is its
-	// client's again.
+	// ResolveResubmitted reports messages that clients submitted under a key, by member and key: a stored message with that key is its
+	// client's responsibility again.
 	ResolveResubmitted(keys [][2]string) error
 }
 
-// The bounds of what waits for the recorder, and the pauses before what it failed to keep is offered again.
+// The bounds of the recorder's queue, and the pauses before a failed batch is offered again.
 const (
 	maxRecorderBatch       = 256                    // ends in one batch
-	recorderJournalDivisor = 4                      // so much of the journal's budget is for ends that wait for the recorder
-	minRecorderBackoff     = 200 * time.Millisecond // the pause before what failed is offered again, then doubled
-	maxRecorderBackoff     = 10 * time.Second       // up to this
+	recorderJournalDivisor = 4                      // 1/recorderJournalDivisor of the journal's budget is for ends that wait for the recorder
+	minRecorderBackoff     = 200 * time.Millisecond // the pause before the first retry, then doubled
+	maxRecorderBackoff     = 10 * time.Second       // the longest pause
 	maxSubmittedKeys       = 20_000                 // keys of submissions that wait for a recorder that is slow or fails
 )
 
-// recorderQueue is the loop's side of a recorder. A nil one keeps nothing.
+// recorderQueue is the loop's side of a recorder. A nil queue records nothing.
 type recorderQueue struct {
 	recorder      Recorder
 	offers        chan recorderBatch
 	waiting       []*storedMessage    // ended, in the journal, and not offered yet
-	offered       []*storedMessage    // offered, and not known to be kept yet
-	cost          int64               // bytes that all of these may take in the journal
+	offered       []*storedMessage    // offered, and not known to be stored yet
+	cost          int64               // bytes that the waiting and offered ends may take in the journal
 	maxCost       int64               // above it ends are dropped
 	dropped       map[[2]string]int64 // ends that were not offered, by member and reason
 	submittedKeys [][2]string         // member and idempotency key of messages that were submitted
-	busy          bool                // a batch is offered
+	busy          bool                // a batch is under way
 }
 
 // recorderBatch is a batch on its way to the recorder.
@@ -50,7 +50,7 @@
 	submittedKeys [][2]string
 }
 
-// recorderDone is that the recorder keeps what it was offered.
+// recorderDone says that the recorder has stored the batch that it was offered.
 type recorderDone struct{}
 
 // newRecorderQueue makes the queue of a recorder, nil for none; journalBytes is the journal's budget.
@@ -61,8 +61,8 @@
 	return &recorderQueue{recorder: recorder, offers: make(chan recorderBatch, 1), maxCost: journalBytes / recorderJournalDivisor, dropped: map[[2]string]int64{}}
 }
 
-// run passes batches on until ctx ends, and calls done after each. What fails is tried again for as long as it takes, as the
-// journal holds it; warn is called with the first failure of a batch.
+// run passes batches on until ctx ends, and calls done after each. A failed batch is retried without limit, as the journal still holds
+// it; warn is called with the first failure of a batch.
 func (b *recorderQueue) run(ctx context.Context, warn func(error), done func()) {
 	for {
 		select {
@@ -77,14 +77,14 @@
 	}
 }
 
-// keepOffering offers a batch until the recorder keeps it; false if ctx ended before.
+// keepOffering offers a batch until the recorder has stored it; false if ctx ended before.
 func (b *recorderQueue) keepOffering(ctx context.Context, batch *recorderBatch, warn func(error)) bool {
 	for backoff, warned := minRecorderBackoff, false; ; backoff = min(2*backoff, maxRecorderBackoff) {
 		err := b.offer(batch)
 		if err == nil {
 			return true
 		}
-		if !warned { // an error that lasts is logged once
+		if !warned { // a persistent error is logged once
 			warn(err)
 			warned = true
 		}
@@ -98,7 +98,7 @@
 	}
 }
 
-// offer offers a batch once. What the recorder has taken of it is not offered again.
+// offer offers a batch once. The parts of it that the recorder has taken are not offered again.
 func (b *recorderQueue) offer(batch *recorderBatch) error {
 	if err := b.recorder.RecordDropped(batch.dropped); err != nil {
 		return err
@@ -111,7 +111,7 @@
 	return b.recorder.Record(batch.entries, time.Now().UnixNano())
 }
 
-// outcomeOf is an attempt's outcome in the recorder's words.
+// outcomeOf is an attempt's outcome as the recorder names it.
 func outcomeOf(o brain.Outcome) undelivered.Outcome {
 	switch o {
 	case brain.Errored:
@@ -128,18 +128,19 @@
 		return undelivered.Cancelled
 	case brain.NotSent:
 		return undelivered.NotSent
-	case brain.Served: // it ends a message that is not recorded
+	case brain.Served: // not passed by any caller: it ends the message
 	}
 	return undelivered.Unknown
 }
 
-// shouldRecord reports whether an end that is about to be recorded is to go to the recorder, and reserves the room for it.
+// shouldRecord reports whether a message's end, which is about to be written to the journal, must go to the recorder, and reserves the
+// room for it.
 func (s *Sender) shouldRecord(m *message, outcome string) bool {
 	b := s.recorder
-	if b == nil { // what went again is the store's still, and it must hear of its end when it is there again
+	if b == nil { // a resent message is still in the store, which must get its end once it is turned on again
 		return m.Incarnation > 0
 	}
-	if b.cost+m.cost > b.maxCost && m.Incarnation == 0 { // the recorder is too slow, or its disk fails: nothing else is to suffer for that
+	if b.cost+m.cost > b.maxCost && m.Incarnation == 0 { // the recorder is too slow, or its disk fails: that must not affect anything else
 		rec := *m.storedMessage
 		rec.outcome, rec.endedAt = outcome, s.clock.now()
 		e := s.entry(&rec)
@@ -154,7 +155,7 @@
 	return true
 }
 
-// offerToRecorder offers what waits, if nothing is offered already.
+// offerToRecorder offers the waiting ends if no batch is under way.
 func (s *Sender) offerToRecorder() {
 	b := s.recorder
 	if b == nil || b.busy || len(b.waiting) == 0 && len(b.submittedKeys) == 0 {
@@ -169,10 +170,10 @@
 	for _, m := range b.offered {
 		batch.entries = append(batch.entries, s.entry(m))
 	}
-	b.offers <- batch // there is room: none is offered
+	b.offers <- batch // does not block: no other batch is under way
 }
 
-// recorderFinished records that the recorder keeps what it was offered.
+// recorderFinished records that the recorder has stored the batch that it was offered.
 func (s *Sender) recorderFinished() {
 	b := s.recorder
 	for _, m := range b.offered {
@@ -184,9 +185,9 @@
 	b.offered, b.busy = nil, false
 }
 
-// recordSubmitted records a submission under an idempotency key. Where the recorder has failed for so long that there are too
-// many, the oldest go: what is kept under them stays, and if it goes again its receiver tells by the key that it has come
-// before, as long as it does.
+// recordSubmitted records a submission under an idempotency key. If the recorder has failed for so long that there are too many keys,
+// the oldest are dropped. A message stored under a dropped key stays in the store, and if it is resent, its receiver recognizes the
+// repeat by the key for as long as it remembers the key.
 func (b *recorderQueue) recordSubmitted(member, key string) {
 	if b == nil || key == "" {
 		return
@@ -197,7 +198,7 @@
 	b.submittedKeys = append(b.submittedKeys, [2]string{member, key})
 }
 
-// entry is a message that has ended, for the recorder.
+// entry is the recorder's entry of a message that has ended.
 func (s *Sender) entry(m *storedMessage) undelivered.Entry {
 	e := undelivered.Entry{Message: m.ID, Member: m.Tenant, Class: m.Class, Destination: m.Dest, Key: m.Key, Order: m.OrderKey, Body: m.Body,
 		Ending: undelivered.GivenUp, EndedInResponse: m.outcome == outcomeAnswered, Resends: m.Incarnation, EndedAt: int64(m.endedAt), Deadline: int64(m.Deadline), Effect: undelivered.Unsafe}
@@ -218,7 +219,7 @@
 			e.Effect = undelivered.Safe
 		case brain.IdempotentByKey:
 			e.Effect = undelivered.Keyed
-		case brain.NonIdempotent: // as it is at first
+		case brain.NonIdempotent: // the value that is set above
 		}
 		e.AcceptedAt = int64(m.Deadline - c.Deadline)
 	}
@@ -229,7 +230,8 @@
 	return e
 }
 
-// attemptEntry is an attempt for the recorder. One without an outcome was in flight at a kill, or when its message was given up.
+// attemptEntry is the recorder's entry of an attempt. An attempt without an outcome was in flight at a kill, or when its message was
+// given up.
 func attemptEntry(t attemptRecord) undelivered.Attempt {
 	a := undelivered.Attempt{At: int64(t.At), Endpoint: t.Endpoint, Outcome: undelivered.Outcome(t.Outcome)}
 	switch {
@@ -248,5 +250,5 @@
 	s *Sender
 }
 
-// afterTurn offers what has ended: it is in the journal now.
+// afterTurn offers the ends of the turn, which are in the journal now.
 func (x recorderExtension) afterTurn(context.Context) { x.s.offerToRecorder() }
--- a/internal/sender/extension_recorder_test.go
+++ b/internal/sender/extension_recorder_test.go
@@ -17,27 +17,27 @@
 	"saffronyard.example/saffronyard/internal/undelivered"
 )
 
-// memoryRecorder keeps in memory, by message, and can be held up or fail.
+// memoryRecorder stores entries in memory, by message, and can be made to block or fail.
 type memoryRecorder struct {
 	mu      sync.Mutex
 	entries map[string]undelivered.Entry
 	dropped map[[2]string]int64
-	fails   error
-	hold    chan struct{} // nil: not held up
+	err     error
+	block   chan struct{} // Record receives from it first; nil: Record does not block
 }
 
-func newMemory() *memoryRecorder {
+func newMemoryRecorder() *memoryRecorder {
 	return &memoryRecorder{entries: map[string]undelivered.Entry{}, dropped: map[[2]string]int64{}}
 }
 
 func (r *memoryRecorder) Record(entries []undelivered.Entry, _ int64) error {
-	if r.hold != nil {
-		<-r.hold
+	if r.block != nil {
+		<-r.block
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.fails != nil {
-		return r.fails
+	if r.err != nil {
+		return r.err
 	}
 	for _, e := range entries {
 		if _, ok := r.entries[e.Message]; !ok {
@@ -68,19 +68,19 @@
 func (r *memoryRecorder) fail(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fails = err
+	r.err = err
 }
 
-func records(r Recorder) func(*Config) { return func(c *Config) { c.Recorder = r } }
+func withRecorder(r Recorder) func(*Config) { return func(c *Config) { c.Recorder = r } }
 
-// What is not delivered is kept with all that is known of it, in its own words, and what is delivered is not.
+// An undelivered message is recorded with all of its content and attempts, and a delivered one is not recorded.
 func TestRecorder_UndeliveredMessages(t *testing.T) {
 	t.Parallel()
 	bad := st.NewEndpoint(t, st.Reset)
 	good := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, bad.Addr, good.Addr)
-	r := newMemory()
-	addr := run(t, p, both(acceptEvents, records(r)))
+	r := newMemoryRecorder()
+	addr := run(t, p, both(acceptEvents, withRecorder(r)))
 	st.Submit(t, addr, st.Submission{ID: "lost", Class: "unsafe", Destination: 0, Deadline: 9 * time.Second})
 	st.Submit(t, addr, st.Submission{ID: "fine", Class: "unsafe", Destination: 1, Deadline: 9 * time.Second})
 	if n := st.Receive(t, p.Notices); n.Message != "lost" || n.Outcome != outcomeGivenUp {
@@ -93,27 +93,27 @@
 		t.Errorf("%+v", e)
 	}
 	if may, _ := undelivered.MayResend(e.History(), time.Hour, time.Now().UnixNano()); may != undelivered.Forbidden {
-		t.Error("it may go again")
+		t.Error("a message that may have run and must not be repeated may be resent")
 	}
-	id := handEvent(t, addr, "1", "unsafe", 202).Header.Get("X-Request-Id")
+	id := submitEvent(t, addr, "1", "unsafe", 202).Header.Get("X-Request-Id")
 	until(t, func() bool { _, ok := r.get(id); return ok })
 	if e, _ := r.get(id); len(e.Event) == 0 || string(e.Body) != `{"n":1}` {
 		t.Errorf("%+v", e)
 	}
 	if _, ok := r.get("fine"); ok {
-		t.Error("what was delivered is kept")
+		t.Error("a delivered message is recorded")
 	}
 }
 
-// A recorder that hangs, or fails, holds nothing up: messages go on, what waits stays in the journal within its part
-// of the room, and what has no room there is counted. Once it works it gets all that waited.
+// A recorder that hangs or fails must not delay messages. Ends that wait for it stay in the journal within the recorder's part of the
+// budget, and ends without room there are counted. Once the recorder works, it gets all ends that waited.
 func TestRecorder_Slow(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Reset)
 	p := st.NewPlatform(t, e.Addr)
-	r := newMemory()
-	r.fails = errors.New("no space left")
-	addr := run(t, p, both(records(r), func(c *Config) { c.Limits.DiskMB = 0.4 }))
+	r := newMemoryRecorder()
+	r.err = errors.New("no space left")
+	addr := run(t, p, both(withRecorder(r), func(c *Config) { c.Limits.DiskMB = 0.4 }))
 	const n = 12
 	for i := range n {
 		r := st.Request(t, addr, st.Submission{ID: "m" + strconv.Itoa(i), Class: "unsafe", Destination: 0, Deadline: 9 * time.Second, Body: strings.Repeat("x", 15_000)})
@@ -129,9 +129,9 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		all := int64(len(r.entries))
-		for who, n := range r.dropped {
-			if who != [2]string{"acme", string(undelivered.ReasonUnsafeRetry)} {
-				t.Fatalf("missed %v", who)
+		for key, n := range r.dropped {
+			if key != [2]string{"acme", string(undelivered.ReasonUnsafeRetry)} {
+				t.Fatalf("dropped ends of %v", key)
 			}
 			all += n
 		}
@@ -139,7 +139,7 @@
 	})
 }
 
-// storeLog is a recorder whose transactions stand in the same log of writes as the journal's.
+// storeLog is a recorder whose transactions are recorded in the same log as the journal's writes.
 type storeLog struct {
 	Recorder
 	log *diskLog
@@ -157,15 +157,15 @@
 	return nil
 }
 
-// Killed at each write of a message's way from its hand-in to its end and into the store, each left out or cut short:
-// after the next process has caught up, each message that was taken on stands in the store exactly once.
+// The sender is killed at each write from a message's submission to its end and its entry in the store, with the write left out or cut
+// short. After the next process has caught up, each accepted message must be in the store exactly once.
 func TestRecorder_KilledBetweenJournalAndStore(t *testing.T) {
 	t.Parallel()
 	const n = 3
 	log := &diskLog{}
 	e := st.NewEndpoint(t, st.Reset)
 	store := undelivered.NewLazyStore(t.TempDir(), undelivered.Limits{})
-	s := newTest(t, st.NewPlatform(t, e.Addr), records(storeLog{store, log}))
+	s := newTest(t, st.NewPlatform(t, e.Addr), withRecorder(storeLog{store, log}))
 	s.journal.file = &loggedJournal{s.journal.file, log, s.journal.size}
 	ctx, cancel := context.WithCancel(context.Background())
 	go s.recorder.run(ctx, func(err error) { t.Error(err) }, func() { s.post(ctx, recorderDone{}) })
@@ -188,15 +188,15 @@
 	ops := log.all()
 	for cut := range len(ops) + 1 {
 		for _, torn := range []bool{false, true} {
-			if torn && (cut == len(ops) || ops[cut].file == storeOp) { // a transaction is all there or not
+			if torn && (cut == len(ops) || ops[cut].file == storeOp) { // a transaction is atomic
 				continue
 			}
 			t.Run(fmt.Sprintf("%d writes, torn %v", cut, torn), func(t *testing.T) {
 				t.Parallel()
 				state, folder := t.TempDir(), t.TempDir()
 				var raw []byte
-				kept := undelivered.NewLazyStore(folder, undelivered.Limits{})
-				t.Cleanup(func() { kept.Close() })
+				lazyStore := undelivered.NewLazyStore(folder, undelivered.Limits{})
+				t.Cleanup(func() { lazyStore.Close() })
 				for i, op := range ops[:min(len(ops), cut+1)] {
 					data := op.data
 					if i == cut {
@@ -206,7 +206,7 @@
 						data = data[:len(data)/2]
 					}
 					if op.file == storeOp {
-						if err := kept.Record([]undelivered.Entry{entryOf(t, raw, string(data), s)}, 0); err != nil {
+						if err := lazyStore.Record([]undelivered.Entry{entryOf(t, raw, string(data), s)}, 0); err != nil {
 							t.Fatal(err)
 						}
 						continue
@@ -216,21 +216,21 @@
 				if err := os.WriteFile(filepath.Join(state, journalFileName), raw, 0o600); err != nil {
 					t.Fatal(err)
 				}
-				taken := map[string]bool{}
-				j, err := openJournal(copied(t, raw), 3e6)
+				accepted := map[string]bool{}
+				j, err := openJournal(journalFolder(t, raw), 3e6)
 				if err != nil {
 					t.Fatal(err)
 				}
 				for id := range j.byID {
-					taken[id] = true
+					accepted[id] = true
 				}
 				j.close()
-				store, err := kept.Store()
+				store, err := lazyStore.Store()
 				if err != nil {
 					t.Fatal(err)
 				}
-				store.List(undelivered.Filter{}, func(_ undelivered.Key, e undelivered.Entry) bool { taken[e.Message] = true; return true })
-				run(t, st.NewPlatform(t, e.Addr), both(records(kept), func(c *Config) { c.StateDir = state }))
+				store.List(undelivered.Filter{}, func(_ undelivered.Key, e undelivered.Entry) bool { accepted[e.Message] = true; return true })
+				run(t, st.NewPlatform(t, e.Addr), both(withRecorder(lazyStore), func(c *Config) { c.StateDir = state }))
 				until(t, func() bool {
 					got := map[string]int{}
 					err := store.List(undelivered.Filter{}, func(_ undelivered.Key, e undelivered.Entry) bool { got[e.Message]++; return true })
@@ -238,11 +238,11 @@
 						t.Fatal(err)
 					}
 					for id, n := range got {
-						if n != 1 || !taken[id] {
-							t.Fatalf("%s is there %d times, taken %v", id, n, taken[id])
+						if n != 1 || !accepted[id] {
+							t.Fatalf("%s is in the store %d times, accepted %v", id, n, accepted[id])
 						}
 					}
-					return len(got) == len(taken)
+					return len(got) == len(accepted)
 				})
 				if err := store.Check(); err != nil {
 					t.Error(err)
@@ -252,8 +252,8 @@
 	}
 }
 
-// copied is a folder with a journal of its own.
-func copied(t *testing.T, raw []byte) string {
+// journalFolder is a new folder with a journal file.
+func journalFolder(t *testing.T, raw []byte) string {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, journalFileName), raw, 0o600); err != nil {
@@ -262,17 +262,17 @@
 	return dir
 }
 
-// entryOf is the entry of a message as a journal has it.
+// entryOf is the recorder's entry of a message in a journal.
 func entryOf(t *testing.T, raw []byte, id string, s *Sender) undelivered.Entry {
 	t.Helper()
-	j, err := openJournal(copied(t, raw), 3e6)
+	j, err := openJournal(journalFolder(t, raw), 3e6)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer j.close()
 	m := j.byID[id]
 	if m == nil || !m.awaitsRecorder {
-		t.Fatalf("%s is offered before the journal says that it is to be kept", id)
+		t.Fatalf("%s is offered before the journal marks it for the recorder", id)
 	}
 	return s.entry(m)
 }
@@ -280,28 +280,28 @@
 // eachWrite calls a function with what is about to be written to the journal.
 type eachWrite struct {
 	journalFile
-	look func([]byte)
+	beforeWrite func([]byte)
 }
 
 func (f *eachWrite) Write(b []byte) (int, error) {
-	f.look(b)
+	f.beforeWrite(b)
 	return f.journalFile.Write(b)
 }
 
-// An end is offered to the recorder only once it stands in the journal.
+// An end is offered to the recorder only once it is in the journal.
 func TestRecorder_OfferedAfterFlush(t *testing.T) {
 	t.Parallel()
-	s, _, hand := newManualSender(t, st.Reset, both(acceptEvents, records(newMemory()))) // nobody takes what is offered
+	s, _, submit := newManualSender(t, st.Reset, both(acceptEvents, withRecorder(newMemoryRecorder()))) // no goroutine takes the offers
 	written := false
 	s.journal.file = &eachWrite{s.journal.file, func(b []byte) {
 		if strings.Contains(string(b), `"keep":true`) {
 			written = true
 			if len(s.recorder.offers) > 0 {
-				t.Error("it is offered before it is written")
+				t.Error("the end is offered before it is written")
 			}
 		}
 	}}
-	if a := hand(eventJSON("1", "unsafe", "")); a.status != 202 {
+	if a := submit(eventJSON("1", "unsafe", "")); a.status != 202 {
 		t.Fatalf("%+v", a)
 	}
 	for s.pending > 0 {
@@ -312,13 +312,13 @@
 	}
 }
 
-// An event that the module refuses in the answer to its hand-in was never taken on: nothing of it is remembered, no room
-// is kept for its end, and it may come again at once.
+// An event that the module rejects in the answer to its submission was never accepted: its identity is not remembered, no room is
+// reserved for its outcome, and it may be submitted again at once.
 func TestRecorder_RejectedEventIsForgotten(t *testing.T) {
 	t.Parallel()
-	s, _, hand := newManualSender(t, st.Unresponsive, acceptEvents)
-	front := &eventIngress{s.config, s.clock, s.config.Events}
-	h, err := front.readHead(mustRequest(t, oneEvent))
+	s, _, submit := newManualSender(t, st.Unresponsive, acceptEvents)
+	protocol := &eventIngress{s.config, s.clock, s.config.Events}
+	h, err := protocol.readHead(mustRequest(t, oneEvent))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -331,10 +331,10 @@
 	s.finish(m.number, outcomeHandedBack, 503, time.Minute)
 	s.deferredEvents = append(s.deferredEvents, brain.Withdrawn{Message: m.number})
 	if len(s.eventDedup.pending) != 0 || s.eventDedup.table.Reserved() != 0 || s.eventDedup.table.Len() != 0 {
-		t.Errorf("%d held, room for %d, %d ends", len(s.eventDedup.pending), s.eventDedup.table.Reserved(), s.eventDedup.table.Len())
+		t.Errorf("%d pending events, room reserved for %d, %d outcomes", len(s.eventDedup.pending), s.eventDedup.table.Reserved(), s.eventDedup.table.Len())
 	}
-	if a := hand(eventJSON("1", "safe", "")); a.status != 202 {
-		t.Errorf("it comes again: %+v", a)
+	if a := submit(eventJSON("1", "safe", "")); a.status != 202 {
+		t.Errorf("submitted again: %+v", a)
 	}
 	if a := st.Receive(t, subs[0].answer); a.status != 503 {
 		t.Errorf("%+v", a)
--- a/internal/sender/finish.go
+++ b/internal/sender/finish.go
@@ -9,7 +9,8 @@
 	"saffronyard.example/saffronyard/internal/identity"
 )
 
-// handleCallResult records how an attempt ended, and the message with it if that is decided, and gives the module the result.
+// handleCallResult records the end of an attempt, and the end of its message if the attempt decides it, and gives the module the
+// result.
 func (s *Sender) handleCallResult(e callResult) brain.Event {
 	m := e.message
 	s.inFlight--
@@ -22,8 +23,8 @@
 	}
 	s.traceEnd(m, e)
 	if e.Outcome == brain.TimedOut {
-		// Where a machine vanished or was cut off, the connections from before say nothing either, and are
-		// reset when it is back: each would cost a further call its time-out. Those used since may stay.
+		// If the machine vanished or was cut off, the connections from before are dead too and are reset when it is back: each would
+		// cost a further call its time-out. Those used since the call began may stay.
 		s.pool.CloseIdle(s.endpoints.ByNumber[e.Endpoint], e.Elapsed)
 	}
 	if e.draining {
@@ -37,17 +38,17 @@
 	return e.AttemptResult
 }
 
-// retireEndpoint takes an endpoint out that has said that it wants no more calls.
+// retireEndpoint takes an endpoint that has asked for no further calls out of service.
 func (s *Sender) retireEndpoint(endpoint *calls.Endpoint) {
 	update, changed := s.endpoints.Retire(endpoint, s.pool)
 	if !changed {
 		return
 	}
 	s.log.Info("an endpoint wants no more calls", "endpoint", endpoint.ID)
-	s.deferredEvents = append(s.deferredEvents, update) // with this call's end, or the next would go there
+	s.deferredEvents = append(s.deferredEvents, update) // in the same step as the call's result, or the next call would go there
 }
 
-// recordCallResult records the end of the message that the attempt has decided, or else of the attempt alone.
+// recordCallResult records the end of the message if the attempt decides it, or else the end of the attempt alone.
 func (s *Sender) recordCallResult(m *message, e callResult) {
 	switch {
 	case e.Outcome == brain.Served:
@@ -71,17 +72,17 @@
 	}
 }
 
-// deadlineMargin is how much earlier a message's time may be up for others than it is here, where it counts from when its
-// request had been read: the slack of the protocol's time limits.
+// deadlineMargin is how much earlier a message's deadline may be for other parties than here, where it counts from the time when its
+// request had been read. It is the tolerance of the protocol's time limits.
 const deadlineMargin = 50 * time.Millisecond
 
-// mayHaveExpired reports whether a message that is served now may have been out of time before: then it counts as not
-// delivered, and without a notice as lost. A notice of one that was delivered does no harm.
+// mayHaveExpired reports whether the deadline of a message that is served now may have passed before. Such a message counts as not
+// delivered, and as lost if there is no notice of it. A notice of a delivered message does no harm.
 func (s *Sender) mayHaveExpired(m *message) bool {
 	return m.reply == nil && m.Incarnation == 0 && s.clock.now() >= m.Deadline-deadlineMargin
 }
 
-// endRecord is the record of the end of a message that is not given up. Of one in a later incarnation the recorder hears, too.
+// endRecord is the record of a message that ends without being given up. The end of a resent message goes to the recorder, too.
 func (s *Sender) endRecord(m *message, outcome string) record {
 	rec := record{Outcome: outcome}
 	if m.Incarnation > 0 && s.shouldRecord(m, outcome) {
@@ -90,7 +91,7 @@
 	return rec
 }
 
-// recordEnd records that a message is over. A client that still waits is answered by the caller.
+// recordEnd records that a message has ended. The caller answers a client that still waits.
 func (s *Sender) recordEnd(m *message, rec record) {
 	rec.Op = opOver
 	s.journal.update(m.storedMessage, rec)
@@ -99,7 +100,7 @@
 	s.setWaiting(m, false)
 }
 
-// forget drops a message that is over once none of its calls is in flight.
+// forget drops a message that has ended once none of its calls is in flight.
 func (s *Sender) forget(m *message) {
 	if m.ended && len(m.calls) == 0 {
 		delete(s.messages, m.number)
@@ -109,9 +110,9 @@
 	}
 }
 
-// finish ends a message as the module has decided: in the answer to its client, or where that was told that the message is
-// accepted, by a notice to the platform. outcome is outcomeGivenUp or outcomeHandedBack, status the answer's, retryAfter when
-// a client may submit it again.
+// finish ends a message as the module has decided: in the answer to its client, or, if the client was already told that the message is
+// accepted, by a notice to the platform. outcome is outcomeGivenUp or outcomeHandedBack, status is the answer's, and after retryAfter
+// the client may submit the message again.
 func (s *Sender) finish(id brain.MessageID, outcome string, status int, retryAfter time.Duration) {
 	m := s.messages[id]
 	if m == nil || m.ended {
@@ -124,21 +125,21 @@
 		s.eventDedup.recordEnd(m, s.clock.now(), identity.Failed, 0)
 	case accepted:
 		s.eventDedup.recordEnd(m, s.clock.now(), identity.HandedBack, retryAfter)
-	default: // rejected in its answer: it was never accepted
+	default: // rejected in the answer to its client: it was never accepted
 		s.eventDedup.forget(m)
 	}
-	if !accepted { // it hears once this is written down
+	if !accepted { // its client is answered once the end is in the journal
 		for _, to := range append(m.alsoWaiting, m.reply) {
 			s.pendingAnswers = append(s.pendingAnswers, pendingAnswer{to, response{status: status, retryAfter: retryAfter, text: outcome}})
 		}
 		m.reply, m.alsoWaiting = nil, nil
 		rec := record{Outcome: outcomeAnswered}
-		if outcome == outcomeGivenUp && s.shouldRecord(m, outcomeAnswered) { // rejected in its answer it was never accepted, and is its client's
+		if outcome == outcomeGivenUp && s.shouldRecord(m, outcomeAnswered) { // a message rejected in its answer was never accepted
 			rec.AwaitsRecorder, rec.At = true, s.clock.now()
 		}
 		s.recordEnd(m, rec)
 	} else {
-		rec := record{Outcome: outcome, RetryAfterMS: retryAfter.Milliseconds(), Notified: m.Incarnation > 0} // of a later incarnation nobody waits to hear
+		rec := record{Outcome: outcome, RetryAfterMS: retryAfter.Milliseconds(), Notified: m.Incarnation > 0} // a resent message needs no notice
 		if s.shouldRecord(m, outcome) {
 			rec.AwaitsRecorder, rec.At = true, s.clock.now()
 		}
@@ -155,5 +156,5 @@
 	message *message
 	attempt int
 	brain.AttemptResult
-	draining bool // the endpoint wants no more calls
+	draining bool // the endpoint has asked for no further calls
 }
--- a/internal/sender/fleet_policy.go
+++ b/internal/sender/fleet_policy.go
@@ -7,7 +7,7 @@
 	"saffronyard.example/saffronyard/internal/fleetpolicy"
 )
 
-// setWaiting records whether a message waits to be sent, for the fleet's rate limits, which are shared by backlog.
+// setWaiting records whether a message waits to be sent, for the fleet's rate limits, which are divided by backlog.
 func (s *Sender) setWaiting(m *message, waiting bool) {
 	if s.config.Fleet == nil || m.waiting == waiting {
 		return
@@ -20,14 +20,14 @@
 	s.config.Fleet.AddBacklog(limitedCall(m.storedMessage.record), n)
 }
 
-// limitedCall is what rate limits go by of a message that waits.
+// limitedCall is the attributes of a waiting message that rate limits depend on.
 func limitedCall(r record) fleetpolicy.Call {
 	c := policyCall(r)
 	c.Class, c.Bytes = r.Class, int64(len(r.Body))
 	return c
 }
 
-// fleetKind is the kind that the fleet's policy gives a destination that is listed as of another.
+// fleetKind is the kind that the fleet's policy gives a destination, or else the listed one.
 func (s *Sender) fleetKind(destination uint32, listed string) string {
 	if v, _ := s.config.Fleet.View(); v != nil {
 		return v.Policy.Kind(destination, listed)
@@ -35,27 +35,28 @@
 	return listed
 }
 
-// recheckPolicy has a message looked at whose call has ended while the policy was changed against it: it was passed over then,
-// and would be sent again and again if the fleet was against it as it was about to be written.
+// recheckPolicy starts a check of the policy if a message whose call has ended is not allowed any more. The check after the policy
+// change skipped the message, as it was in flight; without a further check, a message that the fleet rejects right before the write
+// would be sent again and again.
 func (s *Sender) recheckPolicy(m *message, e callResult) {
 	if s.config.Fleet == nil || m.ended || e.Outcome == brain.Served || e.Final {
 		return
 	}
-	if why, _ := s.policyObjection(m.storedMessage.record); why != "" {
+	if why, _ := s.whyDisallowed(m.storedMessage.record); why != "" {
 		s.signalPolicyChange()
 	}
 }
 
-// policyCall is what the policy judges of a message.
+// policyCall is the attributes of a message that the policy depends on.
 func policyCall(r record) fleetpolicy.Call {
 	return fleetpolicy.Call{Destination: r.Dest, Tenant: r.Tenant}
 }
 
-// policyObjection says why a message can't go for longer than a change takes to come into force; "" if nothing is against it.
-// suspended is that its destination is closed to it by policy.
-func (s *Sender) policyObjection(r record) (why string, suspended bool) {
-	v, acts := s.config.Fleet.View()
-	if !acts {
+// whyDisallowed gives the reason if a message may not be sent and this lasts longer than a change takes to come into force; ""
+// otherwise. suspended reports that the destination is open and the policy rejects the message for another reason, a suspended tenant.
+func (s *Sender) whyDisallowed(r record) (why string, suspended bool) {
+	v, mayCall := s.config.Fleet.View()
+	if !mayCall {
 		return "this sender is cut off from the fleet", false
 	}
 	if ok, why := v.Policy.Allows(policyCall(r)); !ok {
@@ -67,20 +68,20 @@
 	return "", false
 }
 
-// closedByFleet reports whether nothing is sent to a destination just now.
+// closedByFleet reports whether the fleet allows no calls to a destination at present.
 func (s *Sender) closedByFleet(destination uint32) bool {
-	v, acts := s.config.Fleet.View()
-	return !acts || !v.IsOpen(destination) || v.Suspended.HasDestination(destination)
+	v, mayCall := s.config.Fleet.View()
+	return !mayCall || !v.IsOpen(destination) || v.Suspended.HasDestination(destination)
 }
 
-// applyPolicy applies the policy to a message that is submitted: it may go to another destination, or be given up sooner. why
-// is why it is rejected, "" if it is not; its client may submit it again, as it was not sent.
+// applyPolicy applies the policy to a message that is submitted, which may change its destination or shorten its deadline. why is the
+// reason if it is rejected, "" if it is not; its client may submit a rejected message again, as it was not sent.
 func (s *Sender) applyPolicy(r *record) (why string) {
 	if s.config.Fleet == nil {
 		return ""
 	}
-	v, acts := s.config.Fleet.View()
-	if !acts {
+	v, mayCall := s.config.Fleet.View()
+	if !mayCall {
 		return "this sender is cut off from the fleet"
 	}
 	if to := v.Policy.MovedTo(r.Dest); to != r.Dest {
@@ -101,7 +102,7 @@
 	return ""
 }
 
-// admission is what a call asks of the fleet before its first byte; nil where there is no fleet.
+// admission is the function by which a call asks for the fleet's admission before its first byte; nil without a fleet.
 func (s *Sender) admission(m *message, endpoint string) func() (func(), func(bool), bool) {
 	if s.config.Fleet == nil {
 		return nil
@@ -109,7 +110,7 @@
 	c := limitedCall(m.storedMessage.record) // the loop may drop the message meanwhile
 	c.Endpoint = endpoint
 	return func() (func(), func(bool), bool) {
-		left, over, why := s.config.Fleet.Admit(c)
-		return left, over, why == ""
+		sent, ended, why := s.config.Fleet.Admit(c)
+		return sent, ended, why == ""
 	}
 }
--- a/internal/sender/ingress.go
+++ b/internal/sender/ingress.go
@@ -14,11 +14,11 @@
 	maxBody() int64
 }
 
-// ingressRequest is one request of such a protocol on its way.
+// ingressRequest is one request of an ingress.
 type ingressRequest interface {
-	// submissions reads a body that has come whole. Each submission's Deadline is a time on the clock, after arrived.
+	// submissions decodes a complete body. Each submission's Deadline is a time on the clock, after arrived.
 	submissions(body []byte, arrived time.Duration) ([]submission, error)
-	// response gives the client's answer, from those to its submissions.
+	// response is the client's answer, made from the answers to its submissions.
 	response(all []response) response
 }
 
--- a/internal/sender/ingress_events_batch.go
+++ b/internal/sender/ingress_events_batch.go
@@ -12,11 +12,11 @@
 // batchIDSuffixBytes is the bytes that the position in a batch may add to an id.
 const batchIDSuffixBytes = 8
 
-// eventResult is what became of an event of a batch: an element of the JSON array that answers it.
+// eventResult is the result for an event of a batch: an element of the JSON array that answers the batch.
 type eventResult struct {
 	Source       string `json:"source,omitempty"`
 	ID           string `json:"id,omitempty"`
-	MessageID    string `json:"message,omitempty"` // id of the message: notices to the platform go by it
+	MessageID    string `json:"message,omitempty"` // id of the message, to which notices to the platform refer
 	Status       int    `json:"status"`
 	Text         string `json:"text,omitempty"`
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
@@ -24,27 +24,26 @@
 	submitted bool
 }
 
-// batchSubmissions gives the submissions of the events of a batch that are sound; what is wrong with the others stands in the
-// results.
+// batchSubmissions gives the submissions of the valid events of a batch. The errors of the others are in the results.
 func (h *eventRequest) batchSubmissions(body []byte, arrived time.Duration) ([]submission, error) {
 	items, err := cloudevents.ReadBatch(body, h.ingress.events.MaxBatchEvents, maxBodyBytes)
 	if err != nil {
 		return nil, eventError(err)
 	}
 	var subs []submission
-	for n, it := range items {
+	for n, item := range items {
 		var a eventResult
-		err := it.Err
+		err := item.Err
 		if err != nil {
 			err = eventError(err)
 		} else {
-			a.Source, a.ID = it.Event.Get("source"), it.Event.Get("id")
+			a.Source, a.ID = item.Event.Get("source"), item.Event.Get("id")
 			var sub submission
 			id := ""
 			if h.id != "" {
 				id = h.id + "-" + strconv.Itoa(n)
 			}
-			if sub, err = h.ingress.submission(it.Event, arrived, id); err == nil {
+			if sub, err = h.ingress.submission(item.Event, arrived, id); err == nil {
 				subs = append(subs, sub)
 				a.submitted = true
 			}
@@ -58,9 +57,10 @@
 	return subs, nil
 }
 
-// batchStatus is the status of a batch from those of its events, for a client that looks at nothing else. If one may come
-// again the batch may: those that were accepted are known by their identity and get the same answer. Else, if one failed, the
-// batch says that: no failed event passes for one that is accepted. Only if all are accepted does the batch say so.
+// batchStatus is the status of a batch derived from those of its events, for a client that looks at nothing else. If an event may be
+// submitted again, so may the batch: events that were accepted are recognized by their identity and get the same answer. Otherwise, if
+// an event failed, the batch has failed, so that no failed event passes for an accepted one. The batch succeeds only if all events are
+// accepted.
 func batchStatus(events []eventResult) int {
 	status := http.StatusOK
 	for _, e := range events {
--- a/internal/sender/ingress_events_batch_test.go
+++ b/internal/sender/ingress_events_batch_test.go
@@ -9,12 +9,12 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// Each event of a batch is taken on or not by itself, and the answer tells of each in order.
+// Each event of a batch is accepted or rejected separately, and the answer has a result for each, in order.
 func TestEventBatch_Results(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), acceptEvents)
-	handEvent(t, addr, "before", "keyed", 202)
+	submitEvent(t, addr, "before", "keyed", 202)
 	batch := `[` + strings.Join([]string{eventJSON("a", "keyed", ""), `{"id":"b"}`, eventJSON("before", "keyed", `,"data":{"n":1}`),
 		eventJSON("c", "ask.order", ""), eventJSON("a", "keyed", ""), eventJSON("a", "keyed", `,"data":1`), `7`, eventJSON("d", "safe", "")}, ",") + `]`
 	resp, text := post(t, addr, someJSON, batch)
@@ -39,7 +39,7 @@
 		}
 	}
 	if resp.StatusCode != 422 {
-		t.Errorf("the whole is answered %s", resp.Status)
+		t.Errorf("the batch is answered %s", resp.Status)
 	}
 	seen := map[string]int{}
 	for range 3 {
@@ -69,12 +69,12 @@
 	}
 }
 
-// A batch larger than the room in the journal: what fits is taken on, the rest refused for now, and the whole with it;
-// handed in again, the first ones count as repeats.
+// If a batch is larger than the room in the journal, the events that fit are accepted, and the others and the batch itself are
+// answered 503. When the batch is submitted again, the accepted events count as repeats.
 func TestEventBatch_LargerThanJournal(t *testing.T) {
 	t.Parallel()
-	how := make(chan int)
-	e := st.NewEndpoint(t, gate(how))
+	statuses := make(chan int)
+	e := st.NewEndpoint(t, gate(statuses))
 	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) {
 		acceptEvents(c)
 		c.Limits.DiskMB = 0.8
@@ -85,7 +85,7 @@
 	for i := range 5 {
 		all = append(all, eventJSON(strconv.Itoa(i), "keyed", `,"data":"`+data+`"`))
 	}
-	answer := func() (int, []eventResult) {
+	submit := func() (int, []eventResult) {
 		resp, text := post(t, addr, someJSON, `[`+strings.Join(all, ",")+`]`)
 		var got []eventResult
 		if err := json.Unmarshal([]byte(text), &got); err != nil || len(got) != len(all) {
@@ -93,24 +93,24 @@
 		}
 		return resp.StatusCode, got
 	}
-	whole, first := answer()
-	taken := map[string]string{}
+	status, first := submit()
+	accepted := map[string]string{}
 	for i, a := range first {
 		switch {
 		case a.Status == 202:
-			taken[strconv.Itoa(i)] = a.MessageID
+			accepted[strconv.Itoa(i)] = a.MessageID
 		case a.Status != 503 || a.RetryAfterMS <= 0 || !strings.Contains(a.Text, "room"):
 			t.Errorf("event %d: %+v", i, a)
 		}
 	}
-	if whole != 503 || len(taken) == 0 || len(taken) == len(all) {
-		t.Fatalf("%d, %d of %d are taken on", whole, len(taken), len(all))
+	if status != 503 || len(accepted) == 0 || len(accepted) == len(all) {
+		t.Fatalf("status %d, %d of %d events are accepted", status, len(accepted), len(all))
 	}
-	_, again := answer()
+	_, again := submit()
 	for i, a := range again {
-		if id := taken[strconv.Itoa(i)]; id != "" && (a.Status != 202 || a.MessageID != id) {
+		if id := accepted[strconv.Itoa(i)]; id != "" && (a.Status != 202 || a.MessageID != id) {
 			t.Errorf("event %d again: %+v, was %s", i, a, id)
 		}
 	}
-	close(how)
+	close(statuses)
 }
--- a/internal/sender/ingress_events_test.go
+++ b/internal/sender/ingress_events_test.go
@@ -31,7 +31,7 @@
 	return fmt.Sprintf(`{"specversion":"1.0","id":%q,"source":"/s","type":%q,"subject":"0"%s}`, id, kind, more)
 }
 
-// post hands a body in at /events.
+// post submits a body at /events.
 func post(t testing.TB, addr, contentType, body string, header ...string) (*http.Response, string) {
 	t.Helper()
 	r, err := http.NewRequest("POST", "http://"+addr+"/events", strings.NewReader(body))
@@ -52,8 +52,8 @@
 	someJSON = "application/cloudevents-batch+json; charset=utf-8"
 )
 
-// handEvent hands an event in and wants a status.
-func handEvent(t testing.TB, addr, id, kind string, want int) *http.Response {
+// submitEvent submits an event and expects a status.
+func submitEvent(t testing.TB, addr, id, kind string, want int) *http.Response {
 	t.Helper()
 	resp, text := post(t, addr, oneEvent, eventJSON(id, kind, `,"data":{"n":1}`))
 	if resp.StatusCode != want {
@@ -62,7 +62,7 @@
 	return resp
 }
 
-// gate is an endpoint's script that answers each call once the test says how.
+// gate is an endpoint's handler that answers each call with the next status that the test sends.
 func gate(answers <-chan int) func(st.Call, net.Conn) bool {
 	return func(c st.Call, nc net.Conn) bool {
 		status, ok := <-answers
@@ -82,12 +82,12 @@
 	}
 }
 
-// In all three modes an event is taken on, and leaves with its attributes.
+// An event is accepted in all three content modes, and is sent with its attributes.
 func TestEvents_ContentModes(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), acceptEvents)
-	wants := func(id, data, contentType string) {
+	wantCall := func(id, data, contentType string) {
 		t.Helper()
 		c := e.Next(t)
 		if c.Header.Get("Ce-Id") != id || c.Header.Get("Ce-Source") != "/s" || c.Header.Get("Ce-Traceparent") != "00-x%20y" || c.Header.Get("Ce-Specversion") != "1.0" ||
@@ -99,18 +99,18 @@
 	if resp.StatusCode != http.StatusAccepted || !strings.HasPrefix(resp.Header.Get("X-Request-Id"), "ce-") {
 		t.Fatalf("%s %s %v", resp.Status, text, resp.Header)
 	}
-	wants("b1", "hello", "text/plain; charset=utf-8")
+	wantCall("b1", "hello", "text/plain; charset=utf-8")
 	if resp, text := post(t, addr, oneEvent+"; charset=UTF-8", eventJSON("s1", "keyed", `,"traceparent":"00-x y","data":{"a": 1}`), "X-Request-Id", "mine"); resp.StatusCode != http.StatusAccepted || resp.Header.Get("X-Request-Id") != "mine" {
 		t.Fatalf("%s %s", resp.Status, text)
 	}
-	wants("s1", `{"a": 1}`, "application/json")
+	wantCall("s1", `{"a": 1}`, "application/json")
 	if resp, text := post(t, addr, someJSON, `[`+eventJSON("a1", "keyed", `,"traceparent":"00-x y","data_base64":"AP8="`)+`]`, "X-Request-Id", "mine"); resp.StatusCode != http.StatusAccepted || !strings.Contains(text, `"message":"mine-0"`) {
 		t.Fatalf("%s %s", resp.Status, text)
 	}
-	wants("a1", "\x00\xff", "")
+	wantCall("a1", "\x00\xff", "")
 }
 
-// Each fault has its own answer, and nothing of the request is taken on.
+// Each kind of invalid request has its own answer, and nothing of the request is accepted.
 func TestEvents_Faults(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
@@ -119,7 +119,7 @@
 	for name, c := range map[string]struct {
 		kind, body string
 		status     int
-		says       string
+		wantText   string
 	}{
 		"no event":         {"application/json", `{}`, 415, "ce-specversion"},
 		"no type":          {"", `{}`, 415, "ce-specversion"},
@@ -143,14 +143,14 @@
 		"batch too long":   {someJSON, `[` + strings.Repeat(" ", 256<<10) + `]`, 413, "262144 bytes"},
 	} {
 		resp, text := post(t, addr, c.kind, c.body)
-		if resp.StatusCode != c.status || !strings.Contains(text, c.says) {
-			t.Errorf("%s: %s %s; want %d with %q", name, resp.Status, text, c.status, c.says)
+		if resp.StatusCode != c.status || !strings.Contains(text, c.wantText) {
+			t.Errorf("%s: %s %s; want %d with %q", name, resp.Status, text, c.status, c.wantText)
 		}
 	}
 	for name, c := range map[string]struct {
-		lines  []string
-		status int
-		says   string
+		lines    []string
+		status   int
+		wantText string
 	}{
 		"header twice":  {[]string{"Ce-Id", "2"}, 400, "ce-id stands there more than once"},
 		"bad name":      {[]string{"Ce-a_b", "2"}, 400, "a_b"},
@@ -158,8 +158,8 @@
 		"raw bytes":     {[]string{"Ce-Ext", "\xe2\x82"}, 400, "percent-encoded"},
 	} {
 		lines := append([]string{"Ce-Specversion", "1.0", "Ce-Id", "1", "Ce-Source", "/s", "Ce-Type", "safe", "Ce-Subject", "0"}, c.lines...)
-		if resp, text := post(t, addr, "text/plain", "x", lines...); resp.StatusCode != c.status || !strings.Contains(text, c.says) {
-			t.Errorf("%s: %s %s; want %d with %q", name, resp.Status, text, c.status, c.says)
+		if resp, text := post(t, addr, "text/plain", "x", lines...); resp.StatusCode != c.status || !strings.Contains(text, c.wantText) {
+			t.Errorf("%s: %s %s; want %d with %q", name, resp.Status, text, c.status, c.wantText)
 		}
 	}
 	r, err := http.NewRequest("GET", "http://"+addr+"/events", nil)
@@ -169,13 +169,13 @@
 	if resp, _ := st.Do(t, r); resp.StatusCode != http.StatusMethodNotAllowed {
 		t.Errorf("GET: %s", resp.Status)
 	}
-	handEvent(t, addr, "good", "safe", 202) // all that came before it left the sender serving, and took nothing on
+	submitEvent(t, addr, "good", "safe", 202) // the sender still serves and has accepted nothing of the requests before
 	if c := e.Next(t); c.Header.Get("Ce-Id") != "good" {
 		t.Errorf("%+v", c)
 	}
 }
 
-// No request makes two messages of one event, nor a message of what stands in another's body or behind it.
+// No request leads to two messages for one event, or to a message made of what is in the body of another request or behind it.
 func TestEvents_NoSmuggling(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
@@ -209,13 +209,13 @@
 			t.Errorf("%s: %v, want %d", name, codes, c.want)
 		}
 	}
-	// A structured event whose headers name another one: the payload is the event.
+	// If the headers of a structured event describe another event, the event in the payload counts.
 	resp, text := post(t, addr, oneEvent, eventJSON("inner", "safe", ""), "Ce-Id", "outer", "Ce-Source", "/o", "Ce-Specversion", "1.0", "Ce-Type", "safe")
 	if resp.StatusCode != 202 {
 		t.Fatalf("%s %s", resp.Status, text)
 	}
-	handEvent(t, addr, "last", "safe", 202)
-	for want := map[string]bool{"inner": true, "last": true}; len(want) > 0; { // in either order: their calls are two
+	submitEvent(t, addr, "last", "safe", 202)
+	for want := map[string]bool{"inner": true, "last": true}; len(want) > 0; { // in either order: they are separate calls
 		c := e.Next(t)
 		if id := c.Header.Get("Ce-Id"); want[id] {
 			delete(want, id)
@@ -225,7 +225,7 @@
 	}
 }
 
-// An event's own expirytime shortens its deadline, and one that is over fails at once.
+// An event's own expirytime shortens its deadline, and an event that has expired fails at once.
 func TestEvents_ExpiryTime(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Unresponsive)
@@ -234,7 +234,7 @@
 	if resp, text := post(t, addr, oneEvent, eventJSON("1", "safe", `,"expirytime":"2020-01-01T00:00:00Z"`)); resp.StatusCode != 500 || text != outcomeGivenUp+"\n" {
 		t.Errorf("%s %q", resp.Status, text)
 	}
-	handEvent(t, addr, "long", "safe", 202)
+	submitEvent(t, addr, "long", "safe", 202)
 	at := time.Now().Add(400 * time.Millisecond).Format(time.RFC3339Nano)
 	resp, _ := post(t, addr, oneEvent, eventJSON("2", "safe", `,"expirytime":"`+at+`"`))
 	if n := st.Receive(t, p.Notices); n.Message != resp.Header.Get("X-Request-Id") || n.Outcome != outcomeGivenUp || resp.StatusCode != 202 {
@@ -242,17 +242,17 @@
 	}
 }
 
-// until asks again until something holds that is about to.
+// until polls until a condition holds.
 func until(t testing.TB, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(st.Wait); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("it does not come to hold")
+			t.Fatal("the condition does not hold within the time limit")
 		}
 	}
 }
 
-// BenchmarkIngresses is what a front makes of a request, from its bytes to a submission: plain against the modes.
+// BenchmarkIngresses measures the decoding of a request, from its bytes to a submission, for plain messages and two content modes.
 func BenchmarkIngresses(b *testing.B) {
 	c := &Config{Classes: []string{"safe", "keyed"}, Tenants: []string{"acme"}, Settings: brain.Settings{Classes: []brain.Class{{}, {Idempotency: brain.IdempotentByKey}}}}
 	acceptEvents(c)
