--- a/internal/sender/ingress_messages.go
+++ b/internal/sender/ingress_messages.go
@@ -9,7 +9,7 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// headerName reads a header that names something: it goes into records and calls as it is. A header that is not there is "".
+// headerName reads a header with a name or key, which goes into records and calls unchanged. A missing header is "".
 func headerName(r *http.Request, header string) (string, error) {
 	values := r.Header.Values(header)
 	if len(values) == 0 {
@@ -29,8 +29,8 @@
 	return values[0], nil
 }
 
-// parseMessageHead reads the head of a request that submits a message. The submission's Deadline is the time that is left,
-// until the request has come whole.
+// parseMessageHead reads the head of a request that submits a message. The submission's Deadline is the time left, until the whole
+// request has been read.
 func (s *server) parseMessageHead(r *http.Request) (*submission, error) {
 	sub := &submission{answer: make(chan response, 1), tenant: -1}
 	for header, field := range map[string]*string{"X-Request-Id": &sub.ID, "X-Class": &sub.Class,
@@ -65,7 +65,7 @@
 	}
 	sub.Deadline = time.Duration(ms) * time.Millisecond
 	if s.config.Settings.Classes[sub.class].Ordered {
-		// Without a key a message of such a class goes as it comes.
+		// Without an ordering key, a message of an ordered class is sent without an order.
 		if sub.OrderKey, err = headerName(r, "X-Order-Key"); err != nil {
 			return nil, err
 		}
@@ -94,7 +94,7 @@
 // maxBody is maxBodyBytes.
 func (f messageIngress) maxBody() int64 { return maxBodyBytes }
 
-// readHead reads the message but for its body.
+// readHead reads the message except for its body.
 func (f messageIngress) readHead(r *http.Request) (ingressRequest, error) {
 	sub, err := f.server.parseMessageHead(r)
 	if err != nil {
