--- a/cmd/saffronyard/background.go
+++ b/cmd/saffronyard/background.go
@@ -119,7 +119,7 @@
 		case <-every.C:
 		}
 		asked := time.Now()
-		load, err := s.Facts(ctx)
+		load, err := s.LoadSignals(ctx)
 		if err != nil { // it does not even answer
 			load = work.LoadSignals{TurnLate: time.Since(asked)}
 		}
--- a/internal/sender/extension_background.go
+++ b/internal/sender/extension_background.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// Facts reports the load of the sender by live messages.
-func (b *Background) Facts(ctx context.Context) (f work.LoadSignals, err error) {
+// LoadSignals reports the load of the sender by live messages.
+func (b *Background) LoadSignals(ctx context.Context) (f work.LoadSignals, err error) {
 	err = b.runInLoop(ctx, func(p *backgroundExtension, _ time.Duration) []brain.Event {
 		s := p.s
 		f.TurnLate, f.DiskLatency = p.queueDelay, p.flushTime
