--- a/internal/tier/controlplane/assignment.go
+++ b/internal/tier/controlplane/assignment.go
@@ -10,20 +10,21 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// partitionCount is the number of partitions, fixed when the map is first made. A few turn stores share it evenly, and it is
-// small enough for the whole map to be pushed to each session.
+// partitionCount is the number of partitions, fixed when the map is first made. It divides evenly among a few turn stores, and
+// is small enough for the whole map to be pushed to each session.
 const partitionCount = 32
 
-// concurrentMoveDivisor divides the number of partitions: so many may move, or change their primary, at a time.
+// concurrentMoveDivisor divides the number of partitions. The quotient is how many may move, or change their primary, at a time.
 const concurrentMoveDivisor = 8
 
-// FaultTolerance tells how many replicas there are beside the primary, and what they must not share.
+// FaultTolerance is the number of backups of each partition, and the failure domain that its replicas must not share.
 type FaultTolerance struct {
-	Losses int                            // simultaneous losses to be tolerated: each partition has so many backups
-	Domain func(*tierv1.StoreNode) string // the failure domain of a turn store: what is lost as one
+	Losses int                            // simultaneous losses to tolerate, and so the number of backups of each partition
+	Domain func(*tierv1.StoreNode) string // the failure domain of a turn store: the unit that is lost at once
 }
 
-// faultToleranceOf derives the fault tolerance from the settings. The widest failure domain of which any may be lost counts.
+// faultToleranceOf derives the fault tolerance from the settings. It uses the widest failure domain of which a loss is to be
+// tolerated.
 func faultToleranceOf(s settings.Settings) FaultTolerance {
 	domain := func(store *tierv1.StoreNode) string { return store.Node }
 	switch {
@@ -35,32 +36,32 @@
 	return FaultTolerance{Losses: s.Losses(), Domain: domain}
 }
 
-// Report is the report of a partition's primary that a replica has all that was acknowledged, synced on its disk.
+// Report is a primary's report that a replica of its partition has everything that was acknowledged, synced to disk.
 type Report struct {
 	From    string // folder of the primary
 	Replica *tierv1.SyncedReplica
 }
 
-// Input is what Assign makes the partition map from, beside the map before.
+// Input is what Assign computes the partition map from, besides the previous map.
 type Input struct {
 	FaultTolerance
 	Alive           map[string]*tierv1.StoreNode // by folder; without those whose disk is not sound
-	Draining        map[string]bool              // by folder: those that have been asked to shut down
+	Draining        map[string]bool              // by folder: turn stores that have been asked to shut down
 	Reports         []Report
 	Slow            map[uint32]bool // partitions with a replica that has been syncing for longer than usual
-	Stalled         map[uint32]bool // of these: other turn stores are to be tried
+	Stalled         map[uint32]bool // partitions in Slow for which other turn stores are to be tried
 	RecentlyExpired map[string]bool // folders of turn stores whose sessions expired less than the wait of lostReplicaWaitDivisor ago
-	GraceOver       bool            // who is not alive is lost; before, it may only not have come yet
+	GraceOver       bool            // a turn store that is not alive is lost; during the grace it may still reconnect
 	MayCreate       bool            // the first map may be made
 	MayMove         bool            // replicas and primaries may move for the sake of balance alone
-	RequiredMoves   int             // partitions that have to move at a time for orders to retire to be done in time, see requiredMoves
+	RequiredMoves   int             // partitions that have to move at a time to meet the deadlines of retire orders, see requiredMoves
 }
 
-// Assign brings the partition map in line with the turn stores that are alive, and tells whether anything changed. It is
-// pure, and does not modify the map before. It gives up no replica that may be the last with what was acknowledged: only a
-// synced replica becomes primary, and no synced replica is dropped in favour of an unsynced one, unless its disk is gone, or
-// its turn store is lost and the losses are within FaultTolerance.Losses. Each change of a partition's primary or backups
-// raises its epoch by one.
+// Assign adapts the partition map to the turn stores that are alive, and returns whether anything changed. It is pure, and does
+// not modify the previous map. It never drops a replica that may be the last one with acknowledged data: only a synced replica
+// becomes primary, and no synced replica is dropped in favour of an unsynced one, unless its disk is gone, or its turn store is
+// lost and the losses are within FaultTolerance.Losses. Each change of a partition's primary or backups raises its epoch by
+// one.
 func Assign(before *tierv1.PartitionMap, in Input) (after *tierv1.PartitionMap, changed bool) {
 	m := &tierv1.PartitionMap{}
 	if before != nil {
@@ -99,8 +100,8 @@
 	return m, true
 }
 
-// advanceEpoch raises the epoch of a partition whose primary or backups have changed, and records from which epoch on each
-// replica that is being synced has been a backup.
+// advanceEpoch raises the epoch of a partition whose primary or backups have changed, and records for each replica that is
+// being synced the epoch in which it became a backup.
 func advanceEpoch(p, before *tierv1.Partition) {
 	if !sameReplicas(p, before) {
 		p.Epoch = before.Epoch + 1
@@ -118,7 +119,7 @@
 	}
 }
 
-// sameReplicas tells whether a partition has the same primary and backups, and no new recovery.
+// sameReplicas reports whether a partition has the same primary and backups, and no new recovery.
 func sameReplicas(a, b *tierv1.Partition) bool {
 	if len(a.RecoverFrom) > 0 && !slices.Equal(a.RecoverFrom, b.RecoverFrom) {
 		return false // the primary has to recover
@@ -131,8 +132,8 @@
 	Input
 	m             *tierv1.PartitionMap
 	storeNodes    map[string]*tierv1.StoreNode // by folder
-	replaced      map[string]bool              // folders whose node has another one now: their disks are lost
-	surplusBefore map[*tierv1.Partition]string // the replica to be dropped of those that had one too many before the reports
+	replaced      map[string]bool              // folders whose node now has another folder: their disks are lost
+	surplusBefore map[*tierv1.Partition]string // by partition: the surplus replica to drop, as determined before the reports are applied
 	slowTargets   map[string]int               // by folder: replicas being synced there in slow partitions
 	slowSources   map[string]int               // by folder: slow partitions whose primary is there
 	lostDomains   int                          // failure domains with a lost turn store that has replicas and may return
@@ -166,7 +167,7 @@
 	}
 }
 
-// applyReports marks replicas as synced that the partition's primary has reported so in this epoch.
+// applyReports marks the replicas as synced that the partition's primary has reported as synced in the current epoch.
 func (a *assignment) applyReports() {
 	for _, r := range a.Reports {
 		if int(r.Replica.Partition) >= len(a.m.Partitions) {
@@ -178,12 +179,13 @@
 		}
 		if c := findBackup(p, r.Replica.Folder); c != nil {
 			c.Synced, c.Since = true, 0
-			p.RecoverFrom, p.AcknowledgedUntil = nil, 0 // it reports replicas only when it has recovered
+			p.RecoverFrom, p.AcknowledgedUntil = nil, 0 // a primary reports replicas only after it has recovered
 		}
 	}
 }
 
-// recordSurplus records which replicas are to be dropped: their successors may be marked synced in this run.
+// recordSurplus records which replicas are to be dropped. It must run before applyReports: a replica to be dropped is the one
+// before its unsynced successor, and applyReports may mark the successor as synced.
 func (a *assignment) recordSurplus() {
 	a.surplusBefore = map[*tierv1.Partition]string{}
 	for _, p := range a.m.Partitions {
@@ -193,8 +195,8 @@
 	}
 }
 
-// createFirstMap makes the first map, and returns false where there are too few turn stores. All replicas are synced, as they
-// are empty.
+// createFirstMap makes the first map, and returns false if there are too few turn stores. All replicas are synced, as they are
+// empty.
 func (a *assignment) createFirstMap() bool {
 	n := 0
 	for folder := range a.Alive {
@@ -215,7 +217,7 @@
 			}
 		}
 	}
-	for range partitionCount * partitionCount { // as moves would balance it, but at once
+	for range partitionCount * partitionCount { // balances the map as moves would, but in one step
 		before := proto.Clone(a.m).(*tierv1.PartitionMap)
 		a.rebalance()
 		a.recordSurplus()
@@ -232,7 +234,7 @@
 	return true
 }
 
-// pruneNodes drops turn stores without a replica whose folder was replaced, or that are lost after they were emptied.
+// pruneNodes drops the turn stores without replicas whose folder was replaced, or that were emptied and are now lost.
 func (a *assignment) pruneNodes() {
 	used := map[string]bool{}
 	for _, p := range a.m.Partitions {
--- a/internal/tier/controlplane/rebalance.go
+++ b/internal/tier/controlplane/rebalance.go
@@ -13,7 +13,7 @@
 	return max(1, len(a.m.Partitions)/concurrentMoveDivisor, a.RequiredMoves)
 }
 
-// activeMoves counts the partitions with a replica that is being synced, and is not slow.
+// activeMoves counts the partitions that are syncing a replica and are not slow, without those whose primary is not alive.
 func (a *assignment) activeMoves() int {
 	n := 0
 	for i, p := range a.m.Partitions {
@@ -24,7 +24,7 @@
 	return n
 }
 
-// stable tells whether each partition has enough synced replicas, and none on a turn store that departs or is not alive.
+// stable reports whether each partition has enough synced replicas, and none on a turn store that is departing or not alive.
 func (a *assignment) stable() bool {
 	for _, p := range a.m.Partitions {
 		n := 0
@@ -57,8 +57,8 @@
 	}
 }
 
-// startMove adds a replica that, once synced, takes the place of another: one that parts replicas of the same failure domain,
-// or else one that balances the turn stores. It returns false where there is none.
+// startMove adds a replica that replaces another one once it is synced. It prefers a move that separates replicas in the same
+// failure domain to one that balances the turn stores, and returns false if there is no move to make.
 func (a *assignment) startMove() bool {
 	load := a.replicasByStore()
 	var usable []string // by load
@@ -71,7 +71,7 @@
 	return a.startSeparatingMove(usable) || a.startBalancingMove(usable, load)
 }
 
-// startSeparatingMove adds a replica in place of one that shares its failure domain with more others.
+// startSeparatingMove adds a replacement for a replica that shares its failure domain with more others than the replacement does.
 func (a *assignment) startSeparatingMove(usable []string) bool {
 	for _, p := range a.m.Partitions {
 		all := replicaFolders(p)
@@ -93,7 +93,8 @@
 	return false
 }
 
-// startBalancingMove adds a replica in place of one whose turn store has at least two more. usable is in the order of load.
+// startBalancingMove moves a replica to a turn store that has at least two fewer, by adding its replacement there. usable is
+// sorted by load.
 func (a *assignment) startBalancingMove(usable []string, load map[string]int) bool {
 	for i := len(usable) - 1; i > 0; i-- {
 		for _, to := range usable[:i] {
@@ -114,7 +115,7 @@
 	return false
 }
 
-// domainConflictsAfterMove counts the conflicts of a replica that takes the place of another.
+// domainConflictsAfterMove counts the failure domain conflicts of a replica that replaces another.
 func (a *assignment) domainConflictsAfterMove(all []string, from, to string) int {
 	n := a.domainConflicts(all, to)
 	if a.domain(from) == a.domain(to) {
@@ -123,14 +124,15 @@
 	return n
 }
 
-// addReplacement adds a replica right behind the one whose place it takes.
+// addReplacement adds a replica directly after the one that it replaces.
 func (a *assignment) addReplacement(p *tierv1.Partition, from, to string) {
 	at := slices.Index(replicaFolders(p), from)
 	p.Backups = slices.Insert(p.Backups, at, &tierv1.Replica{Folder: to})
 }
 
-// balancePrimary hands one primary on, from a turn store that has at least two more than another, if need be by way of others
-// whose number stays the same: a breadth-first search over the synced backups. It returns false where there is no such way.
+// balancePrimary moves one primary from a turn store to one that has at least two fewer, if necessary by a chain of moves
+// through other turn stores, whose number of primaries stays the same. It finds the chain by a breadth-first search over the
+// synced backups, and returns false if there is none.
 func (a *assignment) balancePrimary() bool {
 	load := a.primariesByStore()
 	var from []string
--- a/internal/tier/controlplane/reconcile.go
+++ b/internal/tier/controlplane/reconcile.go
@@ -15,13 +15,13 @@
 
 // reconciler is the state of the loop that reconciles the partition map with the turn stores, within one epoch.
 type reconciler struct {
-	lastInput string // fingerprint of what the map was last made from
-	unchanged bool   // and that had nothing to be changed
+	lastInput string // fingerprint of the last input
+	unchanged bool   // the last input required no change of the map
 	lastWrite time.Time
 	stalls    stallTracker
 }
 
-// reconcile brings the partition map in line with the turn stores that are alive. It returns false where a write has failed.
+// reconcile brings the partition map in line with the turn stores that are alive. It returns false if a write has failed.
 func (plane *ControlPlane) reconcile(ctx context.Context, epoch uint64, loop *reconciler) bool {
 	now := time.Now()
 	state, ready := plane.primary()
@@ -44,7 +44,7 @@
 		return false
 	}
 	defer plane.unlockWriter()
-	state, ready = plane.primary() // an order to retire may have come meanwhile
+	state, ready = plane.primary() // an order to retire may have been accepted meanwhile
 	if !ready || state.epoch != epoch {
 		return true
 	}
@@ -60,7 +60,7 @@
 	return true
 }
 
-// observeInput returns what the partition map is to be made from now.
+// observeInput returns the current input for the partition map.
 func (plane *ControlPlane) observeInput(now time.Time, state *publishedState, loop *reconciler) Input {
 	plane.mu.Lock()
 	alive, draining, reports := plane.sessions.storeNodes(now)
@@ -84,7 +84,7 @@
 	return in
 }
 
-// logPartitionMap logs a map that was written in place of another.
+// logPartitionMap logs the replacement of a partition map by another.
 func (plane *ControlPlane) logPartitionMap(before, after *tierv1.PartitionMap, in Input) {
 	plane.Log.Info().Str("event", "turnstores").Int("store_nodes", len(after.StoreNodes)).Int("alive", len(in.Alive)).
 		Int("moved", countMoved(before, after)).Int("unsynced", countUnsynced(after)).Int("pace", in.RequiredMoves).
@@ -94,9 +94,9 @@
 	}
 }
 
-// recentlyExpired returns the turn stores of the map, by folder, that have been lost for less than lostReplicaWaitDivisor
-// gives: since their sessions expired, or since the grace after a takeover was over. One that was draining, or whose disk is
-// not sound, is lost at once and not among them. The caller holds mu.
+// recentlyExpired returns the turn stores of the map, by folder, that have been lost for less than the wait of
+// lostReplicaWaitDivisor. The wait begins when the session expires or when the grace after a takeover ends, whichever is later.
+// Turn stores that were draining, or whose disks are not sound, are lost at once and not included. The caller holds mu.
 func (plane *ControlPlane) recentlyExpired(now time.Time, state *publishedState, alive map[string]*tierv1.StoreNode) map[string]bool {
 	graceOver := state.since.Add(plane.windowFraction(takeoverGraceDivisor))
 	found := map[string]bool{}
@@ -120,7 +120,7 @@
 	return found
 }
 
-// nextMap returns the map that Assign makes, with the machines recorded that are empty in it.
+// nextMap returns the map that Assign makes, in which the machines that are empty are recorded as retired.
 func nextMap(before *tierv1.PartitionMap, in Input) (after *tierv1.PartitionMap, changed bool) {
 	after, changed = Assign(before, in)
 	retired := newlyRetired(after, in.Losses)
@@ -128,13 +128,13 @@
 		return after, changed
 	}
 	if !changed {
-		after = proto.Clone(after).(*tierv1.PartitionMap) // the one in force is shared
+		after = proto.Clone(after).(*tierv1.PartitionMap) // the published map is shared
 	}
 	after.Retired = append(after.Retired, retired...)
 	return after, true
 }
 
-// fingerprint returns a text that is the same for inputs from which the same map is made.
+// fingerprint returns a text that is the same for inputs that lead to the same map.
 func (in Input) fingerprint() string {
 	var parts []string
 	for folder, store := range in.Alive {
@@ -174,7 +174,7 @@
 	return n
 }
 
-// writePartitionMap writes a partition map, sets its version, and publishes it. The caller has the right to write.
+// writePartitionMap writes a partition map, sets its version, and publishes it. The caller holds the writer lock.
 func (plane *ControlPlane) writePartitionMap(ctx context.Context, epoch uint64, m *tierv1.PartitionMap) error {
 	m.Version = 0
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -7,12 +7,12 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// repair gives one partition a primary that is alive, and its replicas on turn stores that stay, as far as there are any. Where
-// its sync is stalled, other turn stores are tried.
+// repair gives one partition a primary that is alive, and replicas on turn stores that are not departing, as far as there are
+// any. If its sync is stalled, other turn stores are tried.
 func (a *assignment) repair(p *tierv1.Partition, stalled bool) {
 	if a.lost(p.Primary) || slices.ContainsFunc(p.RecoverFrom, a.lost) {
 		if !a.failOver(p, a.alive) && !a.recoverPrimary(p) {
-			return // one of them has to return: no others have all that was acknowledged
+			return // a lost replica has to return: the others do not have everything that was acknowledged
 		}
 	}
 	if a.draining(p.Primary) {
@@ -27,8 +27,8 @@
 	a.pruneRetained(p)
 }
 
-// replaceLostBackups drops and retains the backups that are lost, and adds one elsewhere for each that is missing then. A lost
-// one stays where there is no other turn store and its return is awaited.
+// replaceLostBackups drops and retains the backups that are lost, and adds one on another turn store for each that is then
+// missing. A lost backup stays if there is no other turn store and its return is awaited.
 func (a *assignment) replaceLostBackups(p *tierv1.Partition) {
 	for _, lost := range slices.Clone(p.Backups) {
 		if !a.lost(lost.Folder) {
@@ -48,7 +48,8 @@
 	}
 }
 
-// addMissingReplicas adds replicas until enough lie on turn stores that stay, and substitutes where there are too few of these.
+// addMissingReplicas adds replicas until enough are on turn stores that are not departing, and substitutes if there are too few
+// such turn stores.
 func (a *assignment) addMissingReplicas(p *tierv1.Partition) {
 	for a.stayingReplicas(p) <= a.Losses {
 		// An order to retire is followed at the rate of moves, but a lost replica is replaced at once.
@@ -66,10 +67,10 @@
 	}
 }
 
-// awaitsReturn tells whether a partition that has no turn store for another replica keeps a lost one as its backup, rather
-// than go on without it. It does where more turn stores with replicas are lost than is tolerated. It also does for a moment
-// after a session has expired: messages may have been lost, and the turn store not. What the others acknowledged without it
-// would be lost with them, though no more are lost than is tolerated.
+// awaitsReturn reports whether a partition that has no turn store for another replica keeps a lost one as its backup, and waits
+// for it. It does so if more turn stores with replicas are lost than is tolerated. It also does so for a short time after a
+// session has expired, as messages may have been lost rather than the turn store. If the other replicas acknowledged something
+// without it and were then lost, that would be lost, too, though no more losses occurred than are tolerated.
 func (a *assignment) awaitsReturn(folder string) bool {
 	if a.replaced[folder] {
 		return false
@@ -77,7 +78,8 @@
 	return a.RecentlyExpired[folder] || a.lostDomains > a.Losses
 }
 
-// failOver makes a synced backup the primary, and the former primary a synced backup. It returns false where none may be it.
+// failOver makes a synced backup the primary, and the former primary a synced backup. It returns false if no synced backup is
+// eligible.
 func (a *assignment) failOver(p *tierv1.Partition, may func(folder string) bool) bool {
 	load := a.primariesByStore()
 	best := ""
@@ -106,11 +108,11 @@
 	c.Folder, c.Synced, p.Primary = p.Primary, true, folder
 }
 
-// retarget tries other turn stores for a replica whose sync is stalled: its primary or the replica's turn store may be out of
-// reach of the other, though both are alive. All synced replicas are tried as the primary in turn, and when each had its
-// turn, the next turn store for the replica: at most Losses + 1 primaries for each. Only a synced replica becomes primary,
-// and only unsynced ones are replaced, so that nothing is given up. One that is replaced is retained: what was acknowledged
-// while it was being synced may be nowhere else but at the primary.
+// retarget tries other turn stores for a replica whose sync is stalled: the primary and the replica's turn store may be unable
+// to reach each other, though both are alive. It tries all synced replicas as the primary in turn, and after all of them the
+// next turn store for the replica: at most Losses + 1 primaries for each turn store. Only a synced replica becomes primary, and
+// only unsynced replicas are replaced, so that no acknowledged data is dropped. A replaced replica is retained: apart from the
+// primary it may be the only one with what was acknowledged while it was being synced.
 func (a *assignment) retarget(p *tierv1.Partition) {
 	sources := []string{p.Primary}
 	for _, c := range p.Backups {
@@ -136,7 +138,7 @@
 	}
 }
 
-// addReplica adds an unsynced replica: right behind a departing one, as the one that takes its place, else as the last.
+// addReplica adds an unsynced replica: directly after a departing one, which it replaces, else as the last.
 func (a *assignment) addReplica(p *tierv1.Partition, folder string) {
 	at := len(p.Backups)
 	for i, member := range replicaFolders(p) {
@@ -153,7 +155,7 @@
 	p.Backups = slices.DeleteFunc(p.Backups, func(c *tierv1.Replica) bool { return c.Folder == folder })
 }
 
-// trim drops the replicas that a partition has too many, once enough others are synced.
+// trim drops the surplus replicas of a partition, once enough others are synced.
 func (a *assignment) trim(p *tierv1.Partition) {
 	enough := func(without string) bool {
 		n := 0
@@ -177,7 +179,8 @@
 	}
 }
 
-// dropReplica drops a replica; if it is the primary, another becomes that first. It returns false where none may.
+// dropReplica drops a replica. If it is the primary, it first makes another replica the primary, and returns false if none is
+// eligible.
 func (a *assignment) dropReplica(p *tierv1.Partition, folder string) bool {
 	if folder == p.Primary && !a.failOver(p, a.usable) {
 		return false
@@ -186,9 +189,9 @@
 	return true
 }
 
-// surplusReplica returns the replica that is dropped when a partition has one too many: the one before that which takes its
-// place. Where that is not known any more, it is the one that shares its failure domain with most others, then the one
-// whose turn store has most replicas.
+// surplusReplica returns the replica to drop when a partition has one too many: the one directly before its replacement. If the
+// replacement is no longer known, it is the replica that shares its failure domain with the most others, then the one whose
+// turn store has the most replicas.
 func (a *assignment) surplusReplica(p *tierv1.Partition) string {
 	all := replicaFolders(p)
 	for i, c := range p.Backups {
--- a/internal/tier/controlplane/replicas.go
+++ b/internal/tier/controlplane/replicas.go
@@ -26,38 +26,39 @@
 	return nil
 }
 
-// alive tells whether a turn store is alive and its disk is sound.
+// alive reports whether a turn store is alive and its disk is sound.
 func (a *assignment) alive(folder string) bool { return a.Alive[folder] != nil }
 
-// lost tells whether a turn store counts as lost. One that is neither alive nor lost has not come yet.
+// lost reports whether a turn store counts as lost. A turn store that is neither alive nor lost has not reconnected since the
+// takeover.
 func (a *assignment) lost(folder string) bool {
 	return !a.alive(folder) && (a.GraceOver || a.replaced[folder])
 }
 
-// departing tells whether a turn store gives its replicas up: it is to be emptied, or draining.
+// departing reports whether a turn store is to give up its replicas: its machine is to be emptied, or it is draining.
 func (a *assignment) departing(folder string) bool { return a.retiring(folder) || a.Draining[folder] }
 
-// retiring tells whether a turn store's machine is to be emptied.
+// retiring reports whether a turn store's machine is to be emptied.
 func (a *assignment) retiring(folder string) bool {
 	one := a.storeNodes[folder]
 	return one != nil && slices.Contains(a.m.Retiring, one.Node)
 }
 
-// draining tells whether a turn store has been asked to shut down: it has little time left.
+// draining reports whether a turn store has been asked to shut down, and has little time left.
 func (a *assignment) draining(folder string) bool { return a.Draining[folder] }
 
-// usable tells whether a turn store may get new replicas and primaries.
+// usable reports whether a turn store may get new replicas and primaries.
 func (a *assignment) usable(folder string) bool {
 	return a.alive(folder) && !a.departing(folder)
 }
 
-// synced tells whether a replica of a partition is alive and has all that was acknowledged.
+// synced reports whether a replica of a partition is alive and has everything that was acknowledged.
 func (a *assignment) synced(p *tierv1.Partition, folder string) bool {
 	c := findBackup(p, folder)
 	return a.alive(folder) && (folder == p.Primary && len(p.RecoverFrom) == 0 || c != nil && c.Synced)
 }
 
-// domain returns the failure domain of a turn store; one that is not known is its own.
+// domain returns the failure domain of a turn store; an unknown turn store is a domain of its own.
 func (a *assignment) domain(folder string) string {
 	if one := a.storeNodes[folder]; one != nil {
 		return a.Domain(one)
@@ -98,7 +99,7 @@
 	return n
 }
 
-// replicasByStore counts the replicas of each usable turn store, without those that are dropped when their successor is synced.
+// replicasByStore counts the replicas of each usable turn store, without those that are dropped once their replacement is synced.
 func (a *assignment) replicasByStore() map[string]int {
 	load := map[string]int{}
 	for folder := range a.Alive {
@@ -130,7 +131,7 @@
 	return load
 }
 
-// countLost counts the failure domains in which a turn store with replicas is lost, and may yet return.
+// countLost counts the failure domains in which a turn store with replicas is lost, and may still return.
 func (a *assignment) countLost() int {
 	domains := map[string]bool{}
 	for _, p := range a.m.Partitions {
@@ -143,7 +144,8 @@
 	return len(domains)
 }
 
-// countSlow counts, for each turn store, the slow partitions whose primary is there, and the replicas being synced there in such.
+// countSlow counts, for each turn store, the slow partitions whose primary is there, and their replicas that are being synced
+// there.
 func (a *assignment) countSlow() {
 	a.slowTargets, a.slowSources = map[string]int{}, map[string]int{}
 	for i, p := range a.m.Partitions {
--- a/internal/tier/controlplane/retained_replicas.go
+++ b/internal/tier/controlplane/retained_replicas.go
@@ -6,27 +6,27 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// A replica whose session has expired, or whose sync is stalled, is taken out of its partition, as nothing is acknowledged
-// without a backup that the map names. It is retained: the map remembers in which epochs it took all that was acknowledged,
-// and its turn store keeps it. Whatever was acknowledged in an epoch is synced at all replicas of that epoch, those being
-// synced included, and facts are only added. So replicas whose spans of epochs follow each other without a gap, from the
-// beginning to the newest in which anything can have been acknowledged, have together all that ever was, also when the
-// primary and all synced replicas are lost: one of them becomes primary, and serves nothing before it has exchanged all
-// facts with the others.
+// A replica whose session has expired, or whose sync is stalled, is removed from its partition, because nothing is acknowledged
+// until every backup in the map has confirmed it. The replica is retained: the map records in which epochs it received
+// everything that was acknowledged, and its turn store keeps its data. Whatever was acknowledged in an epoch is synced at all
+// replicas of that epoch, including those being synced, and facts are only added. So replicas whose spans of epochs follow each
+// other without a gap, from the first epoch to the newest in which anything can have been acknowledged, together have
+// everything that was ever acknowledged, even if the primary and all synced replicas are lost. One of them then becomes the
+// primary, and serves nothing before it has exchanged all facts with the others.
 
-// maxRetained bounds the retained replicas of a partition, and with them the map.
+// maxRetained bounds the retained replicas of a partition, and so the size of the map.
 const maxRetained = 16
 
 // acknowledgedUntil returns the newest epoch of a partition in which anything can have been acknowledged.
 func acknowledgedUntil(p *tierv1.Partition) uint64 {
 	if len(p.RecoverFrom) > 0 {
-		return p.AcknowledgedUntil // nothing is, until the primary has recovered
+		return p.AcknowledgedUntil // nothing is acknowledged until the primary has recovered
 	}
 	return p.Epoch
 }
 
-// retainReplica records a replica that is taken out: a synced one (since is 0), or one that took all that was acknowledged
-// since an epoch. One whose disk is lost has nothing.
+// retainReplica records a replica that is removed: a synced one (since is 0), or one that received everything acknowledged
+// since an epoch. A replica whose disk is lost has no data and is not recorded.
 func (a *assignment) retainReplica(p *tierv1.Partition, folder string, since uint64) {
 	until := acknowledgedUntil(p)
 	if a.replaced[folder] || since > until {
@@ -36,7 +36,7 @@
 		if r.Folder != folder || since > r.Until+1 {
 			return false
 		}
-		since = min(since, r.Since) // the spans follow each other
+		since = min(since, r.Since) // the spans overlap or follow each other
 		return true
 	})
 	p.Retained = append(p.Retained, &tierv1.RetainedReplica{Folder: folder, Since: since, Until: until})
@@ -46,7 +46,7 @@
 	}
 }
 
-// pruneRetained forgets retained replicas that are not needed any more: enough others are synced, or their disks are lost.
+// pruneRetained deletes retained replicas that are no longer needed: enough others are synced, or their disks are lost.
 func (a *assignment) pruneRetained(p *tierv1.Partition) {
 	if a.syncedReplicas(p) > a.Losses {
 		p.Retained = nil
@@ -55,8 +55,8 @@
 	p.Retained = slices.DeleteFunc(p.Retained, func(r *tierv1.RetainedReplica) bool { return a.replaced[r.Folder] })
 }
 
-// recoverPrimary gives a partition whose synced replicas are all lost a primary out of replicas that are alive and have
-// together all that was acknowledged. It returns false where there are none.
+// recoverPrimary gives a partition whose synced replicas are all lost a new primary, chosen from replicas that are alive and
+// together have everything that was acknowledged. It returns false if there are no such replicas.
 func (a *assignment) recoverPrimary(p *tierv1.Partition) bool {
 	until := acknowledgedUntil(p)
 	chain := a.coveringReplicas(p, until)
@@ -82,8 +82,8 @@
 	return true
 }
 
-// coveringReplicas returns the fewest replicas that are alive and whose spans cover all epochs until one, the first of the
-// oldest span; nil where there are none.
+// coveringReplicas returns the fewest replicas that are alive and whose spans cover all epochs up to until, the one with the
+// oldest span first; nil if there are none.
 func (a *assignment) coveringReplicas(p *tierv1.Partition, until uint64) (chain []string) {
 	spans := slices.Clone(p.Retained)
 	for _, c := range p.Backups {
--- a/internal/tier/controlplane/risk.go
+++ b/internal/tier/controlplane/risk.go
@@ -6,10 +6,10 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Risk tells how far the turn stores are from tolerating FaultTolerance.Losses further losses, as the partition map has it.
+// Risk describes how far the turn stores are from tolerating FaultTolerance.Losses further losses, by the partition map.
 type Risk struct {
 	Partitions   int           // partitions at risk: their synced replicas lie in fewer than Losses + 1 failure domains
-	Unavailable  int           // of these: partitions without a reachable primary; they get no replicas until one returns
+	Unavailable  int           // partitions at risk without a reachable primary; they get no replicas until one returns
 	MinReplicas  int           // fewest domains with a synced replica that any partition has; Losses + 1 or more without risk
 	Unsynced     int           // replicas that are being synced in the partitions at risk
 	RecoveryTime time.Duration // estimate until no partition is at risk; 0 without risk, or RecoveryUnknown
@@ -20,12 +20,12 @@
 const RecoveryUnknown time.Duration = -1
 
 // AssessRisk counts the partitions that would be lost, or lose their last synced replica, if tolerance.Losses more failure
-// domains were lost now. A replica counts where its turn store is alive and it is the primary or marked synced; replicas in
-// one domain count once, as they are lost at once. Without tolerance.Domain each folder is a domain of its own.
+// domains were lost now. A replica counts if its turn store is alive and it is the primary or marked synced; replicas in one
+// domain count once, as they are lost together. Without tolerance.Domain each folder is a domain of its own.
 //
 // RecoveryTime is syncTime (the setting guarantees.sync_time_s) if all missing replicas are being synced on turn stores that
-// are alive: the settings promise that a machine counts as lost for so long at most after it is back. It is an upper bound
-// by promise, not a measurement.
+// are alive: the settings guarantee that a machine counts as lost for at most that long after its return. It is a guaranteed
+// upper bound, not a measurement.
 //
 // AssessRisk is pure and only reads the map.
 func AssessRisk(partitionMap *tierv1.PartitionMap, tolerance FaultTolerance, alive map[string]*tierv1.StoreNode, syncTime time.Duration) Risk {
@@ -67,7 +67,7 @@
 // replicaDomains are the failure domains of one partition's replicas on turn stores that are alive.
 type replicaDomains struct {
 	synced   map[string]bool // domains with a synced replica
-	expected map[string]bool // and those in which one is being synced
+	expected map[string]bool // domains with a replica that is synced or being synced
 	unsynced int             // replicas that are being synced
 }
 
--- a/internal/tier/controlplane/risk_timer.go
+++ b/internal/tier/controlplane/risk_timer.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// riskTimer remembers since when partitions have been at risk, and when one was added to them last.
+// riskTimer records since when partitions have been at risk, and when their number last rose.
 type riskTimer struct {
-	since      time.Time // zero: none is at risk
-	newest     time.Time // when their number rose last
+	since      time.Time // zero: no partition is at risk
+	newest     time.Time // when their number last rose
 	partitions int
 }
 
-// observe takes the number of partitions that are at risk now.
+// observe records the number of partitions that are at risk now.
 func (t *riskTimer) observe(now time.Time, partitions int) {
 	switch {
 	case partitions == 0:
--- a/internal/tier/controlplane/store_selection.go
+++ b/internal/tier/controlplane/store_selection.go
@@ -8,11 +8,13 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// pickStore chooses a turn store for another replica of a partition, or for its primary where there is none yet; empty: there is none.
+// pickStore chooses a turn store for another replica of a partition, or for its primary if it has none yet; empty if there is
+// none.
 func (a *assignment) pickStore(p *tierv1.Partition) string { return a.pickStoreWhere(p, a.usable) }
 
-// pickStoreWhere chooses among the turn stores for which may is true: the one with the fewest conflicts of failure domains, then
-// the fewest slow syncs, then the fewest replicas, then the fewest replicas of the partition in its zone.
+// pickStoreWhere chooses among the eligible turn stores: the one with the fewest failure domain conflicts, then the fewest slow
+// syncs, then the fewest replicas, then the fewest replicas of the partition in its zone. A partition without a primary gets
+// the one with the fewest primaries first of all.
 func (a *assignment) pickStoreWhere(p *tierv1.Partition, may func(folder string) bool) string {
 	load, first := a.replicasByStore(), a.primariesByStore()
 	all := replicaFolders(p)
@@ -38,7 +40,8 @@
 	return best
 }
 
-// pickReplacement chooses a turn store for a replica in place of one that is lost: one that stays, or else a substitute.
+// pickReplacement chooses a turn store for a replica in place of one that is lost: one that is not departing, or else a
+// substitute.
 func (a *assignment) pickReplacement(p *tierv1.Partition) string {
 	if next := a.pickStore(p); next != "" {
 		return next
@@ -47,8 +50,8 @@
 }
 
 // pickSubstitute chooses a turn store that is being emptied for a replica of a partition that has fewer replicas than it should
-// and no other turn store for one; empty: there is none, or no need. The replica is dropped when enough others are synced, as
-// all are that lie on such turn stores; the order to empty the machine isn't completed before.
+// and no other turn store for one; empty if there is none, or no need for one. Like all replicas on such turn stores, the
+// replica is dropped once enough others are synced; the order to empty the machine is not completed before.
 func (a *assignment) pickSubstitute(p *tierv1.Partition) string {
 	if a.aliveReplicas(p) > a.Losses || a.pickStore(p) != "" {
 		return ""
@@ -56,12 +59,12 @@
 	return a.pickStoreWhere(p, a.canSubstitute)
 }
 
-// canSubstitute tells whether a turn store is being emptied, and may not be removed yet.
+// canSubstitute reports whether a turn store is being emptied, and may not be removed yet.
 func (a *assignment) canSubstitute(folder string) bool {
 	return a.alive(folder) && a.retiring(folder) && !a.draining(folder) && !slices.Contains(a.m.Retired, a.storeNodes[folder].Node)
 }
 
-// alternatives returns a replica's folder, and those that could take its place with no more conflicts than any other.
+// alternatives returns a replica's folder, and the folders that could replace it with the fewest failure domain conflicts.
 func (a *assignment) alternatives(p *tierv1.Partition, folder string) []string {
 	others := slices.DeleteFunc(replicaFolders(p), func(member string) bool { return member == folder })
 	list, fewest := []string{folder}, -1
@@ -80,14 +83,14 @@
 	return list
 }
 
-// nextInCycle sorts a list and returns what comes after one of its items, and whether that is the first again.
+// nextInCycle sorts a list and returns the item after a given one, and whether it has wrapped around to the first.
 func nextInCycle(list []string, one string) (next string, wrapped bool) {
 	slices.Sort(list)
 	at := slices.Index(list, one) + 1
 	return list[at%len(list)], at == len(list)
 }
 
-// domainConflicts counts the other folders that share a failure domain with one.
+// domainConflicts counts the other folders that share a failure domain with a folder.
 func (a *assignment) domainConflicts(folders []string, one string) int {
 	n := 0
 	for _, folder := range folders {
@@ -98,7 +101,7 @@
 	return n
 }
 
-// sameZone counts the other folders in the zone of one: where it costs nothing, replicas lie in different zones.
+// sameZone counts the other folders in the zone of a folder. Replicas are placed in different zones if all else is equal.
 func (a *assignment) sameZone(folders []string, one string) int {
 	n := 0
 	for _, folder := range folders {
--- a/internal/tier/controlplane/sync_stall.go
+++ b/internal/tier/controlplane/sync_stall.go
@@ -7,7 +7,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// An attempt to sync a replica may take longer each time that attemptsPerDoubling of them have stalled, up to a bound.
+// The time allowed for an attempt to sync a replica doubles after each attemptsPerDoubling stalled attempts, up to a bound.
 const (
 	attemptsPerDoubling = 3
 	maxStallDoublings   = 4
@@ -22,13 +22,13 @@
 type syncAttempt struct {
 	epoch uint64    // of the partition
 	first time.Time // since when a replica has been syncing
-	since time.Time // since when in this epoch
-	count int       // earlier epochs in which one was
+	since time.Time // since when in the current epoch
+	count int       // earlier epochs in which a replica was syncing
 }
 
-// observe tells which partitions have had a replica that is being synced for longer than usual, and for which of them other
-// turn stores are to be tried: after usual, and after longer when that did not help, as a replica may just be large.
-// Partitions without a primary that is alive are left out, as nothing can be done for them.
+// observe returns the partitions that have been syncing a replica for longer than usual, and those for which other turn stores
+// are to be tried: at first after usual, and later after a longer time, as the replica may just be large. Partitions without a
+// primary that is alive are left out, as nothing can be done for them.
 func (t *stallTracker) observe(now time.Time, usual time.Duration, m *tierv1.PartitionMap, alive map[string]*tierv1.StoreNode) (slow, stalled map[uint32]bool) {
 	slow, stalled = map[uint32]bool{}, map[uint32]bool{}
 	before := t.attempts
@@ -53,7 +53,7 @@
 	return slow, stalled
 }
 
-// hasUnsynced tells whether a partition has a replica that is being synced.
+// hasUnsynced reports whether a partition has a replica that is being synced.
 func hasUnsynced(p *tierv1.Partition) bool {
 	return slices.ContainsFunc(p.Backups, func(replica *tierv1.Replica) bool { return !replica.Synced })
 }
