--- a/internal/tier/controlplane/change_history.go
+++ b/internal/tier/controlplane/change_history.go
@@ -10,11 +10,11 @@
 
 // Bounds of the change history. A record takes at most maxChangeRecordBytes in the control state and in each replica of it.
 const (
-	// maxChangeRecords lets a change be repeated after 2,047 others were accepted on top of it. The longest day that is
-	// known of holds 1,700 changes.
+	// maxChangeRecords lets a change be repeated after 2,047 others were accepted on top of it. The largest known number of
+	// changes in a day is 1,700.
 	maxChangeRecords = 2048
-	// maxChangeHistoryBytes bounds what a snapshot of the state carries beside the configuration, as a new backup waits for
-	// a snapshot before it counts.
+	// maxChangeHistoryBytes bounds the history in a snapshot of the state, as a new backup does not count before it has
+	// received a snapshot.
 	maxChangeHistoryBytes = 256 << 10
 	// maxChangeRecordBytes is the largest size of one record on the wire and on disk: key, value, sequence and framing.
 	maxChangeRecordBytes = 80
@@ -22,7 +22,7 @@
 	changeHistoryLimit = min(maxChangeRecords, maxChangeHistoryBytes/maxChangeRecordBytes)
 )
 
-// digestBytes is how much of a SHA-256 identifies a change: 128 bits, so that no two bodies are taken for each other.
+// digestBytes is the length of the truncated SHA-256 that identifies a change: 128 bits, so that no two bodies collide.
 const digestBytes = 16
 
 // bodyDigest identifies the body of a change.
@@ -34,13 +34,13 @@
 	return bodyDigest(sum[:digestBytes])
 }
 
-// configurationChange is an operator's request to replace the configuration, as far as the decision on it needs it.
+// configurationChange identifies an operator's request to replace the configuration, as needed for the decision on it.
 //
-// An accepted change is recorded, so that a repeated request is acknowledged again (idempotency). The record is written in
-// one step with the configuration, and so is in every replica and snapshot that has the configuration or a later one.
+// An accepted change is recorded, so that a repeated request is acknowledged again (idempotency). The record is written in one
+// write with the configuration, and so is in every replica and snapshot that has the configuration or a later one.
 type configurationChange struct {
-	revision     int64 // of the configuration that it brings
-	baseRevision int64 // the revision that it builds on; of a record: the revision of the record before
+	revision     int64 // of the new configuration
+	baseRevision int64 // the revision that the change builds on; in a record, the revision of the previous record
 	digest       bodyDigest
 }
 
@@ -52,7 +52,7 @@
 	return append(binary.BigEndian.AppendUint64(nil, uint64(change.baseRevision)), change.digest[:]...)
 }
 
-// damagedRecordError says that the control state has a record that no version of this program writes.
+// damagedRecordError reports a record in the control state that no version of this program writes.
 type damagedRecordError struct {
 	revision int64
 	problem  string
@@ -75,14 +75,14 @@
 	return change, nil
 }
 
-// changeHistory holds the newest accepted changes, oldest first, without a gap: each builds on the one before. It is
+// changeHistory holds the newest accepted changes, oldest first, without a gap: each builds on the previous one. It is
 // immutable.
 type changeHistory struct {
 	current int64 // revision in force, 0 without a configuration
 	records []configurationChange
 }
 
-// startRevision returns the revision before the oldest record: all that was accepted above it has a record.
+// startRevision returns the revision before the oldest record: every change accepted above it has a record.
 func (h changeHistory) startRevision() int64 {
 	if len(h.records) == 0 {
 		return h.current
@@ -90,26 +90,26 @@
 	return h.records[0].baseRevision
 }
 
-// decision is what becomes of a change.
+// decision is the result of deciding on a change.
 type decision int
 
 const (
-	// decisionAccept: it builds on the revision in force and is to be written.
+	// decisionAccept: the change builds on the revision in force and is to be written.
 	decisionAccept decision = iota
-	// decisionAlreadyAccepted: this very configuration was accepted before.
+	// decisionAlreadyAccepted: the same configuration was accepted before.
 	decisionAlreadyAccepted
-	// decisionConflict: it was not accepted and never can be, as another revision than its base is in force.
+	// decisionConflict: the change was not accepted and never can be, as another revision than its base is in force.
 	decisionConflict
-	// decisionNotNewer: it builds on the revision in force, but its own is not above that; it never can be accepted.
+	// decisionNotNewer: the change builds on the revision in force, but its own is not above it; it never can be accepted.
 	decisionNotNewer
-	// decisionStateTooLarge: it was not written, as the control state would become too large with it.
+	// decisionStateTooLarge: the change was not written, as it would make the control state too large.
 	decisionStateTooLarge
-	// decisionTooOld: it is so old that it may have been accepted before the history begins.
+	// decisionTooOld: the change is so old that it may have been accepted before the history begins.
 	decisionTooOld
 )
 
-// decide returns what becomes of a change. A change is identified by its body: the same body is the same configuration,
-// whatever base it names, so that it is acknowledged again as often as it is repeated.
+// decide returns the decision on a change. A change is identified by its body: the same body is the same configuration,
+// whatever its base is, so that a repeated change is acknowledged each time.
 //
 // Revisions only rise, so a change that is not in the history can have been accepted only at or below startRevision.
 func (h changeHistory) decide(change configurationChange) decision {
@@ -141,8 +141,8 @@
 	return changeHistory{current: change.revision, records: append(slices.Clone(records), change)}, sets
 }
 
-// loadChangeHistory reads the history of a configuration from the control state, from the newest change to the oldest: each
-// record leads to the one before by its base revision. The error is a damagedRecordError.
+// loadChangeHistory reads the history of a configuration from the control state, from the newest change to the oldest: the base
+// revision of each record is the revision of the previous one. The error is a damagedRecordError.
 func loadChangeHistory(revision int64, body []byte, get func(key string) ([]byte, uint64)) (changeHistory, error) {
 	h := changeHistory{current: revision}
 	for at := revision; at > 0 && len(h.records) < changeHistoryLimit; {
@@ -159,7 +159,7 @@
 	}
 	slices.Reverse(h.records)
 	if len(h.records) == 0 && revision > 0 {
-		// Written by a version that kept no records: that it was accepted is known, what it built on is not.
+		// A version that kept no records wrote the configuration: it was accepted, but its base is unknown.
 		h.records = []configurationChange{{revision: revision, baseRevision: revision, digest: digestOf(body)}}
 	}
 	return h, nil
--- a/internal/tier/controlplane/configuration.go
+++ b/internal/tier/controlplane/configuration.go
@@ -31,10 +31,10 @@
 		return errorResponse(http.StatusBadRequest, "X-Base-Revision is no number")
 	}
 	table, err := routing.Parse(body)
-	if err != nil { // also where its base is not the current revision: it never becomes valid
+	if err != nil { // rejected whatever its base is: an invalid body never becomes valid
 		return errorResponse(http.StatusBadRequest, err.Error())
 	}
-	// What was begun is completed even if the caller has gone: its next attempt finds out.
+	// The write is completed even if the caller disconnects: the caller's next attempt gets its result.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), begun.Add(operatorWriteTimeout))
 	defer cancel()
 	change := configurationChange{revision: table.Revision, baseRevision: base, digest: digestOf(body)}
@@ -54,13 +54,13 @@
 	return min(max(minConfigurationLimit, byMemory), maxConfigurationLimit)
 }
 
-// applyChange decides on a change and writes it. It returns the response, and the version of the configuration that
-// gateways are to acknowledge before a 200 is sent; ok is false where this process is not the primary.
+// applyChange decides on a change and writes it. It returns the response, and the version of the configuration that gateways
+// are to acknowledge before a 200 is sent; ok is false if this process is not the primary.
 func (plane *ControlPlane) applyChange(ctx context.Context, change configurationChange, body []byte) (version uint64, result response, ok bool) {
 	decided, state, err := plane.decideAndWriteChange(ctx, change, body)
 	if err == nil && decided != decisionAccept {
 		// A primary that was deposed must neither reject what its successor has accepted, nor acknowledge what its successor
-		// does not have. The state was read before the round trip begins, and all that was acknowledged is in it.
+		// does not have. The state was read before the round trip begins, and contains everything that was acknowledged.
 		if plane.barrier.wait(ctx, state.epoch) != nil {
 			err = errUnconfirmed
 		}
@@ -77,7 +77,7 @@
 	return version, decided.toResponse(change, state.changes.current), true
 }
 
-// toResponse returns the response to a change that was decided on while a revision was in force.
+// toResponse returns the response to a change. current is the revision in force when the change was decided on.
 func (d decision) toResponse(change configurationChange, current int64) response {
 	switch d {
 	case decisionAccept, decisionAlreadyAccepted:
@@ -88,7 +88,7 @@
 		return errorResponse(http.StatusBadRequest, fmt.Sprintf("revision is not above the current one, %d", current))
 	case decisionStateTooLarge:
 		return errorResponse(http.StatusRequestEntityTooLarge, errStateTooLarge.Error())
-	default: // decisionTooOld: whether it was accepted is not known any more
+	default: // decisionTooOld: it is no longer known whether the change was accepted
 		return unavailableResponse(fmt.Sprintf("older than the orders that are remembered; the current revision is %d", current))
 	}
 }
@@ -98,8 +98,8 @@
 	Revision int64 `json:"revision"`
 }
 
-// decideAndWriteChange decides on a change, and writes it if it is the next, in one step with the decision. It returns the
-// state that the decision was based on; with decisionAccept, which says that it was written, the state that has it.
+// decideAndWriteChange decides on a change and, if it is accepted, writes it under the same lock. It returns the state that the
+// decision was based on or, with decisionAccept, which means that the change was written, the state that contains it.
 func (plane *ControlPlane) decideAndWriteChange(ctx context.Context, change configurationChange, body []byte) (decision, *publishedState, error) {
 	decide := func(state *publishedState) decision { return state.changes.decide(change) }
 	write := func(ctx context.Context, state *publishedState) (decision, *publishedState, error) {
@@ -108,8 +108,8 @@
 	return decideAndWrite(ctx, plane, decisionAccept, decide, write)
 }
 
-// writeConfiguration writes a configuration together with the record of its change, publishes it, and returns a state that has
-// it; or decisionStateTooLarge with the state as it was. The caller has the right to write.
+// writeConfiguration writes a configuration together with the record of its change, publishes it, and returns a state that
+// contains it; or decisionStateTooLarge with the state before. The caller holds the writer lock.
 func (plane *ControlPlane) writeConfiguration(ctx context.Context, before *publishedState, change configurationChange, body []byte) (decision, *publishedState, error) {
 	changes, sets := before.changes.accept(change)
 	sets[keyConfiguration] = body
@@ -132,7 +132,7 @@
 }
 
 // awaitAcknowledgements waits until all gateways with an active session have acknowledged a version of the configuration, or
-// the time for that is over. begun is when the body of the call had come.
+// the wait times out. begun is when the body of the call had been read.
 func (plane *ControlPlane) awaitAcknowledgements(version uint64, begun time.Time) {
 	timeout := min(plane.Settings.ConfigApply/acknowledgementWaitDivisor, replaceTimeout-time.Since(begun))
 	if timeout <= 0 {
@@ -162,7 +162,7 @@
 	}
 }
 
-// confirmedState returns the published state after a read barrier; or nil and the response to give instead.
+// confirmedState returns the published state after a read barrier; or nil and the response to send instead.
 func (plane *ControlPlane) confirmedState(r *http.Request) (*publishedState, response) {
 	ctx, cancel := context.WithTimeout(r.Context(), operatorWriteTimeout)
 	defer cancel()
--- a/internal/tier/controlplane/coordination_calls.go
+++ b/internal/tier/controlplane/coordination_calls.go
@@ -13,22 +13,23 @@
 	"saffronyard.example/saffronyard/internal/tier/coordination"
 )
 
-// Calls of applications: locks, counters, keys and watches (package coordination). Unlike operators' calls, a 503 promises here that
-// nothing was done, and a result that was committed is given even if this process is the primary no more.
+// Calls of applications: locks, counters, keys and watches (package coordination). Unlike for operators' calls, a 503
+// guarantees that nothing was done, and a committed result is returned even if this process is no longer the primary.
 
 const (
-	// coordinationTimeout is for all of a call but the time that a watch is held: callers move on after one second of silence.
+	// coordinationTimeout bounds a call, without the time that a watch is held: callers try another process after one second
+	// without an answer.
 	coordinationTimeout = 800 * time.Millisecond
 	// maxCoordinationName and maxCoordinationValue bound names and holders, and values, in bytes.
 	maxCoordinationName  = 256
 	maxCoordinationValue = 16 << 10
-	// maxHoldTime bounds the hold time of a lock: after a takeover it is held for so long at least.
+	// maxHoldTime bounds the hold time of a lock: after a takeover a lock stays held for at least its hold time.
 	maxHoldTime = time.Hour
 	// maxWatchWait bounds the time that a watch is held.
 	maxWatchWait = time.Minute
 )
 
-// Reasons for which a call of an application is rejected. Callers read their texts.
+// Reasons for which a call of an application is rejected. Their texts are sent to callers.
 var (
 	errNameMissing     = errors.New("a name is missing, has over 256 bytes, or is not UTF-8")
 	errValueTooLong    = errors.New("the value has over 16384 bytes, or is not UTF-8")
@@ -52,8 +53,8 @@
 	Enabled *int64  `json:"enabled"` // the revision that the key must have
 }
 
-// coordinationCall returns the method of a call of applications and the function that reads it from a request; nil: there is no
-// such call.
+// coordinationCall returns the HTTP method of an application's call and the function that parses it from a request; nil if
+// there is no such call.
 func coordinationCall(call, argument string) (method string, parse func(r *http.Request, body []byte) (coordination.Call, error)) {
 	switch call {
 	case "Locks.Create", "Locks.Heartbeat", "Locks.Delete":
@@ -155,7 +156,7 @@
 	return watch, nil
 }
 
-// serveCoordination serves a call of applications that parse reads.
+// serveCoordination serves an application's call, which parse reads from the request.
 func (plane *ControlPlane) serveCoordination(w http.ResponseWriter, r *http.Request, parse func(*http.Request, []byte) (coordination.Call, error)) response {
 	begun := time.Now()
 	body, err := readBody(w, r, maxRequestBody)
--- a/internal/tier/controlplane/coordination_responses.go
+++ b/internal/tier/controlplane/coordination_responses.go
@@ -12,7 +12,7 @@
 	Fence uint64 `json:"fence"`
 }
 
-// numberBody is the body of the response to a number.
+// numberBody is the body of the response to a call of numbers.
 type numberBody struct {
 	Value uint64 `json:"value"`
 }
@@ -31,17 +31,17 @@
 // watchBody is the body of the response to a watch.
 type watchBody struct {
 	Events []eventBody `json:"events"`
-	ETag   uint64      `json:"etag"` // revision of the group up to which events has all puts
+	ETag   uint64      `json:"etag"` // revision of the group up to which events contains all puts
 }
 
-// eventBody is a put, as watches tell it.
+// eventBody is a put as a watch returns it.
 type eventBody struct {
 	Name  string `json:"name"`
 	Value string `json:"value"`
 	ETag  uint64 `json:"etag"`
 }
 
-// emptyBody is the body of a response that tells nothing but its status.
+// emptyBody is the body of a response that carries only a status.
 type emptyBody struct{}
 
 // coordinationResponse is the response for the result of a call.
@@ -73,7 +73,7 @@
 	return unavailableResponse("the group has not reached this revision") // coordination.RevisionUnknown
 }
 
-// watchResponse is the body for the puts that a watch is told.
+// watchResponse returns the body for the puts that a watch returns.
 func watchResponse(puts coordination.GroupPuts) watchBody {
 	body := watchBody{Events: make([]eventBody, 0, len(puts.Puts)), ETag: puts.Revision}
 	for _, put := range puts.Puts {
@@ -82,7 +82,7 @@
 	return body
 }
 
-// coordinationErrorResponse is the response to a call without a result. Only where nothing was done, and never will be, may it be 503.
+// coordinationErrorResponse is the response to a call without a result. It may be 503 only if nothing was done and never will be.
 func coordinationErrorResponse(err error) response {
 	switch {
 	case errors.Is(err, coordination.ErrOutcomeUnknown):
--- a/internal/tier/controlplane/operators.go
+++ b/internal/tier/controlplane/operators.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Time-outs. Operators move on to another process when they have heard nothing for one second: all that is done before a
-// response fits into these.
+// Time-outs. Operators try another process after one second without an answer, so all work before a response must fit into
+// these.
 const (
-	// primaryProbeTimeout is for asking another process whether it is the primary, before a caller is sent to it.
+	// primaryProbeTimeout is for asking another process whether it is the primary, before a caller is redirected to it.
 	primaryProbeTimeout = 200 * time.Millisecond
-	// redirectTimeout is for holding a caller until there is a primary to send it to.
+	// redirectTimeout is for holding a call until there is a primary to redirect it to.
 	redirectTimeout = 900 * time.Millisecond
-	// operatorWriteTimeout is for waiting for the right to write and for the write, or for a read barrier.
+	// operatorWriteTimeout is for waiting for the writer lock and for the write, or for a read barrier.
 	operatorWriteTimeout = 450 * time.Millisecond
-	// replaceTimeout is for all of Configuration.Replace, with the wait for the gateways' acknowledgements.
+	// replaceTimeout is for all of Configuration.Replace, including the wait for the gateways' acknowledgements.
 	replaceTimeout = 600 * time.Millisecond
 )
 
 // Divisors of durations of the settings.
 const (
-	// primaryProbeDivisor divides the contact window: the interval of probes while a caller is held.
+	// primaryProbeDivisor divides the contact window: the interval of probes while a call is held.
 	primaryProbeDivisor = 60
-	// takeoverDivisor divides the contact window: a takeover lasts no longer.
+	// takeoverDivisor divides the contact window: the longest duration of a takeover.
 	takeoverDivisor = 2
 	// acknowledgementWaitDivisor divides guarantees.config_apply_ms, the time in which a configuration must be applied: the
 	// longest wait for the gateways' acknowledgements.
@@ -38,15 +38,14 @@
 	configurationMemoryDivisor = 16
 	// minConfigurationLimit is the least limit of a configuration, whatever the memory.
 	minConfigurationLimit = 4 << 20
-	// maxConfigurationLimit is the greatest limit of a configuration, whatever the memory: two thirds of
-	// consensus.StateLimit. The last third is for what the primary writes beside it, so that a configuration never keeps the
-	// partition map from being written: change records (maxChangeHistoryBytes) and the map (some hundred bytes for each turn
-	// store).
+	// maxConfigurationLimit is the greatest limit of a configuration, whatever the memory: two thirds of consensus.StateLimit.
+	// The last third is for the other keys that the primary writes, change records (maxChangeHistoryBytes) and the partition
+	// map (some hundred bytes for each turn store), so that a configuration never prevents the map from being written.
 	maxConfigurationLimit = 32 << 20
 )
 
 // Operators returns the handler of the API of operators and applications, which listens on listen_addresses.control_plane.
-// docs/design/hardening/1-answers.md tells which response a call gets from which process.
+// docs/design/hardening/1-answers.md lists the response to each call by the state of the process.
 func (plane *ControlPlane) Operators() http.Handler { return http.HandlerFunc(plane.dispatch) }
 
 // dispatch serves one call of the API: /saffronyard/CALL or /saffronyard/CALL/ARGUMENT.
@@ -70,7 +69,7 @@
 		method, serve = http.MethodGet, func() response { return plane.describeRetire(r, argument) }
 	}
 	switch {
-	case serve == nil: // true at each process in any state: it needs no primary
+	case serve == nil: // the same at each process in any state: no primary is needed
 		errorResponse(http.StatusNotFound, "no such call").write(w)
 	case r.Method != method:
 		w.Header().Set("Allow", method)
--- a/internal/tier/controlplane/read_barrier.go
+++ b/internal/tier/controlplane/read_barrier.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// readBarrier makes reads linearizable: what a primary read before a round trip to all backups was in force then, as no
-// other primary can have acknowledged anything in between. (Raft calls this ReadIndex, section 6.4 of the thesis.) Callers that
-// wait at the same time share a round trip; each gets one that began after its call.
+// readBarrier makes reads linearizable: a state that a primary read before a round trip to all backups was still in force at
+// the round trip, as no other primary can have acknowledged anything in between. (Raft calls this ReadIndex, section 6.4 of the
+// thesis.) Callers that wait at the same time share a round trip; each gets one that began after its call.
 type readBarrier struct {
 	store   Store
 	timeout time.Duration // of one round trip
 
 	mu      sync.Mutex
 	running bool         // run is active
-	next    *barrierCall // nil: nobody waits for a round trip that has not begun
+	next    *barrierCall // round trip that has not begun; nil: no caller waits for one
 }
 
 // barrierCall is one round trip.
@@ -50,7 +50,7 @@
 	}
 }
 
-// run makes round trips, one after the other, until nobody waits for one. Each ends within the time-out.
+// run makes round trips, one after the other, until no caller waits for one. Each ends within the time-out.
 func (b *readBarrier) run() {
 	for {
 		b.mu.Lock()
--- a/internal/tier/controlplane/redirect.go
+++ b/internal/tier/controlplane/redirect.go
@@ -10,15 +10,15 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// primaryMissing is the span in which operators could not be sent to a primary.
+// primaryMissing is the time span in which operators could not be redirected to a primary.
 type primaryMissing struct {
-	first time.Time // when they still could, or were first missed
-	last  time.Time // when that was last looked for
+	first time.Time // when a primary was last found, or the first search of the span
+	last  time.Time // when a primary was last searched for
 }
 
-// redirectToPrimary sends the caller to the primary. Around a takeover none is known for a while: the call is held until there
-// is one, for redirectTimeout at most, as a caller that is rejected waits longer with each attempt. A process without a
-// primary for longer than a takeover takes is cut off, and rejects callers at once.
+// redirectToPrimary redirects the caller to the primary. During a takeover no primary is known for a while: the call is held
+// until there is one, for at most redirectTimeout, because a rejected caller backs off longer with each attempt. A process that
+// has found no primary for longer than a takeover takes is partitioned, and rejects callers at once.
 func (plane *ControlPlane) redirectToPrimary(r *http.Request) response {
 	ctx, cancel := context.WithTimeout(r.Context(), redirectTimeout)
 	defer cancel()
@@ -43,7 +43,7 @@
 	}
 }
 
-// findPrimary returns the operators' address of the primary, and whether it is known at this moment. It may be this process
+// findPrimary returns the operators' address of the primary, and whether a primary was found. The primary may be this process
 // by now.
 func (plane *ControlPlane) findPrimary(ctx context.Context) (address string, ok bool) {
 	hint := plane.Store.PrimaryHint()
@@ -59,21 +59,21 @@
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
 	now := time.Now()
-	if ok || now.Sub(plane.primaryMissing.last) > plane.Settings.ContactWindow { // an earlier span has nothing to do with this one
+	if ok || now.Sub(plane.primaryMissing.last) > plane.Settings.ContactWindow { // a new span begins
 		plane.primaryMissing.first = now
 	}
 	plane.primaryMissing.last = now
 	return net.JoinHostPort(host, port), ok
 }
 
-// withinTakeover tells whether the primary has been missing for no longer than a takeover may take.
+// withinTakeover reports whether the primary has been missing for no longer than a takeover may take.
 func (plane *ControlPlane) withinTakeover(now time.Time) bool {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
 	return now.Sub(plane.primaryMissing.first) < plane.windowFraction(takeoverDivisor)
 }
 
-// probePrimary asks the process at an internal address whether it is the primary and in touch.
+// probePrimary asks the process at an internal address whether it is the primary and in touch with its backups.
 func (plane *ControlPlane) probePrimary(ctx context.Context, address string) bool {
 	if plane.Dial == nil {
 		return true
@@ -84,8 +84,8 @@
 	return err == nil && reply.IsPrimary
 }
 
-// probeRequest is a Watch that only asks who is the primary: it claims the newest version of all there is, so that the reply
-// brings nothing.
+// probeRequest returns a request of Watch that only checks whether the callee is the primary: it claims the highest version of
+// everything, so that the reply carries no state.
 func probeRequest() *tierv1.WatchRequest {
 	return &tierv1.WatchRequest{ConfigurationVersion: math.MaxUint64, EndpointsVersion: math.MaxUint64,
 		PartitionMapVersion: math.MaxUint64, MembersVersion: math.MaxUint64}
--- a/internal/tier/controlplane/request_body.go
+++ b/internal/tier/controlplane/request_body.go
@@ -8,7 +8,7 @@
 	"net/http"
 )
 
-// Reasons for which a body was not read. Operators read their texts.
+// Reasons for which a body was not read. Their texts are sent to operators.
 var (
 	errBodyTooLarge   = errors.New("the body is too large")
 	errBodyIncomplete = errors.New("the body did not come whole")
@@ -44,7 +44,8 @@
 	return errorResponse(http.StatusBadRequest, err.Error())
 }
 
-// discardBody reads what has come of a body that is not used, so that a reset of the connection does not destroy the response.
+// discardBody reads a body that is not used, up to maxRequestBody, so that unread data does not reset the connection and lose
+// the response.
 func discardBody(r *http.Request) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxRequestBody))
 }
--- a/internal/tier/controlplane/retire.go
+++ b/internal/tier/controlplane/retire.go
@@ -16,7 +16,7 @@
 	DurationSeconds float64 `json:"duration_s"`
 }
 
-// lifecycleBody is the body of a response that tells how far an order to retire is.
+// lifecycleBody is the body of a response with the state of an order to retire.
 type lifecycleBody struct {
 	State string `json:"lifecycle_state"`
 }
@@ -60,9 +60,9 @@
 	}
 }
 
-// decideAndWriteRetire decides on an order to retire, and writes it if it can be carried out, in one step with the decision.
-// It returns the state that the decision was based on; with retireAccept, which says that it was written, the state that has
-// it. duration is in seconds, as ordered.
+// decideAndWriteRetire decides on an order to retire and, if it can be carried out, writes it under the same lock. It returns
+// the state that the decision was based on or, with retireAccept, which means that the order was written, the state that
+// contains it. duration is the order's duration in seconds.
 func (plane *ControlPlane) decideAndWriteRetire(ctx context.Context, node string, duration float64) (retireDecision, *publishedState, error) {
 	decide := func(state *publishedState) retireDecision {
 		decided := plane.newRetireRequest(state, node).decide()
@@ -77,8 +77,8 @@
 	return decideAndWrite(ctx, plane, retireAccept, decide, write)
 }
 
-// writeRetire writes the partition map with an order to retire, publishes it, and returns a state that has it; or
-// retireStateTooLarge with the state as it was. The caller has the right to write.
+// writeRetire writes the partition map with an order to retire, publishes it, and returns a state that contains it; or
+// retireStateTooLarge with the state before. The caller holds the writer lock.
 func (plane *ControlPlane) writeRetire(ctx context.Context, before *publishedState, node string, duration float64) (retireDecision, *publishedState, error) {
 	after := *before
 	after.partitionMap = withRetireOrder(before.partitionMap, node)
@@ -95,8 +95,8 @@
 	return retireAccept, &after, nil
 }
 
-// recordRetireDeadline records until when a machine is to be emptied, by its order's duration in seconds. It does so before
-// the order is written, as the reconciliation follows the order from then on.
+// recordRetireDeadline records the deadline for emptying a machine, from its order's duration in seconds. It must be called
+// before the order is written, as reconcile follows the order from then on.
 func (plane *ControlPlane) recordRetireDeadline(node string, duration float64, orders []string) {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
@@ -118,7 +118,7 @@
 	return lifecycleResponse(state.partitionMap, node)
 }
 
-// lifecycleResponse is the response that tells how far the order to retire a node is, as the map has it recorded.
+// lifecycleResponse returns the response with the state of the order to retire a node, as recorded in the map.
 func lifecycleResponse(m *tierv1.PartitionMap, node string) response {
 	state := retireInProgress
 	if slices.Contains(m.GetRetired(), node) {
--- a/internal/tier/controlplane/retire_deadlines.go
+++ b/internal/tier/controlplane/retire_deadlines.go
@@ -7,15 +7,15 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// A machine is to be emptied in half of the time that its order has left, so that a loss meanwhile can be repaired in the
-// other half. Both numbers are estimates: a number of moves that was too low rises as the time runs out.
+// A machine is to be emptied in half of the time that its order has left, so that a loss meanwhile can be repaired in the other
+// half. Both numbers are estimates: if they give too few concurrent moves, the number rises as the time runs out.
 const (
-	deadlineReserveDivisor = 2 // of the time left: this part of it is planned for
-	moveTimeDivisor        = 3 // of the contact window: a move is taken to last so long
+	deadlineReserveDivisor = 2 // divides the time left: moves are planned for this part of it
+	moveTimeDivisor        = 3 // divides the contact window: the estimated duration of a move
 )
 
-// requiredMoves returns how many partitions have to move at a time for the machines that are to be emptied to be empty in
-// time. timeLeft is what the orders with a deadline have left, by node. It is pure.
+// requiredMoves returns how many partitions have to move at a time to empty the retiring machines before their deadlines.
+// timeLeft is the time left for the orders with a deadline, by node. It is pure.
 func requiredMoves(m *tierv1.PartitionMap, timeLeft map[string]time.Duration, moveTime time.Duration) int {
 	moves := 0
 	for node, partitions := range partitionsByRetiringNode(m) {
@@ -26,7 +26,7 @@
 	return moves
 }
 
-// concurrentMoves returns how many of the moves have to be made at a time for all to be over within a time.
+// concurrentMoves returns how many of the moves have to be made at a time to complete all of them within a duration.
 func concurrentMoves(moves int, within, moveTime time.Duration) int {
 	if within <= 0 {
 		return moves
@@ -54,10 +54,10 @@
 	return counts
 }
 
-// maxRetireDuration bounds the duration of an order: a longer one counts as none.
+// maxRetireDuration bounds the duration of an order: an order with a longer duration has no deadline.
 const maxRetireDuration = 30 * 24 * time.Hour
 
-// retireDuration returns the duration of an order in seconds; 0 where there is none.
+// retireDuration converts the duration of an order from seconds; 0 if the order has no deadline.
 func retireDuration(seconds float64) time.Duration {
 	if !(seconds > 0) || seconds > maxRetireDuration.Seconds() { // also for NaN
 		return 0
@@ -65,12 +65,12 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// retireDeadlines has until when machines are to be emptied, by node, on the monotonic clock of the process that got the
-// orders. The zero time is that of an order without a deadline.
+// retireDeadlines maps nodes to the deadlines for emptying them, on the monotonic clock of the process that received the
+// orders. The zero time stands for an order without a deadline.
 type retireDeadlines map[string]time.Time
 
-// record records the deadline of an order that has come. One that is repeated, as it could not be accepted yet, keeps the
-// deadline that it had at first.
+// record records the deadline of an order. An order that is repeated because it could not be accepted yet keeps its first
+// deadline.
 func (d retireDeadlines) record(node string, now time.Time, duration time.Duration) {
 	switch deadline := d[node]; {
 	case duration == 0:
@@ -80,7 +80,7 @@
 	}
 }
 
-// prune forgets deadlines that are over and belong to none of the orders.
+// prune deletes deadlines that have passed and belong to none of the orders.
 func (d retireDeadlines) prune(now time.Time, orders []string) {
 	for node, deadline := range d {
 		if now.After(deadline) && !slices.Contains(orders, node) {
@@ -89,8 +89,8 @@
 	}
 }
 
-// remaining returns the time that each of the orders with a deadline has left. How long ago another process accepted an
-// order is not known: its deadline counts as over, so that its machine is emptied as fast as possible.
+// remaining returns the time left for each of the orders with a deadline. The age of an order that another process accepted is
+// not known: its deadline counts as passed, so that its machine is emptied as fast as possible.
 func (d retireDeadlines) remaining(now time.Time, orders []string) map[string]time.Duration {
 	left := map[string]time.Duration{}
 	for _, node := range orders {
--- a/internal/tier/controlplane/retire_decision.go
+++ b/internal/tier/controlplane/retire_decision.go
@@ -7,35 +7,35 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// retireRequest is an order to retire a machine, with all that the decision on it needs.
+// retireRequest is an order to retire a machine, with the inputs of the decision on it.
 type retireRequest struct {
-	alreadyOrdered  bool // it was accepted before
+	alreadyOrdered  bool // the order was accepted before
 	knownNode       bool // the machine is known to keep data
-	remainingStores int  // turn stores that are alive and would be left without it
-	remainingMapped int  // machines that keep data by the map and would be left without it: some may be down for now
-	losses          int  // simultaneous losses to be tolerated
-	takeoverGrace   bool // shortly after a takeover: some that are alive may not have come yet
+	remainingStores int  // turn stores that are alive and would remain without the machine
+	remainingMapped int  // machines that keep data according to the map and would remain; some may be down temporarily
+	losses          int  // simultaneous losses to tolerate
+	takeoverGrace   bool // shortly after a takeover: turn stores that are alive may not have reconnected yet
 }
 
-// retireDecision is what becomes of an order to retire a machine.
+// retireDecision is the decision on an order to retire a machine.
 type retireDecision int
 
 const (
-	// retireAccept: it can be carried out and is to be written.
+	// retireAccept: the order can be carried out and is to be written.
 	retireAccept retireDecision = iota
-	// retireAlreadyOrdered: it was accepted before, and is acknowledged again, also when the machine has been removed since.
+	// retireAlreadyOrdered: the order was accepted before, and is acknowledged again, even if the machine has been removed since.
 	retireAlreadyOrdered
-	// retireTryLater: a rejection would end the order, though it may be possible in a moment.
+	// retireTryLater: the order may become possible shortly, while a rejection would be final.
 	retireTryLater
 	// retireUnknownNode: no machine of that name keeps data.
 	retireUnknownNode
-	// retireTooFewRemain: too few machines would be left for the losses to be tolerated.
+	// retireTooFewRemain: too few machines would remain to tolerate the losses.
 	retireTooFewRemain
-	// retireStateTooLarge: it was not written, as the control state would become too large with it.
+	// retireStateTooLarge: the order was not written, as it would make the control state too large.
 	retireStateTooLarge
 )
 
-// decide returns what becomes of the order. It is pure.
+// decide returns the decision on the order. It is pure.
 func (r retireRequest) decide() retireDecision {
 	enough := r.remainingStores >= r.losses+1
 	switch {
@@ -52,7 +52,7 @@
 	}
 }
 
-// newRetireRequest returns an order to retire a node, with what is known now.
+// newRetireRequest returns an order to retire a node, with the current inputs of the decision.
 func (plane *ControlPlane) newRetireRequest(state *publishedState, node string) retireRequest {
 	known, remaining := plane.remainingStores(state.partitionMap, node)
 	return retireRequest{
@@ -65,7 +65,8 @@
 	}
 }
 
-// remainingMappedNodes counts the other machines that keep data by the map and are not to be emptied: some may be down for now.
+// remainingMappedNodes counts the other machines that keep data according to the map and are not to be emptied. Some may be
+// down temporarily.
 func remainingMappedNodes(m *tierv1.PartitionMap, node string) int {
 	nodes := map[string]bool{}
 	for _, store := range m.GetStoreNodes() {
@@ -76,7 +77,7 @@
 	return len(nodes)
 }
 
-// remainingStores tells whether a node is known to keep data, and how many turn stores that are alive would be left without it.
+// remainingStores returns whether a node is known to keep data, and how many turn stores that are alive would remain without it.
 func (plane *ControlPlane) remainingStores(m *tierv1.PartitionMap, node string) (known bool, remaining int) {
 	plane.mu.Lock()
 	alive, draining, _ := plane.sessions.storeNodes(time.Now())
--- a/internal/tier/controlplane/retire_progress.go
+++ b/internal/tier/controlplane/retire_progress.go
@@ -8,18 +8,19 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Lifecycle states of an order to retire, as operators read them.
+// Lifecycle states of an order to retire, as sent to operators.
 const (
 	retireInProgress = "in_progress"
 	retireCompleted  = "completed"
 )
 
-// maxRetireRecords bounds the orders to retire that are remembered, and with them the partition map that every session gets.
-// An order is repeated for guarantees.ack_timeout_ms or less: 256 machines are not emptied and removed in that time.
+// maxRetireRecords bounds the recorded orders to retire, and so the size of the partition map, which every session gets.
+// Operators repeat an order for at most guarantees.ack_timeout_ms: fewer than 256 machines are emptied and removed in that
+// time.
 const maxRetireRecords = 256
 
-// withRetireOrder returns a copy of the map with an order to retire added. Beyond maxRetireRecords the oldest orders are
-// forgotten whose machines have been emptied and are not in the map any more.
+// withRetireOrder returns a copy of the map with an order to retire added. Beyond maxRetireRecords it drops the oldest orders
+// whose machines have been emptied and are no longer in the map.
 func withRetireOrder(m *tierv1.PartitionMap, node string) *tierv1.PartitionMap {
 	next := &tierv1.PartitionMap{}
 	if m != nil {
@@ -43,9 +44,9 @@
 	return next
 }
 
-// newlyRetired returns the machines that are empty in a map and not recorded as such in it. They are recorded in it before
-// any operator hears of it: from then on the machine may be removed with its disk at any moment, and what is lost elsewhere
-// later does not make it needed again.
+// newlyRetired returns the machines that are empty in a map and not recorded in it as retired. They must be recorded before any
+// operator is informed: from then on the machine may be removed with its disk at any moment, and later losses elsewhere do not
+// make it needed again.
 func newlyRetired(m *tierv1.PartitionMap, losses int) (nodes []string) {
 	for _, node := range m.GetRetiring() {
 		if !slices.Contains(m.Retired, node) && lifecycleState(m, node, losses) == retireCompleted {
@@ -55,8 +56,8 @@
 	return nodes
 }
 
-// lifecycleState tells by the replicas in a map whether a node that is to be emptied may be removed with its disk: no
-// partition has a replica there, and each has its synced replicas elsewhere.
+// lifecycleState returns, by the replicas in a map, whether a node that is to be emptied may be removed with its disk: no
+// partition has a replica there, and each has enough synced replicas elsewhere.
 func lifecycleState(m *tierv1.PartitionMap, node string, losses int) string {
 	onNode := map[string]bool{} // by folder
 	for _, store := range m.StoreNodes {
--- a/internal/tier/controlplane/write.go
+++ b/internal/tier/controlplane/write.go
@@ -9,7 +9,7 @@
 	"saffronyard.example/saffronyard/internal/tier/consensus"
 )
 
-// Reasons for which a request was not decided on. Operators read their texts.
+// Reasons for which a request was not decided on. Their texts are sent to operators.
 var (
 	errNotPrimary     = errors.New("this process is not the primary")
 	errWriterBusy     = errors.New("another write is under way")
@@ -18,7 +18,7 @@
 	errStateTooLarge  = errors.New("the control state would be too large")
 )
 
-// lockWriter takes the right to write to the store, or returns the error of ctx if that ends before.
+// lockWriter takes the writer lock, which every write to the store needs, or returns the error of ctx if ctx ends before.
 func (plane *ControlPlane) lockWriter(ctx context.Context) error {
 	select {
 	case plane.writer <- struct{}{}:
@@ -28,12 +28,12 @@
 	}
 }
 
-// unlockWriter gives the right to write back.
+// unlockWriter releases the writer lock.
 func (plane *ControlPlane) unlockWriter() { <-plane.writer }
 
-// write writes keys and returns the sequence of the write. The caller has the right to write. It returns errStateTooLarge
-// where nothing was written. After any other error nothing is shown until the state has been replicated anew (startEpoch), as
-// the outcome is unknown.
+// write writes keys and returns the sequence of the write. The caller holds the writer lock. It returns errStateTooLarge if
+// nothing was written. After any other error the outcome is unknown, and nothing is served until the state has been replicated
+// again (startEpoch).
 func (plane *ControlPlane) write(ctx context.Context, epoch uint64, sets map[string][]byte) (uint64, error) {
 	sequence, err := plane.Store.Put(ctx, epoch, sets)
 	if errorx.IsOfType(err, consensus.StateTooLarge) {
@@ -45,17 +45,17 @@
 		plane.updatePublished(epoch, func(state *publishedState) { state.ready = false })
 		wake(plane.reconcileNow)
 		plane.Log.Warn().Str("event", "write_unclear").Uint64("epoch", epoch).Str("error", err.Error()).
-			Msg("a write has no known outcome: replicating the state again before it is shown")
+			Msg("the outcome of a write is unknown: replicating the state again before serving it")
 	}
 	return sequence, err
 }
 
-// decideAndWrite decides on a request and, if the decision is accept, writes it in one step with the decision. decide is
-// called twice: a request that will not be written need not wait for the right to write, and one that has waited for it may
-// find another state. write is called with the right to write, and returns what became of the request.
+// decideAndWrite decides on a request and, if the decision is accept, writes it under the same writer lock. decide is called
+// before and after taking the lock: a request that will not be written need not wait for it, and the state may have changed
+// while a request has waited. write is called with the lock held, and returns the final decision.
 //
 // It returns the decision and the state that it was based on, or what write returns. The error is errNotPrimary or
-// errWriterBusy where there was no decision, else that of write.
+// errWriterBusy if there was no decision, else that of write.
 func decideAndWrite[D comparable](ctx context.Context, plane *ControlPlane, accept D, decide func(*publishedState) D,
 	write func(context.Context, *publishedState) (D, *publishedState, error)) (D, *publishedState, error) {
 	var none D
