--- a/internal/tier/controlplane/compression.go
+++ b/internal/tier/controlplane/compression.go
@@ -13,8 +13,8 @@
 // compressThreshold is the encoded size, in bytes, from which an endpoint list is compressed for sessions.
 const compressThreshold = 4 << 10
 
-// compressedEndpoints is an endpoint list as sessions get it. It is compressed when the first session needs it, and once for
-// all: a changed list goes to all sessions at the same time, and to encode a long one for each would overload the primary.
+// compressedEndpoints is an endpoint list in the form sent to sessions. It is compressed once, when the first session needs it:
+// a changed list goes to all sessions at the same time, and encoding a long list for each would overload the primary.
 type compressedEndpoints struct {
 	full *tierv1.Endpoints
 
@@ -22,7 +22,7 @@
 	compressed *tierv1.Endpoints
 }
 
-// get returns the list with its entries compressed, or as it is where it is short.
+// get returns the list with its entries compressed, or the list itself if it is short.
 func (list *compressedEndpoints) get() *tierv1.Endpoints {
 	list.once.Do(func() { list.compressed = compressEndpoints(list.full) })
 	return list.compressed
@@ -36,7 +36,7 @@
 	return state.compressedEndpoints.get()
 }
 
-// compressEndpoints returns a list with its entries compressed, or the list itself where it is short or can't be compressed.
+// compressEndpoints returns a list with its entries compressed, or the list itself if it is short or can't be compressed.
 func compressEndpoints(full *tierv1.Endpoints) *tierv1.Endpoints {
 	body, err := proto.Marshal(&tierv1.Endpoints{List: full.List})
 	if err != nil || len(body) < compressThreshold {
@@ -49,8 +49,8 @@
 	return &tierv1.Endpoints{Version: full.Version, Packed: packed}
 }
 
-// compressConfiguration returns a configuration as sessions get it: compressed where that is shorter. Routes are much alike,
-// and all sessions get it at each change.
+// compressConfiguration returns a configuration in the form sent to sessions: compressed if that is shorter. Routes are similar
+// to each other and compress well, and each change is sent to all sessions.
 func compressConfiguration(full *tierv1.Configuration) *tierv1.Configuration {
 	packed, err := compress(full.Body)
 	if err != nil || len(packed) >= len(full.Body) {
--- a/internal/tier/controlplane/ejection_push.go
+++ b/internal/tier/controlplane/ejection_push.go
@@ -7,7 +7,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// ReportEjections takes the report of a gateway. No backup confirms it: nothing rests on it. The error is always nil.
+// ReportEjections handles the report of a gateway. No backup confirms the report, as no guarantee depends on it. The error is
+// always nil.
 func (s *sessionService) ReportEjections(_ context.Context, report *tierv1.EjectionReport) (*tierv1.EjectionReportReply, error) {
 	plane := s.plane
 	epoch, ok := plane.Store.Primary()
@@ -39,7 +40,8 @@
 	return &tierv1.EjectionReportReply{IsPrimary: true}, nil
 }
 
-// publishEjections publishes what is announced, now or as soon as the last publication is long enough ago. The caller holds mu.
+// publishEjections publishes the announced ejections, at once or when the minimum interval since the last publication has
+// passed. The caller holds mu.
 func (plane *ControlPlane) publishEjections(now time.Time) {
 	if plane.unpublishedEjections == nil || plane.ejectionPushTimer != nil {
 		return
--- a/internal/tier/controlplane/ejections.go
+++ b/internal/tier/controlplane/ejections.go
@@ -11,10 +11,11 @@
 // Divisors of the contact window.
 const (
 	ejectionReportDivisor  = 4  // for the time in which reports of different gateways count together
-	ejectionPublishDivisor = 80 // for the least interval of publications
+	ejectionPublishDivisor = 80 // for the minimum interval of publications
 )
 
-// minEjectionReporters is how many gateways must have ejected an endpoint before all are notified. One alone may have a fault of its own.
+// minEjectionReporters is how many gateways must have ejected an endpoint before all gateways are notified. A single gateway
+// may be faulty itself.
 const minEjectionReporters = 2
 
 // ejectionHealthCheckers is how many gateways check the health of an endpoint that all have ejected.
@@ -23,14 +24,14 @@
 // maxEjections bounds the announced endpoints, and those with reports.
 const maxEjections = 256
 
-// ejections aggregates what gateways report of the endpoints that they have ejected. It is pure: times are passed in.
+// ejections aggregates the reports of gateways about the endpoints that they have ejected. It is pure: times are passed in.
 type ejections struct {
 	window    time.Duration                   // the contact window
 	reports   map[string]map[string]time.Time // by instance: the gateways that have reported it, and when
-	announced []announcedEjection             // oldest first, one of an instance at most
+	announced []announcedEjection             // oldest first, at most one of an instance
 }
 
-// announcedEjection is an ejection of which gateways are notified.
+// announcedEjection is an ejection that gateways are notified of.
 type announcedEjection struct {
 	ejection *tierv1.Ejection
 	at       time.Time
@@ -41,8 +42,8 @@
 	return ejections{window: window, reports: map[string]map[string]time.Time{}}
 }
 
-// report takes a gateway's report of one instance, and tells whether all are to be notified: enough gateways have reported
-// it, or it is announced already and the report comes from a gateway that checks its health.
+// report records a gateway's report of one instance, and returns whether all gateways are to be notified: enough gateways have
+// reported the instance, or its ejection is announced already and the report comes from one of its health checkers.
 func (e *ejections) report(now time.Time, node, instance string, needed int) bool {
 	if known := e.findAnnounced(now, instance); known != nil && !known.Restored && slices.Contains(known.HealthCheckers, node) {
 		return true
@@ -71,13 +72,13 @@
 	return true
 }
 
-// restored takes a gateway's report that an instance has answered, and tells whether the others are to be notified.
+// restored handles a gateway's report that an instance has answered, and returns whether the other gateways are to be notified.
 func (e *ejections) restored(now time.Time, instance string) bool {
 	known := e.findAnnounced(now, instance)
 	return known != nil && !known.Restored
 }
 
-// findAnnounced returns what is announced of an instance, nil: nothing.
+// findAnnounced returns the announced ejection of an instance, nil if there is none.
 func (e *ejections) findAnnounced(now time.Time, instance string) *tierv1.Ejection {
 	for _, known := range e.announced {
 		if known.ejection.Instance == instance && now.Sub(known.at) <= e.window {
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// dropStaleReports drops reports that are too old to count with another one.
+// dropStaleReports drops the reports that are too old to count together with a new one.
 func (e *ejections) dropStaleReports(now time.Time) {
 	for instance, reporters := range e.reports {
 		newest := time.Time{}
@@ -102,7 +103,8 @@
 	}
 }
 
-// announce adds an ejection in place of an earlier one of its instance, drops those older than a contact window, and returns all.
+// announce adds an ejection in place of an earlier one of the same instance, drops those older than a contact window, and
+// returns the rest.
 func (e *ejections) announce(now time.Time, ejection *tierv1.Ejection) *tierv1.Ejections {
 	kept := e.announced[:0]
 	for _, known := range e.announced {
@@ -121,7 +123,8 @@
 	return all
 }
 
-// chooseHealthCheckers chooses the gateways that check an instance: others for each version, so that one without requests is not kept.
+// chooseHealthCheckers chooses the gateways that check the health of an instance. The choice differs from version to version,
+// so that a gateway without requests does not remain a checker.
 func chooseHealthCheckers(gateways []string, instance string, version uint64) (checkers []string) {
 	if len(gateways) == 0 {
 		return nil
--- a/internal/tier/controlplane/endpoint_list.go
+++ b/internal/tier/controlplane/endpoint_list.go
@@ -10,27 +10,27 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// endpointList is what a primary knows of the platform's list, which it scans page by page. What a page has is taken at
-// once: that an endpoint drains, or that one is new. What is on no page is removed, and that is known only when the last page
-// of a scan has come. Until then an address may be listed for its former instance as well: a request names the instance that
-// it is for, and another rejects it. The list has no clock and no lock of its own.
+// endpointList is the primary's copy of the platform's list, which the primary scans page by page. Endpoints of a page that are
+// new or draining take effect at once. An endpoint that is on no page is removed, but only at the end of a scan. Until then an
+// address may also be listed for its former instance. This is safe because a request names its instance, and any other instance
+// rejects the request. Times are passed in, and the caller serializes access.
 type endpointList struct {
-	minPushInterval time.Duration             // within a scan
-	quickScan       time.Duration             // a scan that takes no longer is pushed at its end, if the one before took no longer either
+	minPushInterval time.Duration             // minimum time between pushes within a scan
+	quickScan       time.Duration             // scans up to this duration are pushed at their end, if the previous one was no longer either
 	entries         map[string]listedEndpoint // by instance
-	scan            uint64                    // number of the scan that is under way, or was the last
-	complete        bool                      // a scan has come to its end: entries is a complete list
-	changed         bool                      // since the last push
-	lastPush        time.Time                 // zero: none
-	scanBegan       time.Time                 // of the scan that is under way; zero: none is
-	lastScanTime    time.Duration             // of the last scan that came to its end
+	scan            uint64                    // number of the current or last scan
+	complete        bool                      // a scan has ended: entries is a complete list
+	changed         bool                      // entries have changed since the last push
+	lastPush        time.Time                 // zero: no push yet
+	scanBegan       time.Time                 // start of the current scan; zero: no scan is under way
+	lastScanTime    time.Duration             // duration of the last scan that ended
 }
 
 // listedEndpoint is an endpoint as it was read last.
 type listedEndpoint struct {
 	endpoint *tierv1.Endpoint
 	readAt   time.Time
-	scan     uint64 // number of that scan
+	scan     uint64 // number of the scan that read it
 }
 
 // newEndpointList returns a list before its first scan.
@@ -38,7 +38,7 @@
 	return endpointList{minPushInterval: minPushInterval, quickScan: quickScan, entries: map[string]listedEndpoint{}}
 }
 
-// beginScan begins a scan. One that was given up before its end leaves what it has added, and removes nothing.
+// beginScan begins a scan. A scan that is abandoned before its end keeps what it has added, and removes nothing.
 func (l *endpointList) beginScan(now time.Time) {
 	l.scan++
 	l.scanBegan = now
@@ -49,7 +49,7 @@
 	for _, endpoint := range page {
 		before, known := l.entries[endpoint.Instance]
 		if known && before.scan == l.scan && before.endpoint.Draining && !endpoint.Draining {
-			// The list changed during the scan, and has the instance on two pages: one that drains does not return.
+			// The list changed during the scan, and the instance is on two pages: within a scan draining is final.
 			endpoint = proto.Clone(endpoint).(*tierv1.Endpoint)
 			endpoint.Draining = true
 		}
@@ -60,7 +60,7 @@
 	}
 }
 
-// endScan ends a scan: what it has not shown is removed.
+// endScan ends a scan, and removes the endpoints that were on none of its pages.
 func (l *endpointList) endScan(now time.Time) {
 	l.lastScanTime, l.scanBegan = now.Sub(l.scanBegan), time.Time{}
 	for instance, one := range l.entries {
@@ -70,12 +70,12 @@
 		}
 	}
 	if !l.complete {
-		l.complete, l.changed = true, true // also an empty list is a change
+		l.complete, l.changed = true, true // the first complete list is a change even if it is empty
 	}
 }
 
-// pushDelay tells whether there is something to push, and how long it is to wait: changes that come close to each other are
-// pushed together. Before a complete list there is nothing to push, as a session would take the rest for removed.
+// pushDelay returns whether there is something to push, and after what delay: changes that come close to each other are pushed
+// together. Before the first complete list nothing is pushed, as sessions would treat the missing endpoints as removed.
 func (l *endpointList) pushDelay(now time.Time) (delay time.Duration, pending bool) {
 	if !l.changed || !l.complete {
 		return 0, false
@@ -84,19 +84,19 @@
 		return 0, true
 	}
 	delay = l.minPushInterval - now.Sub(l.lastPush)
-	if !l.scanBegan.IsZero() && l.lastScanTime <= l.quickScan { // its end is near, and one push costs all sessions less
+	if !l.scanBegan.IsZero() && l.lastScanTime <= l.quickScan { // the scan will end soon, and a single push costs the sessions less
 		delay = max(delay, l.quickScan-now.Sub(l.scanBegan))
 	}
 	return max(0, delay), true
 }
 
-// push returns the list that is pushed now.
+// push records a push, and returns the list to be pushed.
 func (l *endpointList) push(now time.Time) []*tierv1.Endpoint {
 	l.changed, l.lastPush = false, now
 	return l.list(now)
 }
 
-// list returns all endpoints in the order of instances. The slow start of those that were read some time ago has gone on since.
+// list returns all endpoints, sorted by instance. Their remaining slow start is reduced by the time since they were read.
 func (l *endpointList) list(now time.Time) []*tierv1.Endpoint {
 	list := make([]*tierv1.Endpoint, 0, len(l.entries))
 	for _, one := range l.entries {
@@ -106,7 +106,7 @@
 	return list
 }
 
-// agedTo returns the endpoint as it is now, by the time since it was read.
+// agedTo returns the endpoint with its remaining slow start reduced by the time since it was read.
 func (entry listedEndpoint) agedTo(now time.Time) *tierv1.Endpoint {
 	elapsed := uint64(max(0, now.Sub(entry.readAt)).Milliseconds())
 	remaining := uint64(entry.endpoint.SlowStartRemainingMs)
@@ -118,7 +118,7 @@
 	return aged
 }
 
-// sameEndpoint tells whether two entries differ in nothing but that the slow start of b has gone on.
+// sameEndpoint reports whether two entries are equal, except that b may have less slow start remaining than a.
 func sameEndpoint(a, b *tierv1.Endpoint) bool {
 	if b.SlowStartRemainingMs > a.SlowStartRemainingMs {
 		return false
--- a/internal/tier/controlplane/endpoint_push.go
+++ b/internal/tier/controlplane/endpoint_push.go
@@ -6,7 +6,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// beginScan begins a scan of the platform's list, if the epoch goes on.
+// beginScan begins a scan of the platform's list, if epoch is still the published one.
 func (plane *ControlPlane) beginScan(epoch uint64) {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
@@ -15,8 +15,8 @@
 	}
 }
 
-// addPage adds a page of a scan that was begun in an epoch, and publishes what it brings, at once or as soon as the last push
-// is long enough ago. A page of a scan of an earlier epoch is dropped.
+// addPage adds a page of a scan that was begun in an epoch, and publishes its changes, at once or when the minimum interval
+// since the last push has passed. A page of a scan of an earlier epoch is dropped.
 func (plane *ControlPlane) addPage(epoch uint64, page []*tierv1.Endpoint, last bool) {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
@@ -40,7 +40,7 @@
 	}
 }
 
-// publishPending publishes what has been read in an epoch and not been published yet.
+// publishPending publishes the changes that were read in an epoch and are not published yet.
 func (plane *ControlPlane) publishPending(epoch uint64) {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
@@ -50,8 +50,8 @@
 	}
 }
 
-// publishEndpoints publishes the list as it is now. One in which only slow starts have gone on keeps its version: no session
-// needs to hear of it, but one that comes next gets the newer figures. The caller holds mu.
+// publishEndpoints publishes the current list. If only remaining slow starts have decreased, the list keeps its version: it is
+// not pushed to existing sessions, but new sessions get the newer values. The caller holds mu.
 func (plane *ControlPlane) publishEndpoints(now time.Time) {
 	plane.stopEndpointPushTimer()
 	if _, pending := plane.endpointList.pushDelay(now); !pending {
--- a/internal/tier/controlplane/platform_client.go
+++ b/internal/tier/controlplane/platform_client.go
@@ -19,7 +19,7 @@
 	maxPageBytes = 16 << 20
 )
 
-// instancePage is one page of the platform's list, as GET /instances answers.
+// instancePage is one page of the platform's list, the response to GET /instances.
 type instancePage struct {
 	Instances []instance `json:"instances"`
 	Next      *string    `json:"next_page_token"` // null or empty: this is the last page
@@ -48,7 +48,7 @@
 // lifecycleDraining is the lifecycle state of an instance that is to get no new requests.
 const lifecycleDraining = "draining"
 
-// isLast tells whether no page follows.
+// isLast reports whether no page follows.
 func (p *instancePage) isLast() bool { return p.Next == nil || *p.Next == "" }
 
 // endpoints returns the entries of a page that have an instance and an address.
@@ -69,28 +69,28 @@
 	return list
 }
 
-// clampUint32 converts a number, and takes the nearest one where it is out of range.
+// clampUint32 converts a number, clamped to the range of uint32.
 func clampUint32(f float64) uint32 { return uint32(min(max(f, 0), math.MaxUint32)) }
 
-// rateLimitedError says that the platform has rejected a call as too many came.
+// rateLimitedError reports that the platform rejected a call because of its rate limit.
 type rateLimitedError struct {
 	status     int
-	retryAfter time.Duration // 0: the platform did not say
+	retryAfter time.Duration // 0: the response has no Retry-After
 }
 
 // Error implements error.
 func (err rateLimitedError) Error() string {
-	return fmt.Sprintf("the platform answered %d", err.status)
+	return fmt.Sprintf("platform rejected the call by its rate limit with status %d", err.status)
 }
 
-// statusError says that the platform answered a call with a status that is not 200, and not for its rate.
+// statusError is the status of a response of the platform that is neither 200 nor a rate limit.
 type statusError int
 
 // Error implements error.
-func (err statusError) Error() string { return fmt.Sprintf("the platform answered %d", int(err)) }
+func (err statusError) Error() string { return fmt.Sprintf("platform returned status %d", int(err)) }
 
-// fetchPage asks for one page of the list; an empty token is that of the first. The error is a rateLimitedError, a
-// statusError, or that of the call or the decoder.
+// fetchPage requests one page of the list; an empty token requests the first. The error is a rateLimitedError, a statusError,
+// or the error of the call or the decoder.
 func (plane *ControlPlane) fetchPage(ctx context.Context, token string) (*instancePage, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -116,12 +116,12 @@
 	}
 	page := &instancePage{}
 	if err := json.Unmarshal(body, page); err != nil {
-		return nil, fmt.Errorf("list of the platform: %w", err)
+		return nil, fmt.Errorf("decode the platform's list: %w", err)
 	}
 	return page, nil
 }
 
-// callError is the error of a call that was not answered with 200. A Retry-After longer than the drain time is cut to it.
+// callError returns the error for a response with a status other than 200. Retry-After is capped at the drain time.
 func (plane *ControlPlane) callError(reply *http.Response) error {
 	retryAfter := time.Duration(0)
 	if seconds, err := strconv.ParseFloat(reply.Header.Get("Retry-After"), 64); err == nil && seconds > 0 {
--- a/internal/tier/controlplane/platform_poll.go
+++ b/internal/tier/controlplane/platform_poll.go
@@ -12,24 +12,24 @@
 const (
 	// pollDivisor is for the interval at which the list is read, if the platform's rate allows it.
 	pollDivisor = 3
-	// pushIntervalDivisor is for the least interval of pushes within a scan: each push goes to all sessions.
+	// pushIntervalDivisor is for the minimum interval of pushes within a scan: each push goes to all sessions.
 	pushIntervalDivisor = 12
-	// quickScanDivisor is for the time of a scan within which its changes are pushed at its end, all at once.
+	// quickScanDivisor is for the longest scan whose changes are pushed together at its end.
 	quickScanDivisor = 4
 )
 
 const (
-	// rateHeadroom is how many times the calls that are made the platform's rate allows: only the primary makes any.
+	// rateHeadroom is the ratio of the platform's rate to the rate of the calls that are made. Only the primary makes calls.
 	rateHeadroom = 1.5
-	// maxRetries is for the pages of one scan that did not come. In a process that is overloaded a call may miss its time-out
-	// while the platform is well. Without a retry the whole scan would be lost with it, and a draining endpoint be noticed
-	// a scan and its backoff later.
+	// maxRetries bounds the retries of failed calls within one scan. In an overloaded process a call may time out while the
+	// platform is healthy. Without a retry the whole scan would fail, and a draining endpoint would be noticed a scan and its
+	// backoff later.
 	maxRetries = 3
-	// retryDelay is before a retry after a call without an answer.
+	// retryDelay is the delay before the retry of a call that failed for another reason than the rate limit.
 	retryDelay = 50 * time.Millisecond
-	// minPollInterval is the least time from the begin or end of a scan to the next.
+	// minPollInterval is the minimum time from the begin or end of a scan to the next scan.
 	minPollInterval = 50 * time.Millisecond
-	// backoffFactor is by how much the interval grows with each failure in a row, up to maxBackoffSteps of them.
+	// backoffFactor is the factor by which the interval grows with each consecutive failure, up to maxBackoffSteps of them.
 	backoffFactor   = 1.5
 	maxBackoffSteps = 3
 	// maxPages bounds a scan.
@@ -38,16 +38,16 @@
 	notPrimaryPollPause = time.Hour
 )
 
-// errNoLongerPrimary says that this process ceased to be the primary during a scan.
+// errNoLongerPrimary is the error of a scan during which this process ceased to be the primary.
 var errNoLongerPrimary = errors.New("no longer the primary")
 
-// endlessListError says that the platform's list does not end.
+// endlessListError reports that the pages of the platform's list do not come to an end.
 type endlessListError struct{ problem string }
 
 // Error implements error.
 func (err endlessListError) Error() string { return err.problem }
 
-// pollPlatform reads the platform's list again and again while this process is the primary, until ctx ends.
+// pollPlatform reads the platform's list periodically while this process is the primary, until ctx ends.
 func (plane *ControlPlane) pollPlatform(ctx context.Context) {
 	if plane.Settings.CloudAddress == "" {
 		return
@@ -77,7 +77,7 @@
 				pause = max(limited.retryAfter, plane.pollInterval(calls, failures))
 			default:
 				if failures > 0 {
-					plane.Log.Info().Str("event", "platform_answers").Int("failures", failures).Msg("read the platform's list again")
+					plane.Log.Info().Str("event", "platform_answers").Int("failures", failures).Msg("reading the platform's list succeeded again")
 				}
 				failures = 0
 			}
@@ -93,8 +93,8 @@
 	}
 }
 
-// pollInterval returns the time from the begin of one scan to the next: by the drain time, but no shorter than the
-// platform's rate allows for so many pages, and longer after failures.
+// pollInterval returns the time from the begin of one scan to the next: a fraction of the drain time, but no shorter than the
+// platform's rate allows for the number of pages, and longer after failures.
 func (plane *ControlPlane) pollInterval(pages, failures int) time.Duration {
 	interval := plane.Settings.DrainTimeout / pollDivisor
 	if rate := plane.Settings.CloudRate; rate > 0 {
@@ -104,8 +104,8 @@
 	return time.Duration(float64(max(interval, minPollInterval)) * backoff)
 }
 
-// scanPlatform reads the whole list, and publishes what its pages bring as they come. It retries pages that did not come,
-// maxRetries times in all, before it gives up. It returns how many calls the platform's rate had to allow, and
+// scanPlatform reads the whole list, and publishes the changes of each page as it arrives. It retries failed calls, maxRetries
+// times in all, before it gives up. It returns the number of calls that count against the platform's rate, and
 // errNoLongerPrimary, an endlessListError, an error of fetchPage, or that of ctx.
 func (plane *ControlPlane) scanPlatform(ctx context.Context, epoch uint64) (calls int, err error) {
 	defer plane.publishPending(epoch)
@@ -115,7 +115,7 @@
 	seen := map[string]bool{}   // tokens
 	for calls < maxPages {
 		if now, primary := plane.Store.Primary(); !primary || now != epoch {
-			return calls, errNoLongerPrimary // the calls are another's to make
+			return calls, errNoLongerPrimary // only the primary makes calls
 		}
 		calls++
 		page, err := plane.fetchPage(ctx, token)
@@ -125,7 +125,7 @@
 			retries++
 			if rejected {
 				spacing = plane.callSpacing()
-				calls-- // it took none of what the rate allows
+				calls-- // a rejected call does not count against the rate
 			}
 			if plane.awaitRetry(ctx, err) {
 				continue
@@ -140,17 +140,17 @@
 		}
 		token = *page.Next
 		if seen[token] {
-			return calls, endlessListError{fmt.Sprintf("page %q leads back to itself", token)}
+			return calls, endlessListError{fmt.Sprintf("page token %q was returned twice", token)}
 		}
 		seen[token] = true
 		if spacing > 0 && !sleep(ctx, spacing) {
 			return calls, ctx.Err()
 		}
 	}
-	return calls, endlessListError{"the list has no end"}
+	return calls, endlessListError{"the platform's list has too many pages"}
 }
 
-// callSpacing returns the time from one call to the next at the platform's rate, with headroom; 0 where no rate is known.
+// callSpacing returns the time from one call to the next at the platform's rate, with headroom; 0 if no rate is known.
 func (plane *ControlPlane) callSpacing() time.Duration {
 	rate := plane.Settings.CloudRate
 	if rate <= 0 {
@@ -159,9 +159,10 @@
 	return time.Duration(rateHeadroom / rate * float64(time.Second))
 }
 
-// awaitRetry waits until a call that failed with err may be retried, and tells whether it may within this scan. One that was
-// rejected is retried at the platform's rate, unless the platform asks to wait for longer than a scan is worth: a list with
-// more pages than calls are accepted at once would never be read otherwise.
+// awaitRetry waits until a call that failed with err may be retried, and returns whether it may be retried within this scan. A
+// rate-limited call is retried at the platform's rate, because otherwise a list with more pages than the platform's burst limit
+// would never be read. It is not retried if no rate is known, or if Retry-After is longer than the drain time divided by
+// pollDivisor.
 func (plane *ControlPlane) awaitRetry(ctx context.Context, err error) bool {
 	var limited rateLimitedError
 	if !errors.As(err, &limited) {
