--- a/internal/tier/controlplane/controlplane.go
+++ b/internal/tier/controlplane/controlplane.go
@@ -16,24 +16,24 @@
 const (
 	// sessionCheckDivisor is for the interval at which the primary looks for sessions that have expired.
 	sessionCheckDivisor = 12
-	// sessionTTLDivisor is for the time that a session stays active after its last call was answered, where its calls are
-	// held for as long as they may.
+	// sessionTTLDivisor is for the time that a session stays active after the answer to its last call, if its calls are held
+	// for the longest time allowed.
 	sessionTTLDivisor = 10
-	// longPollDivisor is for the longest time that a call of Watch is held,
+	// longPollDivisor is for the longest time that a call of Watch is held.
 	longPollDivisor = 6
-	// and turnStoreLongPollDivisor for that of turn stores, which ask for less (internal/tier/session).
+	// turnStoreLongPollDivisor is the same for turn stores, which request a shorter time (internal/tier/session).
 	turnStoreLongPollDivisor = 12
 	// takeoverGraceDivisor is for the time after a takeover in which no turn store counts as lost.
 	takeoverGraceDivisor = 4
-	// writeTimeoutDivisor is for the time-out of a write that the primary makes by itself.
+	// writeTimeoutDivisor is for the time-out of a write that the primary starts itself, without a caller.
 	writeTimeoutDivisor = 3
 	// firstMapDelayDivisor is for the time without a new turn store after which the first partition map is made.
 	firstMapDelayDivisor = 10
-	// lostReplicaWaitDivisor is for the time that a partition without a turn store for another replica waits, after a
-	// session has expired, before it goes on without that replica. A turn store whose call was lost notices this a twelfth
-	// of the window after the expiry, a search for the primary that fails takes an eighth, and the pause until the next a
-	// thirtieth: 0.24 in all. With the detection (long poll, TTL and check: 0.27) the wait ends within the window, in which
-	// a machine that had a fault does not yet count as in touch again.
+	// lostReplicaWaitDivisor is for the time that a partition waits for a replica whose session has expired, if no turn store
+	// can take another replica, before the partition goes on without it. A turn store whose call was lost notices the loss a
+	// twelfth of the window after the expiry, a failed search for the primary takes an eighth, and the pause before the next
+	// search a thirtieth: 0.24 of the window in all. With the detection (long poll, TTL and check: 0.27) the wait ends within
+	// the window, in which a machine that had a fault does not yet count as in touch again.
 	lostReplicaWaitDivisor = 4
 )
 
@@ -53,23 +53,23 @@
 type ControlPlane struct {
 	Config
 	faultTolerance FaultTolerance
-	writer         chan struct{} // a lock of one slot: who has sent may write to the store
+	writer         chan struct{} // writer lock with one slot, see lockWriter
 	reconcileNow   chan struct{} // wakes Run
 	pollNow        chan struct{} // wakes pollPlatform
 	barrier        readBarrier
 	coordination   *coordination.Runtime
 
-	mu               sync.Mutex // guards all below
+	mu               sync.Mutex // guards all fields below
 	published        *publishedState
 	publishedChanged chan struct{} // closed when published is replaced
 	sessions         sessionRegistry
 	riskTimer        riskTimer
-	retireDeadlines  retireDeadlines // of the orders that came to this process
+	retireDeadlines  retireDeadlines // of the orders that this process received
 	primaryMissing   primaryMissing
 	versions         struct{ endpoints, members, ejections uint64 } // counters within the epoch, see nextVersion
 
 	endpointList      endpointList // as read in the epoch of published
-	endpointPushTimer *time.Timer  // publishes what has changed in endpointList; nil: no push is scheduled
+	endpointPushTimer *time.Timer  // publishes the changes of endpointList; nil: no push is scheduled
 
 	ejections            ejections         // in the epoch of published
 	unpublishedEjections *tierv1.Ejections // nil: all are published
@@ -77,7 +77,7 @@
 	ejectionPushTimer    *time.Timer // publishes unpublishedEjections; nil: no push is scheduled
 }
 
-// New returns a control plane that does nothing until Run is called.
+// New returns a control plane, which does nothing until Run is called.
 func New(config Config) *ControlPlane {
 	if config.Cloud == nil {
 		config.Cloud = http.DefaultClient
@@ -124,7 +124,7 @@
 	return plane.Settings.ContactWindow / time.Duration(divisor)
 }
 
-// wake has the receiver of a channel with one slot look again. It does not block: a wake-up that is pending already counts for both.
+// wake signals the receiver of a channel with one slot. It does not block: if a signal is already pending, the two are merged.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/tier/controlplane/metrics.go
+++ b/internal/tier/controlplane/metrics.go
@@ -11,7 +11,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Metrics returns the figures of this moment, from the state that Status shows and under the same locks.
+// Metrics returns the current figures, from the same state and under the same locks as Status.
 func (plane *ControlPlane) Metrics() metrics.ControlPlane {
 	record := plane.Store.View()
 	figures := metrics.ControlPlane{Epoch: record.GetEpoch(), Members: len(record.GetMembers()), Disk: tierv1.DiskState_DISK_SOUND}
@@ -25,7 +25,7 @@
 	return figures
 }
 
-// diskState returns the state of a disk by the error that keeps this process from writing, nil if none does.
+// diskState returns the state of a disk for the error that prevents this process from writing; nil if there is none.
 func diskState(failure error) tierv1.DiskState {
 	switch {
 	case failure == nil:
@@ -38,7 +38,7 @@
 	return tierv1.DiskState_DISK_FAILING
 }
 
-// primaryMetrics returns the figures that only the primary knows.
+// primaryMetrics returns the figures that only the primary has.
 func (plane *ControlPlane) primaryMetrics(now time.Time, state *publishedState) *metrics.Primary {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
--- a/internal/tier/controlplane/primary.go
+++ b/internal/tier/controlplane/primary.go
@@ -13,11 +13,12 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// writeRetryBackoff is the pause after a failed write that the primary made by itself, and the shortest one between two rounds.
+// writeRetryBackoff is the pause after a failed write of Run, and the minimum pause between two iterations of Run.
 const writeRetryBackoff = 100 * time.Millisecond
 
-// Run does the primary's work in each epoch in which this process is the primary. It returns when ctx has ended and so have
-// the reading of the platform's list and the runtime of locks, counters and keys. A read barrier's round trip may end later, within its time-out.
+// Run does the primary's work in each epoch in which this process is the primary. It returns once ctx has ended and
+// pollPlatform and the runtime of locks, counters and keys have returned. A read barrier's round trip may end later, within its
+// time-out.
 func (plane *ControlPlane) Run(ctx context.Context) {
 	var background sync.WaitGroup
 	background.Go(func() { plane.pollPlatform(ctx) })
@@ -31,7 +32,7 @@
 		pause := plane.windowFraction(sessionCheckDivisor)
 		reconcileNow := plane.reconcileNow
 		if epoch, ok := plane.Store.Primary(); ok {
-			if !plane.servePrimary(ctx, epoch, &loop) { // a failed write is a change, too: it must not wake the next at once
+			if !plane.servePrimary(ctx, epoch, &loop) { // a failed write signals a change, too, which must not start the next attempt at once
 				changed, reconcileNow, pause = nil, nil, writeRetryBackoff
 			}
 		} else {
@@ -50,8 +51,8 @@
 	}
 }
 
-// servePrimary brings the published state and the partition map up to date. It returns false where a write has failed, so
-// that the next round is to wait for a while.
+// servePrimary brings the published state and the partition map up to date. It returns false if a write has failed; the next
+// attempt must then wait for writeRetryBackoff.
 func (plane *ControlPlane) servePrimary(ctx context.Context, epoch uint64, loop *reconciler) bool {
 	state, _ := plane.currentState()
 	if state.epoch != epoch || !state.ready {
@@ -68,9 +69,9 @@
 	return plane.reconcile(ctx, epoch, loop)
 }
 
-// startEpoch writes an epoch marker, and publishes the control state once all backups have it. The marker's write replicates all
-// that was written before: what an earlier primary left without a clear outcome is either in force from here on, or never
-// will be. (Raft does the same with an empty entry at the start of a term, section 8 of the paper.)
+// startEpoch writes an epoch marker, and publishes the control state once all backups have it. The marker's write replicates
+// all earlier writes, too: a write that an earlier primary left with an unknown outcome is from then on either in force, or
+// never will be. (Raft does the same with an empty entry at the start of a term, section 8 of the paper.)
 func (plane *ControlPlane) startEpoch(ctx context.Context, epoch uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, plane.windowFraction(writeTimeoutDivisor))
 	defer cancel()
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// loadState reads the control state. The caller has the right to write.
+// loadState reads the control state. The caller holds the writer lock.
 func (plane *ControlPlane) loadState(epoch uint64) (*publishedState, error) {
 	next := &publishedState{epoch: epoch, ready: true, since: time.Now()}
 	if body, sequence := plane.Store.Get(keyConfiguration); body != nil {
@@ -114,8 +115,8 @@
 	return next, nil
 }
 
-// publishEpoch publishes the state that was read at the start of an epoch. What is no part of the replicated state stays where
-// this process is back in touch in the same epoch, and starts anew in another.
+// publishEpoch publishes the state that was read at the start of an epoch. State that is not replicated is kept if this process
+// is ready again in the same epoch, and reset in another epoch.
 func (plane *ControlPlane) publishEpoch(next *publishedState) {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
@@ -134,7 +135,7 @@
 		Int("orders", len(next.changes.records)).Msg("serving as the primary of the epoch")
 }
 
-// stepDown stops showing the published state: this process is not the primary, or out of touch with its backups.
+// stepDown stops serving the published state: this process is not the primary, or out of touch with its backups.
 func (plane *ControlPlane) stepDown() {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
--- a/internal/tier/controlplane/published_state.go
+++ b/internal/tier/controlplane/published_state.go
@@ -9,18 +9,18 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// publishedState is what sessions and operators are shown: the control state as all backups have it, and what the primary
-// knows beside it. It is immutable: a change replaces it.
+// publishedState is the state that is served to sessions and operators: the control state as all backups have it, and the
+// primary's state that is not replicated. It is immutable: a change replaces it.
 type publishedState struct {
 	epoch                   uint64
 	ready                   bool      // this process is the primary, and the state is replicated to all backups
-	since                   time.Time // this process has been the primary of the epoch
+	since                   time.Time // when this process became ready as the primary of the epoch
 	configuration           *tierv1.Configuration
-	compressedConfiguration *tierv1.Configuration // as sessions get it; made once for all
+	compressedConfiguration *tierv1.Configuration // in the form sent to sessions; compressed once for all of them
 	changes                 changeHistory         // of the configuration
 	partitionMap            *tierv1.PartitionMap
 	endpoints               *tierv1.Endpoints
-	compressedEndpoints     *compressedEndpoints // as sessions get them
+	compressedEndpoints     *compressedEndpoints // in the form sent to sessions
 	members                 *tierv1.Members
 	ejections               *tierv1.Ejections
 }
@@ -38,7 +38,7 @@
 	return plane.published, plane.publishedChanged
 }
 
-// primary returns the published state, and whether this process may show it now.
+// primary returns the published state, and whether this process may serve it now.
 func (plane *ControlPlane) primary() (*publishedState, bool) {
 	epoch, ok := plane.Store.Primary()
 	state, _ := plane.currentState()
@@ -56,7 +56,7 @@
 	return true
 }
 
-// replacePublished replaces the published state by a changed copy, and wakes all who wait for a change. The caller holds mu.
+// replacePublished replaces the published state by a changed copy, and wakes all waiters for a change. The caller holds mu.
 func (plane *ControlPlane) replacePublished(change func(*publishedState)) {
 	next := *plane.published
 	change(&next)
@@ -65,7 +65,7 @@
 	plane.publishedChanged = make(chan struct{})
 }
 
-// nextVersion numbers what is published and no part of the replicated state. Versions rise within an epoch, and from one
+// nextVersion returns the next version of published state that is not replicated. Versions rise within an epoch, and from one
 // epoch to the next.
 func nextVersion(epoch uint64, counter *uint64) uint64 {
 	*counter++
--- a/internal/tier/controlplane/sessions.go
+++ b/internal/tier/controlplane/sessions.go
@@ -16,34 +16,34 @@
 const (
 	// disconnectedTTL is how long a session stays active after its connection broke, so that a new call finds it active.
 	disconnectedTTL = 150 * time.Millisecond
-	// endedSessionTTLs is for how many of its TTLs a session that has ended is still shown to operators.
+	// endedSessionTTLs is the number of its TTLs for which an ended session is still shown to operators.
 	endedSessionTTLs = 50
 )
 
 // sessionKey identifies a session: a node has one process of each role.
 type sessionKey struct{ node, role string }
 
-// sessionRegistry knows the sessions of processes. The control plane's mu guards it.
+// sessionRegistry holds the sessions of processes. The control plane's mu guards it.
 type sessionRegistry struct {
 	window           time.Duration // the contact window
 	byKey            map[sessionKey]*session
-	replacedFolders  map[string]bool // folders of turn stores on whose node there is another one now: their disks are lost
-	lastStoreArrival time.Time       // of the newest session of a turn store
-	acknowledged     chan struct{}   // closed at the next acknowledgement or broken connection; nil: nobody waits for it
+	replacedFolders  map[string]bool // folders of turn stores whose node now has another folder: their disks are lost
+	lastStoreArrival time.Time       // begin of the newest session of a turn store
+	acknowledged     chan struct{}   // closed at the next acknowledgement or broken connection; nil: there is no waiter
 }
 
-// session is that of one process, from its first long poll on.
+// session is the session of one process, which begins with its first long poll.
 type session struct {
 	sessionKey
 	incarnation                            string
 	storeNode                              *tierv1.StoreNode // of a turn store
 	address                                string
-	configuration, endpoints, partitionMap uint64        // versions that it has acknowledged
+	configuration, endpoints, partitionMap uint64        // versions that the process has acknowledged
 	openCalls                              int           // calls of Watch that are being held
-	ttl                                    time.Duration // how long it stays active after its last call was answered
+	ttl                                    time.Duration // how long the session stays active after the answer to its last call
 	lastCallEnded                          time.Time
 	disconnected                           bool                    // the connection of its last call broke
-	draining                               bool                    // it has been asked to shut down
+	draining                               bool                    // the process has been asked to shut down
 	synced                                 []*tierv1.SyncedReplica // as last reported
 	disk                                   tierv1.DiskState        // of a turn store, as last reported
 }
@@ -53,8 +53,8 @@
 	return sessionRegistry{window: window, byKey: map[sessionKey]*session{}, replacedFolders: map[string]bool{}}
 }
 
-// beginCall begins a long poll and returns its session; nil for a caller that only observes, or whose folder has been
-// replaced by another. fresh tells whether the call brings something that the partition map may depend on.
+// beginCall begins a long poll and returns its session; nil for a caller that only observes, or whose folder has been replaced
+// by another. fresh is true if the call reports a change that the partition map may depend on.
 func (r *sessionRegistry) beginCall(now time.Time, req *tierv1.WatchRequest) (s *session, fresh bool) {
 	if req.Role == "" || req.Node == "" || r.replacedFolders[req.Folder] {
 		return nil, false
@@ -85,7 +85,7 @@
 	return s, fresh
 }
 
-// updateStore takes what a turn store reports, and tells whether anything of it is new that the partition map may depend on.
+// updateStore records what a turn store reports, and returns whether that is a change that the partition map may depend on.
 func (s *session) updateStore(req *tierv1.WatchRequest) (changed bool) {
 	if s.storeNode == nil || s.address != req.Address || s.storeNode.Folder != req.Folder {
 		s.storeNode = &tierv1.StoreNode{Folder: req.Folder, Node: req.Node, Address: req.Address, Zone: req.Zone, Region: req.Region}
@@ -99,9 +99,9 @@
 	return changed
 }
 
-// ttlFor returns how long a session stays active after the answer to a call. A process that has its calls held for less than
-// it may does so as answers, and so its next calls, take longer: long poll and TTL have the same sum in any case, which
-// is the time in which the end of a process is noticed.
+// ttlFor returns how long a session stays active after the answer to a call. A process that requests a shorter long poll than
+// is allowed does so because answers, and so its next calls, take longer to arrive. Its TTL is longer by the difference: the
+// sum of long poll and TTL, within which the end of a process is noticed, is the same for all.
 func (r *sessionRegistry) ttlFor(req *tierv1.WatchRequest) time.Duration {
 	longest := r.window / longPollDivisor
 	if req.Role == roleTurnStore {
@@ -111,8 +111,8 @@
 	return r.window/sessionTTLDivisor + max(0, longest-hold)
 }
 
-// diskOf returns the state of a turn store's disk. A process of a version before the field disk names its own folder among
-// the synced replicas while its disk is not sound.
+// diskOf returns the state of a turn store's disk. A process of a version without the field disk lists its own folder among the
+// synced replicas while its disk is not sound.
 func diskOf(req *tierv1.WatchRequest) tierv1.DiskState {
 	if req.Disk != tierv1.DiskState_DISK_UNSPECIFIED {
 		return req.Disk
@@ -123,12 +123,13 @@
 	return tierv1.DiskState_DISK_UNSPECIFIED
 }
 
-// diskUsable tells whether the state of its disk allows a turn store to have replicas. A state of a later version does not.
+// diskUsable reports whether the state of its disk allows a turn store to have replicas. An unknown state, of a later version,
+// does not.
 func diskUsable(disk tierv1.DiskState) bool {
 	return disk == tierv1.DiskState_DISK_SOUND || disk == tierv1.DiskState_DISK_UNSPECIFIED
 }
 
-// endCall ends a long poll: answered, or with its connection broken.
+// endCall ends a long poll, which was answered or, if broken is true, lost its connection.
 func (r *sessionRegistry) endCall(now time.Time, s *session, broken bool) {
 	s.openCalls--
 	s.lastCallEnded, s.disconnected = now, broken
@@ -137,7 +138,7 @@
 	}
 }
 
-// active tells whether a process is there to be sent changes.
+// active reports whether a session is active, so that changes can be sent to its process.
 func (r *sessionRegistry) active(now time.Time, s *session) bool {
 	ttl := s.ttl
 	if s.disconnected {
@@ -146,7 +147,8 @@
 	return s.openCalls > 0 || now.Sub(s.lastCallEnded) < ttl
 }
 
-// storeAlive tells whether a turn store is alive. One that restarts within the TTL has never been away, unless it was draining.
+// storeAlive reports whether a turn store is alive. A turn store that restarts within the TTL stays alive all the time, unless
+// it was draining.
 func (r *sessionRegistry) storeAlive(now time.Time, s *session) bool {
 	if s.draining {
 		return r.active(now, s)
@@ -155,8 +157,8 @@
 }
 
 // storeNodes returns the turn stores that are alive and whose disks are sound, those that are draining, by folder, and the
-// replicas that were reported synced. One whose disk is not sound counts as lost: it is among the alive again as soon as it
-// reports that its disk is sound. Sessions that ended long ago are forgotten.
+// replicas that were reported synced. A turn store whose disk is not sound counts as lost, and as alive again as soon as it
+// reports that its disk is sound. Sessions that ended long ago are deleted.
 func (r *sessionRegistry) storeNodes(now time.Time) (alive map[string]*tierv1.StoreNode, draining map[string]bool, reports []Report) {
 	alive, draining = map[string]*tierv1.StoreNode{}, map[string]bool{}
 	for key, s := range r.byKey {
@@ -209,7 +211,7 @@
 	return r.acknowledged
 }
 
-// signalAcknowledged wakes those who wait for the channel.
+// signalAcknowledged wakes the waiters of acknowledgedChannel.
 func (r *sessionRegistry) signalAcknowledged() {
 	if r.acknowledged != nil {
 		close(r.acknowledged)
--- a/internal/tier/controlplane/status.go
+++ b/internal/tier/controlplane/status.go
@@ -9,7 +9,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Status tells operators what this process is and knows; what only the primary knows, where it is the primary.
+// Status returns the state of this process, and on the primary also the state that only the primary has.
 func (s *sessionService) Status(context.Context, *tierv1.StatusRequest) (*tierv1.StatusReply, error) {
 	plane := s.plane
 	state, primary := plane.primary()
@@ -38,7 +38,7 @@
 	return reply, nil
 }
 
-// report returns a session as operators see it.
+// report returns a session as shown to operators.
 func (s *session) report(now time.Time) *tierv1.Session {
 	report := &tierv1.Session{Node: s.node, Role: s.role, Address: s.address, Configuration: s.configuration,
 		Endpoints: s.endpoints, PartitionMap: s.partitionMap, Disk: s.disk}
@@ -48,7 +48,7 @@
 	return report
 }
 
-// riskReport tells how many further losses are tolerated now. The caller holds mu.
+// riskReport returns how many further losses are tolerated now. The caller holds mu.
 func (plane *ControlPlane) riskReport(now time.Time, m *tierv1.PartitionMap) *tierv1.Risk {
 	alive, _, _ := plane.sessions.storeNodes(now)
 	risk := AssessRisk(m, plane.faultTolerance, alive, plane.Settings.SyncTime)
@@ -63,8 +63,8 @@
 	return report
 }
 
-// addControlRisk adds how many losses the control state tolerates, as the store knows it; where it does not know, as its view has
-// it.
+// addControlRisk adds how many losses the control state tolerates: according to the store's health or, if the store does not
+// report any, according to its view.
 func (plane *ControlPlane) addControlRisk(report *tierv1.Risk) {
 	view := plane.Store.View()
 	report.ControlMembers, report.ControlChanging = uint32(len(view.GetMembers())), len(view.GetFormer()) > 0
@@ -76,7 +76,7 @@
 	}
 }
 
-// diskError tells what keeps this process from writing; empty: nothing does.
+// diskError returns the error that prevents this process from writing; empty if there is none.
 func (plane *ControlPlane) diskError() string {
 	if store, knows := plane.Store.(healthStore); knows {
 		if err := store.Health().Disk; err != nil {
--- a/internal/tier/controlplane/store.go
+++ b/internal/tier/controlplane/store.go
@@ -7,17 +7,17 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Store is the replicated control state, as package consensus keeps it. Tests have one in memory.
+// Store is the replicated control state, as package consensus keeps it. Tests use one in memory.
 type Store interface {
-	// Primary returns the epoch of this process, and whether it is its primary and in touch with all backups.
+	// Primary returns the epoch of this process, and whether it is the primary of that epoch and in touch with all backups.
 	Primary() (epoch uint64, ok bool)
-	// Get returns a key's value here, and the sequence of the write that set it. The value is nil where there is none.
+	// Get returns a key's value on this process, and the sequence of the write that set it. The value is nil if the key has none.
 	Get(key string) (value []byte, sequence uint64)
 	// Scan returns the values of all keys that begin with a prefix.
 	Scan(prefix string) map[string][]byte
-	// Put returns nil only when the keys are synced here and at all backups in this epoch. A nil value removes its key. An
-	// error of type consensus.StateTooLarge says that nothing was written and that the epoch goes on. With any other error
-	// the outcome is unknown.
+	// Put returns nil only when the keys are synced on this process and at all backups in this epoch. A nil value removes its
+	// key. An error of type consensus.StateTooLarge means that nothing was written and that the epoch goes on. With any other
+	// error the outcome is unknown.
 	Put(ctx context.Context, epoch uint64, sets map[string][]byte) (sequence uint64, err error)
 	// Confirm returns nil after a round trip to all backups in this epoch that began after the call.
 	Confirm(ctx context.Context, epoch uint64) error
@@ -33,14 +33,14 @@
 	Self() *tierv1.Member
 }
 
-// healthStore is a Store that knows which of its members and backups answer.
+// healthStore is a Store that reports which of its members and backups answer.
 type healthStore interface {
 	Health() consensus.Health
 }
 
-// Keys of the control state. Stored data has them: they never change.
+// Keys of the control state. Stored data contains them: they must never change.
 const (
-	keyConfiguration = "configuration" // the operators' configuration, byte for byte as it came
+	keyConfiguration = "configuration" // the operators' configuration, byte for byte as received
 	keyPartitionMap  = "turnstores"    // tierv1.PartitionMap without its version, which is the sequence of the key
 	keyEpochMarker   = "settled"       // the epoch at whose start the state was last replicated, eight bytes, big-endian
 	keyChangePrefix  = "order/"        // of the change records; the revision follows in decimal
--- a/internal/tier/controlplane/watch.go
+++ b/internal/tier/controlplane/watch.go
@@ -13,8 +13,8 @@
 // sessionService implements tierv1.ControlPlane: Watch here, Status in status.go and ReportEjections in ejection_push.go.
 type sessionService struct{ plane *ControlPlane }
 
-// Watch is a long poll. It answers at once where something is newer than what the caller has, else when its time is over.
-// The error is that of ctx.
+// Watch is a long poll. It answers at once if there is newer state than the caller has, else when the poll time is over. The
+// error is that of ctx.
 func (s *sessionService) Watch(ctx context.Context, req *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
 	plane := s.plane
 	if _, ok := plane.Store.Primary(); !ok {
@@ -33,7 +33,7 @@
 			return plane.notPrimaryReply(), nil
 		}
 		if state.ready && state.epoch == epoch {
-			if !confirmed { // the first call of an incarnation: it has nothing to compare with
+			if !confirmed { // the first call of an incarnation: the caller has no state to compare with
 				if err := plane.barrier.wait(ctx, epoch); err != nil {
 					return plane.notPrimaryReply(), nil
 				}
@@ -57,7 +57,7 @@
 	}
 }
 
-// beginWatch registers a call with the caller's session, if it has one, and returns what is to be called at the call's end.
+// beginWatch registers a call with the caller's session, if it has one, and returns a function to be called at the call's end.
 func (plane *ControlPlane) beginWatch(ctx context.Context, req *tierv1.WatchRequest) (end func()) {
 	plane.mu.Lock()
 	session, fresh := plane.sessions.beginCall(time.Now(), req)
@@ -79,12 +79,12 @@
 	}
 }
 
-// notPrimaryReply is the reply of a process that is not the primary, or can't be sure of it.
+// notPrimaryReply is the reply of a process that is not the primary, or can't confirm that it is.
 func (plane *ControlPlane) notPrimaryReply() *tierv1.WatchReply {
 	return &tierv1.WatchReply{PrimaryHint: plane.Store.PrimaryHint()}
 }
 
-// replyFor returns a reply with all that is newer than what the caller has, and whether there is anything.
+// replyFor returns a reply with all state that is newer than the caller's, and whether there is any.
 func (state *publishedState) replyFor(req *tierv1.WatchRequest) (reply *tierv1.WatchReply, newer bool) {
 	reply = &tierv1.WatchReply{IsPrimary: true, Epoch: state.epoch}
 	if state.configuration != nil && state.configuration.Version > req.ConfigurationVersion {
