--- a/internal/tier/controlplane/assignment_test.go
+++ b/internal/tier/controlplane/assignment_test.go
@@ -16,7 +16,7 @@
 			assert.Assert(t, model.assign(model.input()))
 			assert.Equal(t, len(model.partitionMap.Partitions), partitionCount)
 			model.assertBalanced(false)
-			assert.Equal(t, model.runUntilStable(), 0, "a map at rest was changed")
+			assert.Equal(t, model.runUntilStable(), 0, "a stable map was changed")
 		}
 	}
 }
@@ -59,7 +59,7 @@
 	model := newModel(t, nil, 3, 3, FaultTolerance{1, byNode})
 	model.assign(model.input())
 	model.machines[0].up = false
-	model.assign(model.input()) // the two that are left have each other's replicas, unsynced
+	model.assign(model.input()) // the two remaining machines have unsynced replicas of each other's partitions
 	model.machines[1].up = false
 	model.assign(model.input())
 	model.assign(model.input())
@@ -105,7 +105,7 @@
 	model.assign(model.input())
 	model.machines[0].folder = "n0.2"
 	in := model.input()
-	in.GraceOver = false // the old one can't come back: no grace is due
+	in.GraceOver = false // the old folder can't come back, so the grace does not apply
 	model.assign(in)
 	for _, p := range model.partitionMap.Partitions {
 		assert.Assert(t, !slices.Contains(replicaFolders(p), "n0.1"))
@@ -164,7 +164,7 @@
 	for _, p := range model.partitionMap.Partitions {
 		assert.Assert(t, p.Primary != model.machines[2].folder)
 		left := findBackup(p, model.machines[2].folder) == nil
-		assert.Equal(t, len(p.Backups), map[bool]int{true: 1, false: 2}[left], "a replica is made before it goes: %v", p)
+		assert.Equal(t, len(p.Backups), map[bool]int{true: 1, false: 2}[left], "the draining store must stay a backup until its replacement is added: %v", p)
 	}
 	model.runUntilStable()
 	for i, p := range model.partitionMap.Partitions {
@@ -174,7 +174,7 @@
 	}
 }
 
-// Without a turn store to spare, the one that drains keeps its replicas as a backup until it has gone.
+// Without a replacement, a draining turn store keeps its replicas as a backup until it has stopped.
 func TestAssign_DrainingStoreWithoutReplacementStaysBackup(t *testing.T) {
 	model := newModel(t, nil, 2, 2, FaultTolerance{1, byNode})
 	model.assign(model.input())
@@ -186,7 +186,7 @@
 	}
 }
 
-// A store whose disk fails is passed over as if it were lost, and comes back by reporting it no more.
+// A turn store with a failing disk counts as lost until it no longer reports the failure.
 func TestAssign_FailingDiskCountsAsLost(t *testing.T) {
 	model := newModel(t, nil, 3, 3, FaultTolerance{1, byNode})
 	model.assign(model.input())
@@ -206,7 +206,7 @@
 	model.assertBalanced(false)
 }
 
-// The last holder of a partition stays its primary though its disk fails: nobody else has all that was acknowledged.
+// The last replica of a partition stays its primary though its disk fails, as no other has everything that was acknowledged.
 func TestAssign_LastReplicaOnFailingDiskStaysPrimary(t *testing.T) {
 	model := newModel(t, nil, 2, 2, FaultTolerance{1, byNode})
 	model.assign(model.input())
--- a/internal/tier/controlplane/placement_model_test.go
+++ b/internal/tier/controlplane/placement_model_test.go
@@ -13,7 +13,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// stepTime is what a step of the model takes, and stallTime when a replica being synced counts as slow.
+// stepTime is the duration of a step of the model, and stallTime the time after which a replica being synced counts as slow.
 const (
 	stepTime  = 250 * time.Millisecond
 	stallTime = 3 * time.Second
@@ -24,11 +24,11 @@
 	node, zone   string
 	folder       string
 	incarnations int
-	up           bool // runs, and control hears it
-	partitioned  bool // runs, and turn stores hear it, but control does not
-	unreachable  bool // runs, and control hears it, but turn stores do not
+	up           bool // running
+	partitioned  bool // reachable for turn stores, but not for the control plane
+	unreachable  bool // reachable for the control plane, but not for turn stores
 	draining     bool
-	diskUnsound  bool // reports to control that its disk is not sound
+	diskUnsound  bool // reports to the control plane that its disk is not sound
 	known        []*tierv1.Partition
 	observed     map[int]uint64 // by partition, the newest epoch that a primary has named
 	recovered    map[int]uint64 // by partition, the epoch in which it has all facts of the backups that it was to recover from
@@ -43,7 +43,7 @@
 	machines     []*modelMachine
 	partitionMap *tierv1.PartitionMap
 	acknowledged []*big.Int            // by partition, a bit for each acknowledged fact
-	facts        []map[string]*big.Int // by partition and folder, the facts that it holds
+	facts        []map[string]*big.Int // by partition and folder, the facts stored there
 	reports      []Report
 	trace        []string
 	stalls       stallTracker
@@ -99,12 +99,12 @@
 	return nil
 }
 
-// assign makes the next map and checks the invariants between two.
+// assign computes the next map, and checks the invariants between it and the previous one.
 func (model *placementModel) assign(in Input) bool {
 	before := model.partitionMap
 	unchanged := proto.Clone(before)
 	next, changed := model.mutant.assigned(before, in)
-	assert.Assert(model.t, proto.Equal(unchanged, before), "the map before was changed")
+	assert.Assert(model.t, proto.Equal(unchanged, before), "the previous map was modified")
 	if !changed {
 		assert.Assert(model.t, next == before)
 		return false
@@ -123,7 +123,7 @@
 	for i, p := range model.partitionMap.Partitions {
 		all := replicaFolders(p)
 		if len(all) != len(slices.Compact(slices.Sorted(slices.Values(all)))) {
-			model.t.Fatalf("a folder twice in %v\n%v", p, model.trace)
+			model.t.Fatalf("duplicate folder in %v\n%v", p, model.trace)
 		}
 		for _, folder := range all {
 			c := findBackup(p, folder)
@@ -139,27 +139,28 @@
 			continue
 		}
 		old, epoch := before.Partitions[i], before.Partitions[i].Epoch
-		recoversAnew := len(p.RecoverFrom) > 0 && !slices.Equal(old.RecoverFrom, p.RecoverFrom) // in a term of its own
+		recoversAnew := len(p.RecoverFrom) > 0 && !slices.Equal(old.RecoverFrom, p.RecoverFrom) // a recovery needs an epoch of its own
 		if old.Primary != p.Primary || !slices.Equal(replicaFolders(old), all) || recoversAnew {
 			epoch++
 		}
 		if p.Epoch != epoch {
-			model.t.Fatalf("partition %d: from %v to %v\n%v", i, old, p, model.trace)
+			model.t.Fatalf("partition %d: wrong epoch after the change from %v to %v\n%v", i, old, p, model.trace)
 		}
 	}
 }
 
-// accepts tells whether a machine accepts facts of an epoch. One that has just started accepts none before it knows the map.
+// accepts reports whether a machine accepts facts of an epoch. A machine that has just started accepts none before it has
+// received the map.
 func (m *modelMachine) accepts(i int, epoch uint64) bool {
 	return !m.unreachable && i < len(m.known) && max(m.known[i].Epoch, m.observed[i]) <= epoch
 }
 
-// accepts tells whether a machine accepts facts of an epoch, with the fault that is injected.
+// accepts reports whether a machine accepts facts of an epoch, with the fault that is injected.
 func (model *placementModel) accepts(m *modelMachine, i int, epoch uint64) bool {
 	return m.accepts(i, epoch) || model.mutant.acceptsStaleEpochs && !m.unreachable && i < len(m.known)
 }
 
-// observe lets a machine know an epoch that another has named: it accepts nothing of an older one any more.
+// observe records an epoch that a primary has named: the machine accepts no facts of older epochs any more.
 func (m *modelMachine) observe(i int, epoch uint64) {
 	if m.observed == nil {
 		m.observed = map[int]uint64{}
@@ -174,7 +175,7 @@
 	}
 }
 
-// acknowledge lets a machine acknowledge a turn of a partition, if those whom it knows as backups take it.
+// acknowledge lets a machine acknowledge a turn of a partition, if all backups in its map accept the turn.
 func (model *placementModel) acknowledge(m *modelMachine, i int) bool {
 	if !m.up || m.unreachable || i >= len(m.known) || m.known[i].Primary != m.folder {
 		return false
@@ -187,7 +188,7 @@
 		}
 	}
 	if len(p.RecoverFrom) > 0 {
-		return false // until control knows that it has recovered
+		return false // until the control plane has received the report of the recovery
 	}
 	assert.Assert(model.t, model.complete(i, m.folder), "partition %d: %s serves and is not complete\n%v", i, m.folder, model.trace)
 	fact := new(big.Int).SetBit(new(big.Int), model.acknowledged[i].BitLen(), 1)
@@ -198,7 +199,7 @@
 	return true
 }
 
-// complete tells whether a folder holds all that was acknowledged of a partition.
+// complete reports whether a folder has all acknowledged facts of a partition.
 func (model *placementModel) complete(i int, folder string) bool {
 	if held := model.facts[i][folder]; held != nil {
 		return held.Cmp(model.acknowledged[i]) == 0
@@ -206,7 +207,7 @@
 	return model.acknowledged[i].BitLen() == 0
 }
 
-// addFacts lets a folder hold facts.
+// addFacts adds facts to a folder.
 func (model *placementModel) addFacts(i int, folder string, facts *big.Int) {
 	held := model.facts[i][folder]
 	if held == nil {
@@ -215,7 +216,7 @@
 	model.facts[i][folder] = new(big.Int).Or(held, facts)
 }
 
-// syncReplica lets a machine bring a replica of a partition up to date, and report it.
+// syncReplica lets a primary sync the replicas of a partition that are not synced, and report them.
 func (model *placementModel) syncReplica(m *modelMachine, i int) {
 	if !m.up || m.unreachable || i >= len(m.known) || m.known[i].Primary != m.folder {
 		return
@@ -239,7 +240,7 @@
 	}
 }
 
-// exchangeFacts lets two folders hold the same facts.
+// exchangeFacts copies facts between two folders, so that both have the same.
 func (model *placementModel) exchangeFacts(i int, one, other string) {
 	for _, way := range [][2]string{{other, one}, {one, other}} {
 		if facts := model.facts[i][way[0]]; facts != nil {
@@ -248,7 +249,7 @@
 	}
 }
 
-// recover lets a primary exchange facts with all that it is to recover from, if they are there.
+// recover lets a primary exchange facts with all replicas that it is to recover from, and returns false if one is not available.
 func (model *placementModel) recover(m *modelMachine, i int, p *tierv1.Partition) bool {
 	for _, folder := range p.RecoverFrom {
 		if b := model.machine(folder); b == nil || !b.up || !model.accepts(b, i, p.Epoch) {
@@ -268,7 +269,7 @@
 	return true
 }
 
-// runUntilStable runs the model until nothing changes, and returns how many maps that took.
+// runUntilStable runs the model until nothing changes, and returns the number of maps that it took.
 func (model *placementModel) runUntilStable() int {
 	for n := range 2000 {
 		for _, m := range model.machines {
@@ -285,11 +286,11 @@
 		}
 		model.reports = nil
 	}
-	model.t.Fatalf("no rest: %v\n%v", model.partitionMap, model.trace)
+	model.t.Fatalf("the map does not become stable: %v\n%v", model.partitionMap, model.trace)
 	return 0
 }
 
-// assertBalanced checks that replicas and primaries are balanced and replicas synced, on turn stores that stay.
+// assertBalanced checks that replicas and primaries are balanced and replicas synced, on turn stores that are not departing.
 func (model *placementModel) assertBalanced(strict bool) {
 	model.t.Helper()
 	replicas, primaries := map[string]int{}, map[string]int{}
--- a/internal/tier/controlplane/placement_mutants_test.go
+++ b/internal/tier/controlplane/placement_mutants_test.go
@@ -11,12 +11,12 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// mutant is a fault of the model's turn stores or of placement, made from outside. The zero mutant has none.
+// mutant is an injected fault of the model's turn stores or of Assign. The zero mutant has none.
 type mutant struct {
 	assign             assignFunc // in place of Assign
-	acceptsStaleEpochs bool       // backups take what comes under an epoch that is over
-	reportsEarly       bool       // replicas are reported synced that have not been compared
-	recoversNothing    bool       // a recovery brings no facts, and is reported as done
+	acceptsStaleEpochs bool       // backups accept facts of an epoch that is over
+	reportsEarly       bool       // replicas are reported as synced before facts are exchanged
+	recoversNothing    bool       // a recovery exchanges no facts, and is reported as done
 }
 
 // assignFunc has the signature of Assign.
@@ -30,7 +30,7 @@
 	return m.assign(before, in)
 }
 
-// changed returns Assign's map after a change to those partitions that Assign has changed.
+// changed returns an assignFunc that applies change to each partition of the maps that Assign has changed.
 func changed(change func(old, next *tierv1.Partition)) assignFunc {
 	return func(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
 		next, is := Assign(before, in)
@@ -58,7 +58,7 @@
 	}
 }
 
-// forgetRetained forgets replicas that were taken out while they were unresponsive.
+// forgetRetained drops the retained replicas.
 func forgetRetained(_, next *tierv1.Partition) { next.Retained = nil }
 
 // acceptOldReports accepts reports of an older epoch as those of the newest.
@@ -81,7 +81,8 @@
 	findingServesIncomplete = "serves and is not complete"
 )
 
-// TestPlacement_MutantsFound injects faults, and expects random events and expiries to find each by what it takes away.
+// TestPlacement_MutantsFound injects faults, and expects that a check of the model finds each under random events and session
+// expiries.
 func TestPlacement_MutantsFound(t *testing.T) {
 	for _, play := range []struct {
 		name string
@@ -90,7 +91,7 @@
 		for _, fault := range []struct {
 			name   string
 			mutant mutant
-			by     []string // the check finds one of these
+			by     []string // findings, one of which the check reports
 		}{
 			{"a backup takes a stale epoch", mutant{acceptsStaleEpochs: true}, []string{findingNotComplete, findingServesIncomplete}},
 			{"replicas are reported synced too early", mutant{reportsEarly: true}, []string{findingNotComplete}},
--- a/internal/tier/controlplane/placement_random_test.go
+++ b/internal/tier/controlplane/placement_random_test.go
@@ -11,16 +11,17 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// TestPlacement_RandomEvents lets machines stop, be partitioned, be out of each other's reach, lose their disks, leave, come, be retired and
-// then be taken away, sessions expire, and reports come late, in any order, with no more lost at a time than is tolerated when disks
-// are. It checks after each step that nothing acknowledged is given up, and that all is served when all have returned.
+// TestPlacement_RandomEvents lets machines stop, be partitioned, be unreachable for each other, lose their disks, drain, join,
+// be retired and then be removed, sessions expire, and reports arrive late, in random order. Disks are lost only while no more
+// machines are affected than is tolerated. The test checks after each step that no acknowledged fact is dropped, and that all
+// partitions are served when all machines have returned.
 func TestPlacement_RandomEvents(t *testing.T) {
 	for seed := range uint64(20) {
 		playRandomEvents(t, mutant{}, seed)
 	}
 }
 
-// playRandomEvents is one play of TestPlacement_RandomEvents.
+// playRandomEvents is one run of TestPlacement_RandomEvents.
 func playRandomEvents(t reporter, fault mutant, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	losses := 1 + r.IntN(2)
@@ -32,8 +33,8 @@
 	model := newMutantModel(t, fault, r, n, 3, spread)
 	model.assign(model.input())
 	model.runUntilStable()
-	hurt := map[*modelMachine]bool{} // since all was at rest
-	var late []Report                // that come again
+	hurt := map[*modelMachine]bool{} // machines affected since the map was last stable
+	var late []Report                // reports to be delivered again
 	for range 150 {
 		m := model.machines[r.IntN(len(model.machines))]
 		switch r.IntN(12) {
@@ -45,7 +46,7 @@
 			model.tracef("%s starts", m.node)
 			m.up, m.draining = true, false
 		case 3:
-			model.tracef("%s cut %v", m.node, !m.partitioned)
+			model.tracef("%s is partitioned: %v", m.node, !m.partitioned)
 			m.partitioned = !m.partitioned
 			hurt[m] = true
 		case 4:
@@ -55,12 +56,12 @@
 			model.tracef("%s loses its disk", m.node)
 			model.wipe(m, false)
 		case 5:
-			model.tracef("%s leaves", m.node)
+			model.tracef("%s drains", m.node)
 			m.draining = true
 			hurt[m] = true
 		case 6:
 			if len(model.machines) < 8 && r.IntN(4) == 0 {
-				model.tracef("another")
+				model.tracef("a machine joins")
 				model.add(n, 3)
 				n++
 			}
@@ -81,7 +82,7 @@
 				model.partitionMap.Retiring = append(model.partitionMap.Retiring, m.node)
 			}
 		case 9:
-			model.tracef("%s deaf %v", m.node, !m.unreachable)
+			model.tracef("%s is unreachable for turn stores: %v", m.node, !m.unreachable)
 			m.unreachable = !m.unreachable
 			hurt[m] = true
 		case 8:
@@ -94,7 +95,7 @@
 			model.assertBalanced(false)
 			clear(hurt)
 		case 10:
-			if len(hurt) == 0 { // an expiry is no loss, but it is not waited for beside one
+			if len(hurt) == 0 { // an expiry is no loss, but Assign does not wait for its end beside a loss
 				model.expireBriefly(m)
 			}
 		case 11:
@@ -127,7 +128,7 @@
 	model.assertBalanced(false)
 }
 
-// expireBriefly lets the session of a machine expire, and the others go on without it, until it is back within the wait.
+// expireBriefly lets the session of a machine expire, and the others go on without it, until it returns within the wait.
 func (model *placementModel) expireBriefly(m *modelMachine) {
 	model.tracef("the session of %s expires", m.node)
 	in := model.expire(m)
@@ -141,12 +142,12 @@
 	m.partitioned = false
 }
 
-// takeAway removes a machine that control has reported empty for good, with its disk.
+// takeAway removes a machine that was reported empty, with its disk and for good.
 func (model *placementModel) takeAway(m *modelMachine) bool {
 	if !slices.Contains(model.partitionMap.Retiring, m.node) || lifecycleState(model.partitionMap, m.node, model.tolerance.Losses) != retireCompleted {
 		return false
 	}
-	model.tracef("%s is taken away", m.node)
+	model.tracef("%s is removed", m.node)
 	model.partitionMap = proto.CloneOf(model.partitionMap)
 	model.partitionMap.Retired = append(model.partitionMap.Retired, newlyRetired(model.partitionMap, model.tolerance.Losses)...)
 	for i := range model.facts {
--- a/internal/tier/controlplane/placement_retire_test.go
+++ b/internal/tier/controlplane/placement_retire_test.go
@@ -13,7 +13,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// wipe replaces a machine by an empty one: of the same name, or of another.
+// wipe replaces a machine by an empty one, with the same name or another.
 func (model *placementModel) wipe(m *modelMachine, renamed bool) {
 	for i := range model.facts {
 		delete(model.facts[i], m.folder)
@@ -31,7 +31,8 @@
 	model.partitionMap.Retiring = append(model.partitionMap.Retiring, m.node)
 }
 
-// step gives all machines the newest map, lets them sync, and gives control what was reported. It returns whether the map has changed.
+// step gives all machines the newest map, lets them sync, and passes their reports to Assign. It returns whether the map has
+// changed.
 func (model *placementModel) step() bool {
 	for _, m := range model.machines {
 		m.receiveMap(model)
@@ -48,7 +49,7 @@
 	return changed
 }
 
-// retireCompletes returns the steps after which an order to retire is completed, or false after limit.
+// retireCompletes returns the number of steps after which an order to retire is completed, or false if that is not within limit.
 func (model *placementModel) retireCompletes(m *modelMachine, limit int) (int, bool) {
 	for n := range limit {
 		if lifecycleState(model.partitionMap, m.node, model.tolerance.Losses) == "completed" {
@@ -59,8 +60,9 @@
 	return limit, false
 }
 
-// TestPlacement_RetireCompletesAfterOtherLosses plays losses, wipes and replacements in turn, then orders one machine to be emptied while at
-// most as many others as may be lost are away: down for good, or alive to control and out of reach of the turn stores.
+// TestPlacement_RetireCompletesAfterOtherLosses lets machines restart, be wiped and be replaced, and then orders one machine to
+// be emptied while at most as many others as tolerated are lost: down for good, or alive at the control plane and unreachable
+// for the other turn stores.
 func TestPlacement_RetireCompletesAfterOtherLosses(t *testing.T) {
 	const limit = int(60 * time.Second / stepTime)
 	const seeds = 60
@@ -92,7 +94,7 @@
 		}
 		order := r.Perm(len(model.machines))
 		retired := model.machines[order[0]]
-		for range r.IntN(3) { // the last loss may not be made good yet
+		for range r.IntN(3) { // the last loss may not be repaired yet
 			model.step()
 		}
 		for _, i := range order[1 : 1+losses] {
@@ -102,7 +104,7 @@
 				model.tracef("%s goes down for good", m.node)
 				m.up, m.known = false, nil
 			case 1:
-				model.tracef("%s is out of the others' reach", m.node)
+				model.tracef("%s is unreachable for the other turn stores", m.node)
 				m.unreachable = true
 			}
 		}
@@ -120,7 +122,8 @@
 	t.Logf("worst %v, %d of %d later than %v", time.Duration(worst)*stepTime, late, seeds, time.Duration(limit)*stepTime)
 }
 
-// checkRetired checks a completed order against the machines: each partition has its replicas, complete and elsewhere.
+// checkRetired checks a completed order against the machines: each partition has enough replicas on other machines, and they
+// are complete.
 func (model *placementModel) checkRetired(m *modelMachine) {
 	model.t.Helper()
 	for i, p := range model.partitionMap.Partitions {
--- a/internal/tier/controlplane/retained_replicas_test.go
+++ b/internal/tier/controlplane/retained_replicas_test.go
@@ -8,7 +8,8 @@
 )
 
 // The sessions of two turn stores expire one after the other, and the first of them loses its disk before the replicas that
-// were made meanwhile are synced: the second has what was acknowledged before, a replica being synced what came since.
+// were added meanwhile are synced. The second has what was acknowledged before its session expired, and a replica being synced
+// has what was acknowledged since.
 func TestPlacement_LossAfterSessionExpiries(t *testing.T) {
 	model := newModel(t, nil, 3, 3, FaultTolerance{1, byNode})
 	model.assign(model.input())
@@ -42,14 +43,14 @@
 	model.assertBalanced(false)
 }
 
-// Expiries of one session at a time, at any moment, and the loss of one disk: everything acknowledged is served again.
+// After expiries of one session at a time, at any moment, and the loss of one disk, everything acknowledged is served again.
 func TestPlacement_SessionExpiriesAreNoLosses(t *testing.T) {
 	for seed := range uint64(40) {
 		playSessionExpiries(t, mutant{}, seed)
 	}
 }
 
-// playSessionExpiries is one play of TestPlacement_SessionExpiriesAreNoLosses.
+// playSessionExpiries is one run of TestPlacement_SessionExpiriesAreNoLosses.
 func playSessionExpiries(t reporter, fault mutant, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	model := newMutantModel(t, fault, r, 3+r.IntN(3), 3, FaultTolerance{1, byNode})
@@ -101,8 +102,9 @@
 	}
 }
 
-// A replica being synced makes no progress, and another turn store is tried for it; then the primary loses its disk. The replica that was
-// given up has what was acknowledged while it was under way, and the one that had expired before what came earlier.
+// The sync of a replica stalls, and another turn store is tried for it; then the primary loses its disk. The replica that was
+// replaced has what was acknowledged during its sync, and the one whose session had expired before has what was acknowledged
+// earlier.
 func TestPlacement_LossAfterStalledReplicaReplaced(t *testing.T) {
 	model := newModel(t, nil, 4, 4, FaultTolerance{1, byNode})
 	model.assign(model.input())
@@ -129,7 +131,7 @@
 	model.assertBalanced(false)
 }
 
-// What was retained is forgotten once enough replicas are synced, and with its disk.
+// Retained replicas are deleted once enough replicas are synced, or when their disks are lost.
 func TestRetainedReplicas_Pruned(t *testing.T) {
 	model := newModel(t, nil, 4, 4, FaultTolerance{1, byNode})
 	model.assign(model.input())
--- a/internal/tier/controlplane/retire_deadlines_test.go
+++ b/internal/tier/controlplane/retire_deadlines_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Only what still lies on machines that are to be emptied by a deadline requires moves.
+// Only replicas on machines that are to be emptied by a deadline require moves.
 func TestRequiredMoves(t *testing.T) {
 	m := &tierv1.PartitionMap{
 		StoreNodes: []*tierv1.StoreNode{{Folder: "f1", Node: "n1"}, {Folder: "f2", Node: "n2"}, {Folder: "f3", Node: "n3"}},
@@ -50,7 +50,7 @@
 	assert.Equal(t, requiredMoves(nil, map[string]time.Duration{"n1": 0}, time.Second), 0)
 }
 
-// An order that another process accepted has no time left, as its age is not known; one without a deadline never runs out.
+// An order that another process accepted has no time left, as its age is not known; an order without a deadline never runs out.
 func TestRetireDeadlines(t *testing.T) {
 	now := time.Now()
 	times := retireDeadlines{}
@@ -62,7 +62,7 @@
 	assert.DeepEqual(t, left, map[string]time.Duration{"timed": 2 * time.Second, "another's": 0})
 }
 
-// An order that is repeated before it could be accepted keeps its deadline; after the deadline it is a new one.
+// An order that is repeated before it could be accepted keeps its deadline; after the deadline it counts as a new order.
 func TestRetireDeadlines_RepeatedOrder(t *testing.T) {
 	now := time.Now()
 	times := retireDeadlines{}
@@ -84,17 +84,18 @@
 const (
 	slowSyncTime = 700 * time.Millisecond
 	slowSyncPoll = 50 * time.Millisecond
-	repairTime   = time.Second // after a return
+	repairTime   = time.Second // advance after a turn store's return
 )
 
-// absence is another turn store's absence beside an order.
+// absence is the absence of another turn store during an order.
 type absence struct {
 	time.Duration
-	beforeOrder bool // it is away already when the order comes, so that the order is not taken before it returns
+	beforeOrder bool // the turn store is away before the order is sent, and the order is not accepted before it returns
 }
 
-// retireWithDeadline orders a machine to be emptied within a time, until that is accepted. It returns how long it took from the
-// first attempt on, and the most replicas that were being synced at a time once all turn stores were there.
+// retireWithDeadline orders a machine to be emptied within a duration, and repeats the order until it is accepted. It returns
+// the time from the first attempt to the completion, and the largest number of replicas that were being synced at a time once
+// all turn stores were available.
 func retireWithDeadline(t *testing.T, duration time.Duration, away absence) (took time.Duration, most int) {
 	const again = 500 * time.Millisecond
 	withHarness(t, func(h *harness) {
@@ -144,7 +145,7 @@
 	return took, most
 }
 
-// An order is completed within its deadline, also where another turn store is away for a part of it.
+// An order is completed within its deadline, even if another turn store is away for a part of the time.
 func TestRetire_CompletedWithinDeadline(t *testing.T) {
 	for _, test := range []struct {
 		duration time.Duration
@@ -165,7 +166,7 @@
 	}
 }
 
-// Where there is time, an eighth of the partitions moves at a time, as without a deadline.
+// If there is enough time, at most an eighth of the partitions moves at a time, as without a deadline.
 func TestRetire_FewMovesWithTimeLeft(t *testing.T) {
 	for _, duration := range []time.Duration{0, 2 * time.Minute} {
 		took, most := retireWithDeadline(t, duration, absence{})
--- a/internal/tier/controlplane/retire_progress_test.go
+++ b/internal/tier/controlplane/retire_progress_test.go
@@ -14,7 +14,7 @@
 	const orders = maxRetireRecords + 40
 	for i := range orders {
 		m = withRetireOrder(m, fmt.Sprint("n", i))
-		if i != 1 { // that one is never emptied
+		if i != 1 { // n1 is never emptied
 			m.Retired = append(m.Retired, fmt.Sprint("n", i))
 		}
 	}
--- a/internal/tier/controlplane/retire_test.go
+++ b/internal/tier/controlplane/retire_test.go
@@ -13,8 +13,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// The order to empty a machine is acknowledged again after the machine was emptied and taken away, and however many are
-// lost later.
+// The order to empty a machine is acknowledged again after the machine was emptied and removed, however many machines are lost
+// later.
 func TestRetire_AcknowledgedAgainAfterRemoval(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		state := func(node string) string {
@@ -41,7 +41,7 @@
 		stores["v1"].stop()
 		h.advance(5 * time.Second)
 		assert.Assert(t, !slices.ContainsFunc(h.partitionMap().StoreNodes, func(one *tierv1.StoreNode) bool { return one.Node == "v1" }))
-		again("taken away")
+		again("removed")
 		h.store.set(func() { h.store.epoch += 1 << 12 })
 		h.advance(300 * time.Millisecond)
 		again("right after a takeover")
@@ -54,7 +54,7 @@
 	})
 }
 
-// That a machine is empty is recorded before operators hear of it.
+// Operators are informed that a machine is empty only after this is recorded.
 func TestRetire_CompletedOnlyWhenRecorded(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		for _, node := range []string{"v1", "v2", "v3"} {
@@ -62,7 +62,7 @@
 		}
 		h.advance(2 * time.Second)
 		h.store.set(func() {
-			h.store.failPut = func(sets map[string][]byte) (bool, bool) { // no map that records it is written
+			h.store.failPut = func(sets map[string][]byte) (bool, bool) { // no map that records a machine as retired is written
 				m := mapIn(t, sets)
 				bad := m != nil && len(m.Retired) > 0
 				return bad, bad
@@ -115,7 +115,7 @@
 	})
 }
 
-// Right after a takeover not all storage machines have a session yet: a 404 or 409 would end the operator's order for good.
+// Right after a takeover not all storage machines have a session yet: a 404 or 409 would be final and end the operator's order.
 func TestRetire_RightAfterTakeover(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		order := func(node string) *httptest.ResponseRecorder {
@@ -130,7 +130,8 @@
 	})
 }
 
-// Machines that are down for a moment are machines that remain: the order is to be sent again, not rejected for good.
+// Machines that are down temporarily count as remaining: the order gets a 503, after which it is sent again, and no final
+// rejection.
 func TestRetire_WhileOthersAreDown(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		h.join(roleTurnStore, "v1", nil)
--- a/internal/tier/controlplane/session_expiry_test.go
+++ b/internal/tier/controlplane/session_expiry_test.go
@@ -25,7 +25,8 @@
 	return in
 }
 
-// modelAfterExpiry returns three machines, one loss to be tolerated, and the first machine's replicas taken out as its session expired.
+// modelAfterExpiry returns a model of three machines with one loss to tolerate, in which the first machine's replicas were
+// removed because its session expired.
 func modelAfterExpiry(t *testing.T) *placementModel {
 	model := newModel(t, nil, 3, 3, FaultTolerance{1, byNode})
 	model.assign(model.input())
@@ -53,8 +54,8 @@
 	return n
 }
 
-// The session of a second turn store expires while the first, which has no replicas any more, is unresponsive too: the third does not go
-// on alone, so that nothing is lost with its disk.
+// The session of a second turn store expires while the first, which has no replicas any more, is still unresponsive: the third
+// does not serve alone, so that nothing acknowledged is lost if its disk is lost.
 func TestSessionExpiry_LastStoreWaits(t *testing.T) {
 	model := modelAfterExpiry(t)
 	model.assign(model.expire(model.machines[0], model.machines[1]))
@@ -71,7 +72,7 @@
 	model.assertBalanced(false)
 }
 
-// A turn store that is back within the wait is the synced backup that it was, in the same epoch.
+// A turn store that returns within the wait is still a synced backup, in the same epoch.
 func TestSessionExpiry_StoreBackWithinWaitStaysBackup(t *testing.T) {
 	model := modelAfterExpiry(t)
 	for _, p := range model.partitionMap.Partitions {
@@ -83,7 +84,7 @@
 	waiting := model.partitionMap
 	second.partitioned = false
 	in := model.expire(model.machines[0])
-	in.MayMove = false // primaries are made even later
+	in.MayMove = false // primaries are balanced later
 	model.assign(in)
 	for i, p := range model.partitionMap.Partitions {
 		assert.Assert(t, proto.Equal(p, waiting.Partitions[i]), "partition %d: %v", i, p)
@@ -95,7 +96,7 @@
 	assert.Equal(t, model.countServed(), partitionCount)
 }
 
-// When the wait is over, the last one goes on alone as far as it is complete.
+// When the wait is over, the last turn store serves alone the partitions of which it has everything acknowledged.
 func TestSessionExpiry_LastStoreGoesOnAfterWait(t *testing.T) {
 	model := modelAfterExpiry(t)
 	model.assign(model.expire(model.machines[0], model.machines[1]))
@@ -108,7 +109,8 @@
 	assert.Equal(t, model.countServed(), partitionCount)
 }
 
-// An expiry is waited for only where no turn store could take another replica; else the map is the same as after an expiry long ago.
+// Assign waits after an expiry only if no turn store can take another replica; otherwise it makes the same map as long after
+// the expiry.
 func TestSessionExpiry_WaitOnlyWithoutReplacement(t *testing.T) {
 	for _, test := range []struct {
 		machines, losses, lapsed int
@@ -162,8 +164,8 @@
 	}
 }
 
-// Sessions of several turn stores expire, one after the other or at once, and are back within the wait. Where all but one expire,
-// that one may lose its disk: everything acknowledged is served again.
+// Sessions of several turn stores expire, one after the other or at once, and they return within the wait. If all but one
+// expire, that one may lose its disk. Everything acknowledged is served again.
 func TestSessionExpiry_SeveralAreNoLosses(t *testing.T) {
 	for seed := range uint64(10) {
 		r := rand.New(rand.NewPCG(seed, 9))
@@ -203,7 +205,7 @@
 	}
 }
 
-// unavailable returns for how long, from now on, some partition has no primary whose backups are all there, within limit.
+// unserved returns for how long, from now on, some partition has a replica on a turn store that is gone, at most limit.
 func (h *harness) unserved(gone []string, limit time.Duration) time.Duration {
 	const pace = 10 * time.Millisecond
 	begun := time.Now()
@@ -219,11 +221,12 @@
 	return time.Since(begun)
 }
 
-// How long partitions are unavailable: no longer than the detection where another turn store is there, else with a bounded wait.
+// Partitions are unavailable for no longer than the detection if another turn store can take the replicas, and else for an
+// additional bounded wait.
 func TestSessionExpiry_UnavailableTime(t *testing.T) {
 	detection := testSettings().ContactWindow/sessionTTLDivisor + testSettings().ContactWindow/sessionCheckDivisor + 50*time.Millisecond
 	wait := testSettings().ContactWindow / lostReplicaWaitDivisor
-	const unbounded = 30 * time.Second // both have replicas: the return of one is waited for
+	const unbounded = 30 * time.Second // both have replicas: the return of one is awaited
 	for _, test := range []struct {
 		name            string
 		stores, killed  int
@@ -259,7 +262,7 @@
 	}
 }
 
-// A new primary has not seen the sessions expire: the wait begins when its grace is over.
+// A new primary has not observed the expiry of the sessions: the wait begins when the takeover grace is over.
 func TestSessionExpiry_NewPrimaryWaitsAfterGrace(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		var all []*testProcess
@@ -280,7 +283,7 @@
 	})
 }
 
-// A draining turn store is not waited for when it has gone.
+// A draining turn store is not waited for after it has stopped.
 func TestSessionExpiry_NoWaitForDrainingStore(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		leaver := h.join(roleTurnStore, "v1", nil)
--- a/internal/tier/controlplane/substitute_test.go
+++ b/internal/tier/controlplane/substitute_test.go
@@ -9,8 +9,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// modelWhileRetiring returns three machines, one loss to be tolerated, and the first being emptied as the second becomes unresponsive for longer
-// than is waited for.
+// modelWhileRetiring returns a model of three machines with one loss to tolerate, in which the first is being emptied when the
+// second becomes unresponsive for longer than the wait.
 func modelWhileRetiring(t *testing.T) *placementModel {
 	model := newModel(t, nil, 3, 3, FaultTolerance{1, byNode})
 	model.assign(model.input())
@@ -31,7 +31,7 @@
 	return n
 }
 
-// A machine that is being emptied takes the second replicas where no other can, and is not empty before others have them.
+// A machine that is being emptied takes second replicas if no other can, and does not count as empty before others have them.
 func TestSubstitute_RetiringStoreTakesReplicas(t *testing.T) {
 	model := modelWhileRetiring(t)
 	emptied, silent, last := model.machines[0], model.machines[1], model.machines[2]
@@ -55,8 +55,8 @@
 	model.assertBalanced(false)
 }
 
-// The machine that holds the only other replicas is lost for good meanwhile: what was acknowledged is served by the one that is
-// being emptied, though the unresponsive one has not returned.
+// The machine with the only other replicas is lost for good meanwhile: the machine that is being emptied serves what was
+// acknowledged, though the unresponsive machine has not returned.
 func TestSubstitute_ServesAfterLoss(t *testing.T) {
 	for _, synced := range []bool{true, false} {
 		model := modelWhileRetiring(t)
@@ -69,14 +69,14 @@
 			model.countServed()
 		}
 		model.wipe(model.machines[2], true)
-		model.machines[1].partitioned = synced // replicas being synced cover what the unresponsive one has not, and it the rest
+		model.machines[1].partitioned = synced // without sync, the unresponsive machine returns and has what the replicas being synced lack
 		model.reports = nil
 		model.runUntilStable()
 		assert.Equal(t, model.countServed(), partitionCount, "synced: %v", synced)
 	}
 }
 
-// A machine that was reported empty may be removed at any moment: it is a substitute for none.
+// A machine that was reported empty may be removed at any moment, and so must not be a substitute.
 func TestSubstitute_NotEmptiedStore(t *testing.T) {
 	model := newModel(t, nil, 3, 3, FaultTolerance{1, byNode})
 	model.assign(model.input())
@@ -90,7 +90,7 @@
 	assert.Equal(t, model.countReplicas(model.machines[0]), 0)
 }
 
-// One that is being emptied and is draining is no substitute either, nor is it counted as a replica that stays.
+// A machine that is being emptied and is draining must not be a substitute either, and its replicas do not count as staying.
 func TestSubstitute_NotDrainingStore(t *testing.T) {
 	model := modelWhileRetiring(t)
 	model.machines[0].draining = true
@@ -99,7 +99,7 @@
 	assert.Equal(t, model.countReplicas(model.machines[0]), before)
 }
 
-// Where a turn store stays, none that is being emptied gets a replica.
+// If another turn store can take a replica, none that is being emptied gets one.
 func TestSubstitute_StayingStorePreferred(t *testing.T) {
 	model := newModel(t, nil, 4, 4, FaultTolerance{1, byNode})
 	model.assign(model.input())
--- a/internal/tier/controlplane/sync_stall_test.go
+++ b/internal/tier/controlplane/sync_stall_test.go
@@ -28,16 +28,16 @@
 	expect(0, false, false)
 	expect(3, false, false)
 	expect(3.1, true, true)
-	m.Partitions[0].Epoch = 2 // other turn stores are tried: it stays slow, and gets as long again
+	m.Partitions[0].Epoch = 2 // other turn stores are tried: the partition stays slow, and gets the same time again
 	expect(3.2, true, false)
 	expect(6.3, true, true)
 	for epoch := uint64(3); epoch < 100; epoch++ {
 		m.Partitions[0].Epoch = epoch
 		expect(10, true, false)
 	}
-	expect(10+3*16, true, false) // no longer than sixteen times
+	expect(10+3*16, true, false) // at most sixteen times the usual time
 	expect(10+3*16+0.1, true, true)
-	delete(alive, "a") // nothing can be done without its primary
+	delete(alive, "a") // nothing can be done without the primary
 	expect(100, false, false)
 	alive["a"] = &tierv1.StoreNode{}
 	expect(101, false, false)
