--- a/internal/tier/controlplane/assignment.go
+++ b/internal/tier/controlplane/assignment.go
@@ -144,25 +144,25 @@
 func (a *assignment) observeNodes() {
 	a.storeNodes, a.replaced = map[string]*tierv1.StoreNode{}, map[string]bool{}
 	nodes := map[string]string{}
-	for folder, one := range a.Alive {
-		nodes[one.Node] = folder
-	}
-	for i, one := range a.m.StoreNodes {
-		if now := a.Alive[one.Folder]; now != nil {
-			if !proto.Equal(now, one) {
-				one = proto.Clone(now).(*tierv1.StoreNode)
-				a.m.StoreNodes[i] = one
+	for folder, store := range a.Alive {
+		nodes[store.Node] = folder
+	}
+	for i, store := range a.m.StoreNodes {
+		if now := a.Alive[store.Folder]; now != nil {
+			if !proto.Equal(now, store) {
+				store = proto.Clone(now).(*tierv1.StoreNode)
+				a.m.StoreNodes[i] = store
 			}
-		} else if other, ok := nodes[one.Node]; ok && other != one.Folder {
-			a.replaced[one.Folder] = true
+		} else if other, ok := nodes[store.Node]; ok && other != store.Folder {
+			a.replaced[store.Folder] = true
 		}
-		a.storeNodes[one.Folder] = one
+		a.storeNodes[store.Folder] = store
 	}
 	for _, folder := range slices.Sorted(maps.Keys(a.Alive)) {
 		if a.storeNodes[folder] == nil {
-			one := proto.Clone(a.Alive[folder]).(*tierv1.StoreNode)
-			a.storeNodes[folder] = one
-			a.m.StoreNodes = append(a.m.StoreNodes, one)
+			store := proto.Clone(a.Alive[folder]).(*tierv1.StoreNode)
+			a.storeNodes[folder] = store
+			a.m.StoreNodes = append(a.m.StoreNodes, store)
 		}
 	}
 }
@@ -242,8 +242,8 @@
 			used[folder] = true
 		}
 	}
-	a.m.StoreNodes = slices.DeleteFunc(a.m.StoreNodes, func(one *tierv1.StoreNode) bool {
-		emptied := a.retiring(one.Folder) && a.lost(one.Folder)
-		return !used[one.Folder] && (a.replaced[one.Folder] || emptied)
+	a.m.StoreNodes = slices.DeleteFunc(a.m.StoreNodes, func(store *tierv1.StoreNode) bool {
+		emptied := a.retiring(store.Folder) && a.lost(store.Folder)
+		return !used[store.Folder] && (a.replaced[store.Folder] || emptied)
 	})
 }
--- a/internal/tier/controlplane/assignment_test.go
+++ b/internal/tier/controlplane/assignment_test.go
@@ -122,10 +122,10 @@
 	assert.Equal(t, lifecycleState(model.partitionMap, "n1", 1), "in_progress")
 	for range 1000 {
 		model.assign(model.input())
-		under := 0
+		syncing := 0
 		for i, p := range model.partitionMap.Partitions {
 			if slices.ContainsFunc(p.Backups, func(c *tierv1.Replica) bool { return !c.Synced }) {
-				under++
+				syncing++
 			}
 			synced := 0
 			for _, folder := range replicaFolders(p) {
@@ -135,7 +135,7 @@
 			}
 			assert.Assert(t, synced >= 2, "partition %d has fewer synced replicas than before", i)
 		}
-		assert.Assert(t, under <= partitionCount/concurrentMoveDivisor)
+		assert.Assert(t, syncing <= partitionCount/concurrentMoveDivisor)
 		model.reports = nil
 		for _, m := range model.machines {
 			m.receiveMap(model)
@@ -163,8 +163,8 @@
 	model.assign(model.input())
 	for _, p := range model.partitionMap.Partitions {
 		assert.Assert(t, p.Primary != model.machines[2].folder)
-		left := findBackup(p, model.machines[2].folder) == nil
-		assert.Equal(t, len(p.Backups), map[bool]int{true: 1, false: 2}[left], "the draining store must stay a backup until its replacement is added: %v", p)
+		dropped := findBackup(p, model.machines[2].folder) == nil
+		assert.Equal(t, len(p.Backups), map[bool]int{true: 1, false: 2}[dropped], "the draining store must stay a backup until its replacement is added: %v", p)
 	}
 	model.runUntilStable()
 	for i, p := range model.partitionMap.Partitions {
--- a/internal/tier/controlplane/change_faults_test.go
+++ b/internal/tier/controlplane/change_faults_test.go
@@ -21,11 +21,11 @@
 
 // Durations of a run, in virtual time.
 const (
-	runTraffic   = 20 * time.Second        // time during which operators send
-	runPatience  = time.Second             // time-out of an operator's call
-	runSync      = 4500 * time.Millisecond // from the return of a machine until the next may be lost
-	runCalm      = 8 * time.Second         // from the last fault until the final read
-	runFinalWait = 12 * time.Second        // time-out of the final read
+	runTraffic     = 20 * time.Second        // time during which operators send
+	runCallTimeout = time.Second             // time-out of an operator's call
+	runSync        = 4500 * time.Millisecond // from the return of a machine until the next may be lost
+	runSettleTime  = 8 * time.Second         // from the last fault until the final read
+	runFinalWait   = 12 * time.Second        // time-out of the final read
 )
 
 var changeSeeds = flag.Int("order-seeds", 6, "runs of TestChanges_ThroughFaults")
@@ -41,9 +41,9 @@
 
 func (r *faultRun) now() time.Duration { return time.Since(r.start) }
 
-// playFaults runs operators and faults drawn from a seed, and returns the history. The order of goroutines is not
+// simulateFaults runs operators and faults drawn from a seed, and returns the history. The order of goroutines is not
 // deterministic, so that a seed leads to similar histories, not to the same one.
-func playFaults(t *testing.T, seed uint64, wrap func(Store) Store) (result requestHistory) {
+func simulateFaults(t *testing.T, seed uint64, wrap func(Store) Store) (result requestHistory) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -51,7 +51,7 @@
 		c := &cluster{wrap: wrap}
 		c.setUp(ctx, t, seed, 3+2*random.IntN(2))
 		r := &faultRun{c: c, start: time.Now()}
-		c.lossy = random.Float64() * 0.5
+		c.lossRate = random.Float64() * 0.5
 		var all sync.WaitGroup
 		for i := range 1 + random.IntN(8) {
 			own := rand.New(rand.NewPCG(seed, uint64(i)+100))
@@ -60,8 +60,8 @@
 		all.Go(func() { r.injectFaults(random) })
 		all.Wait()
 		r.injectFinalFault(random)
-		<-time.After(runCalm)
-		c.lossy = 0
+		<-time.After(runSettleTime)
+		c.lossRate = 0
 		r.readFinal(random)
 		r.repeatAll(random)
 		result = r.history
@@ -115,15 +115,15 @@
 }
 
 // repeatChange repeats a change that got a final response. It must not repeat others, as their first response might still come.
-func (r *faultRun) repeatChange(o *sentChange, random *rand.Rand, calm bool) {
+func (r *faultRun) repeatChange(o *sentChange, random *rand.Rand, withoutFaults bool) {
 	if o == nil {
 		return
 	}
 	tries := 2
-	if calm {
+	if withoutFaults {
 		tries = 40 // each goes to a random machine
 	}
-	again := repeatedChange{change: o, outcome: r.sendChange(o, random, tries), withoutFaults: calm}
+	again := repeatedChange{change: o, outcome: r.sendChange(o, random, tries), withoutFaults: withoutFaults}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.repeats = append(r.history.repeats, again)
@@ -192,7 +192,7 @@
 	url := "http://" + m.ip + ":" + operatorPort + "/saffronyard/" + path
 	for range 3 {
 		response, err := c.ask(method, url, base, body)
-		if err != nil || random.Float64() < c.lossy {
+		if err != nil || random.Float64() < c.lossRate {
 			return 0, ""
 		}
 		if response.status != http.StatusTemporaryRedirect {
@@ -204,7 +204,7 @@
 }
 
 func (c *cluster) ask(method, url, base, body string) (response, error) {
-	ctx, cancel := context.WithTimeout(c.ctx, runPatience)
+	ctx, cancel := context.WithTimeout(c.ctx, runCallTimeout)
 	defer cancel()
 	q, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader([]byte(body)))
 	if err != nil {
@@ -249,24 +249,24 @@
 			<-time.After(down)
 			r.c.start(m, false)
 		case 3:
-			power := random.IntN(2) == 0
+			powerLoss := random.IntN(2) == 0
 			for _, one := range r.c.machines {
-				r.c.stop(one, power)
+				r.c.stop(one, powerLoss)
 			}
 			for _, one := range r.c.machines {
 				r.c.start(one, false)
 			}
 		default:
-			sends, hears := true, true
+			outbound, inbound := true, true
 			switch random.IntN(4) {
 			case 0:
-				sends = false
+				outbound = false
 			case 1:
-				hears = false
+				inbound = false
 			}
-			r.c.partition(m, sends, hears, true)
+			r.c.partition(m, outbound, inbound, true)
 			<-time.After(down + time.Second)
-			r.c.partition(m, sends, hears, false)
+			r.c.partition(m, outbound, inbound, false)
 		}
 		<-time.After(runSync + time.Duration(random.IntN(1000))*time.Millisecond)
 	}
@@ -276,9 +276,9 @@
 func (r *faultRun) injectFinalFault(random *rand.Rand) {
 	<-time.After(time.Duration(random.IntN(300)) * time.Millisecond)
 	wiped := random.IntN(2 * len(r.c.machines)) // no disk is lost in half of the runs
-	power := random.IntN(2) == 0
+	powerLoss := random.IntN(2) == 0
 	for i, m := range r.c.machines {
-		r.c.stop(m, power)
+		r.c.stop(m, powerLoss)
 		if i == wiped {
 			m.disk.Wipe()
 		}
@@ -293,7 +293,7 @@
 func TestChanges_ThroughFaults(t *testing.T) {
 	for seed := range uint64(*changeSeeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			h := playFaults(t, seed, nil)
+			h := simulateFaults(t, seed, nil)
 			for _, err := range h.check() {
 				t.Error(err)
 			}
--- a/internal/tier/controlplane/change_history_test.go
+++ b/internal/tier/controlplane/change_history_test.go
@@ -30,7 +30,7 @@
 func TestChangeHistory_Decide(t *testing.T) {
 	three := acceptedChanges(changeOf(0, 3, "a"), changeOf(3, 5, "b"), changeOf(5, 9, "c"))
 	// The changes up to revision 5 are no longer recorded.
-	forgetful := changeHistory{current: 9, records: three.records[2:]}
+	truncated := changeHistory{current: 9, records: three.records[2:]}
 	// The configuration was written by a version that kept no records.
 	unrecorded, err := loadChangeHistory(9, []byte("c"), func(string) ([]byte, uint64) { return nil, 0 })
 	assert.NilError(t, err)
@@ -54,13 +54,13 @@
 		{"a base that is not there yet", three, changeOf(10, 11, "x"), decisionConflict},
 		{"not above its base", three, changeOf(9, 9, "x"), decisionNotNewer},
 		{"below its base", three, changeOf(9, 4, "x"), decisionNotNewer},
-		{"forgotten", forgetful, changeOf(0, 3, "a"), decisionTooOld},
-		{"forgotten, the last one", forgetful, changeOf(3, 5, "b"), decisionTooOld},
-		{"never accepted, before the history begins", forgetful, changeOf(3, 4, "x"), decisionTooOld},
-		{"on a forgotten base, above the begin of the history", forgetful, changeOf(3, 6, "x"), decisionConflict},
-		{"between revisions of the history", forgetful, changeOf(5, 6, "x"), decisionConflict},
-		{"in the history", forgetful, changeOf(5, 9, "c"), decisionAlreadyAccepted},
-		{"the next on a truncated history", forgetful, changeOf(9, 10, "d"), decisionAccept},
+		{"forgotten", truncated, changeOf(0, 3, "a"), decisionTooOld},
+		{"forgotten, the last one", truncated, changeOf(3, 5, "b"), decisionTooOld},
+		{"never accepted, before the history begins", truncated, changeOf(3, 4, "x"), decisionTooOld},
+		{"on a forgotten base, above the begin of the history", truncated, changeOf(3, 6, "x"), decisionConflict},
+		{"between revisions of the history", truncated, changeOf(5, 6, "x"), decisionConflict},
+		{"in the history", truncated, changeOf(5, 9, "c"), decisionAlreadyAccepted},
+		{"the next on a truncated history", truncated, changeOf(9, 10, "d"), decisionAccept},
 		{"in force without a record", unrecorded, changeOf(5, 9, "c"), decisionAlreadyAccepted},
 		{"before one without a record", unrecorded, changeOf(3, 5, "b"), decisionTooOld},
 		{"beside one without a record", unrecorded, changeOf(5, 9, "x"), decisionTooOld},
@@ -99,15 +99,15 @@
 	const largest = 1 << 53 // the largest revision that a configuration may have
 	order := changeOf(largest-1, largest, "x")
 	entry := &tierv1.Entry{Key: changeKey(largest), Value: order.encode(), Sequence: 1<<63 + 1}
-	whole := &tierv1.WriteRequest{Entries: []*tierv1.Entry{entry}}
-	assert.Assert(t, proto.Size(whole) <= maxChangeRecordBytes, "%d", proto.Size(whole))
+	request := &tierv1.WriteRequest{Entries: []*tierv1.Entry{entry}}
+	assert.Assert(t, proto.Size(request) <= maxChangeRecordBytes, "%d", proto.Size(request))
 	assert.Assert(t, changeHistoryLimit*maxChangeRecordBytes <= maxChangeHistoryBytes)
 	assert.Assert(t, changeHistoryLimit >= 1700)
 	all := &tierv1.WriteRequest{}
 	for i := range int64(changeHistoryLimit) { // as after a day of 2,048 changes
 		all.Entries = append(all.Entries, &tierv1.Entry{Key: changeKey(2 * i), Value: order.encode(), Sequence: uint64(i)})
 	}
-	t.Logf("the largest record has %d bytes, a full history %d", proto.Size(whole), proto.Size(all))
+	t.Logf("the largest record has %d bytes, a full history %d", proto.Size(request), proto.Size(all))
 }
 
 func TestChangeHistory_DamagedRecords(t *testing.T) {
--- a/internal/tier/controlplane/change_mutants_test.go
+++ b/internal/tier/controlplane/change_mutants_test.go
@@ -28,7 +28,7 @@
 
 func (s recordHidingStore) Get(key string) ([]byte, uint64) {
 	value, sequence := s.Store.Get(key)
-	if revision, is := strings.CutPrefix(key, keyChangePrefix); is && value != nil && revision != "" {
+	if revision, found := strings.CutPrefix(key, keyChangePrefix); found && value != nil && revision != "" {
 		value = append(make([]byte, 8), value[8:]...)
 	}
 	return value, sequence
@@ -88,7 +88,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(mutantSeeds) {
-				if broken := playFaults(t, seed, wrap).check(); len(broken) > 0 {
+				if broken := simulateFaults(t, seed, wrap).check(); len(broken) > 0 {
 					text := broken[0].Error()
 					t.Logf("found by history %d: %d findings, the first: %s", seed+1, len(broken), text[:min(120, len(text))])
 					return
@@ -104,7 +104,7 @@
 func TestChanges_IndependentOfLease(t *testing.T) {
 	for seed := range uint64(*changeSeeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			for _, err := range playFaults(t, seed, func(s Store) Store { return newStaleLeaseStore(s) }).check() {
+			for _, err := range simulateFaults(t, seed, func(s Store) Store { return newStaleLeaseStore(s) }).check() {
 				t.Error(err)
 			}
 		})
--- a/internal/tier/controlplane/client_test.go
+++ b/internal/tier/controlplane/client_test.go
@@ -66,11 +66,11 @@
 	assert.Equal(t, event, client.Event{Name: "g.k", Value: "1", Revision: revision})
 
 	enough := errors.New("enough")
-	var told []client.Event
+	var events []client.Event
 	watched := make(chan error, 1)
 	go func() {
 		watched <- c.Watch(ctx, "g.", revision, func(event client.Event) error {
-			if told = append(told, event); len(told) == 2 {
+			if events = append(events, event); len(events) == 2 {
 				return enough
 			}
 			return nil
@@ -81,7 +81,7 @@
 	third, err := c.Put(ctx, "g.other", "3")
 	assert.NilError(t, err)
 	assert.ErrorIs(t, <-watched, enough)
-	assert.DeepEqual(t, told, []client.Event{{Name: "g.k", Value: "2", Revision: second}, {Name: "g.other", Value: "3", Revision: third}})
+	assert.DeepEqual(t, events, []client.Event{{Name: "g.k", Value: "2", Revision: second}, {Name: "g.other", Value: "3", Revision: third}})
 }
 
 // Leaders follow one another with rising fences, and never overlap.
--- a/internal/tier/controlplane/cluster_test.go
+++ b/internal/tier/controlplane/cluster_test.go
@@ -30,10 +30,10 @@
 	machines []*coreMachine
 	limit    int // of the control state, in bytes; 0: consensus.StateLimit
 
-	mu      sync.Mutex
-	random  *rand.Rand
-	blocked map[[2]string]bool // from, to: messages in this direction are lost
-	lossy   float64            // fraction of operators' calls whose answer is lost
+	mu       sync.Mutex
+	random   *rand.Rand
+	blocked  map[[2]string]bool // from, to: messages in this direction are lost
+	lossRate float64            // fraction of operators' calls whose answer is lost
 }
 
 // coreMachine is one core machine with its disk. Its process may be down.
@@ -132,12 +132,12 @@
 }
 
 // stop kills the process. On a power loss the disk also loses what was not synced.
-func (c *cluster) stop(m *coreMachine, power bool) {
+func (c *cluster) stop(m *coreMachine, powerLoss bool) {
 	m.mu.Lock()
 	end := m.end
 	m.internal, m.operators, m.end = nil, nil, nil
 	m.mu.Unlock()
-	if power {
+	if powerLoss {
 		c.mu.Lock()
 		m.disk.Crash(c.random)
 		c.mu.Unlock()
@@ -179,15 +179,15 @@
 
 // partition drops the messages that a machine sends to the others, those that it receives from them, or both; or lets them
 // through again.
-func (c *cluster) partition(m *coreMachine, sends, hears, blocked bool) {
+func (c *cluster) partition(m *coreMachine, outbound, inbound, blocked bool) {
 	for _, other := range c.machines {
 		if other == m {
 			continue
 		}
-		if sends {
+		if outbound {
 			c.block(m.ip, other.ip, blocked)
 		}
-		if hears {
+		if inbound {
 			c.block(other.ip, m.ip, blocked)
 		}
 	}
--- a/internal/tier/controlplane/compression_test.go
+++ b/internal/tier/controlplane/compression_test.go
@@ -33,8 +33,8 @@
 	leastWait := testSettings().ContactWindow / 10 // session.graceOver
 	v := &publishedState{}
 	v.setEndpoints(&tierv1.Endpoints{Version: 7, List: manyEndpoints(3000)})
-	reply, some := v.replyFor(&tierv1.WatchRequest{AcceptsPackedEndpoints: true})
-	assert.Assert(t, some)
+	reply, newer := v.replyFor(&tierv1.WatchRequest{AcceptsPackedEndpoints: true})
+	assert.Assert(t, newer)
 	bytes := proto.Size(reply)
 	took := time.Duration(float64(sessionCount*bytes) / linkPerSecond * float64(time.Second))
 	t.Logf("%d bytes a session, %v for all", bytes, took)
@@ -44,13 +44,13 @@
 // A long list is compressed once for all sessions that accept that. Other sessions get it uncompressed, as all sessions get a
 // short list.
 func TestCompressEndpoints_OnceForAllSessions(t *testing.T) {
-	reads := &tierv1.WatchRequest{AcceptsPackedEndpoints: true}
+	request := &tierv1.WatchRequest{AcceptsPackedEndpoints: true}
 	long, short := &publishedState{}, &publishedState{}
 	long.setEndpoints(&tierv1.Endpoints{Version: 7, List: manyEndpoints(3000)})
 	short.setEndpoints(&tierv1.Endpoints{Version: 7, List: manyEndpoints(3)})
-	first, second := long.endpointsFor(reads), long.endpointsFor(reads)
+	first, second := long.endpointsFor(request), long.endpointsFor(request)
 	assert.Assert(t, first == second, "compressed twice")
 	assert.Assert(t, len(first.Packed) > 0 && len(first.List) == 0 && first.Version == 7)
 	assert.Assert(t, long.endpointsFor(&tierv1.WatchRequest{}) == long.endpoints)
-	assert.Assert(t, short.endpointsFor(reads) == short.endpoints)
+	assert.Assert(t, short.endpointsFor(request) == short.endpoints)
 }
--- a/internal/tier/controlplane/coordination_calls.go
+++ b/internal/tier/controlplane/coordination_calls.go
@@ -171,7 +171,7 @@
 		return plane.redirectToPrimary(r)
 	}
 	timeout := coordinationTimeout
-	if watch, held := call.(coordination.WatchGroup); held {
+	if watch, isWatch := call.(coordination.WatchGroup); isWatch {
 		timeout += watch.Wait
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), begun.Add(timeout))
--- a/internal/tier/controlplane/distant_sessions_test.go
+++ b/internal/tier/controlplane/distant_sessions_test.go
@@ -110,11 +110,11 @@
 	client *gatewaysession.Client
 	link   *distantLink
 
-	mu       sync.Mutex
-	inForce  int64  // revision
-	endpoint uint64 // version of the endpoint list
-	synced   []*tierv1.SyncedReplica
-	changed  chan struct{} // closed at the next change of synced
+	mu               sync.Mutex
+	revision         int64  // of the configuration in force
+	endpointsVersion uint64 // version of the endpoint list
+	synced           []*tierv1.SyncedReplica
+	changed          chan struct{} // closed at the next change of synced
 }
 
 // joinDistant starts a process whose round trips to the control plane take roundTrip.
@@ -127,12 +127,12 @@
 		Configuration: func(v *tierv1.Configuration) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.inForce = revisionOf(bodyOf(v))
+			p.revision = revisionOf(bodyOf(v))
 		},
 		Endpoints: func(v *tierv1.Endpoints) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.endpoint = v.Version
+			p.endpointsVersion = v.Version
 		}}
 	if role == roleTurnStore {
 		config.Folder = node + ".1"
@@ -171,10 +171,10 @@
 	return p.synced, p.changed
 }
 
-func (p *distantProcess) has() (revision int64, endpoints uint64) {
+func (p *distantProcess) applied() (revision int64, endpoints uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.inForce, p.endpoint
+	return p.revision, p.endpointsVersion
 }
 
 // inactiveSessions returns the processes whose sessions are not active at the control plane.
@@ -210,14 +210,14 @@
 					h.advance(window / 50)
 					assert.Equal(t, len(h.inactiveSessions()), 0, "%v after %v", h.inactiveSessions(), time.Since(began))
 					for _, one := range gateways {
-						stands, _ := one.client.Active()
-						assert.Assert(t, stands && one.client.Current(), "after %v", time.Since(began))
+						active, _ := one.client.Active()
+						assert.Assert(t, active && one.client.Current(), "after %v", time.Since(began))
 					}
 					if int(time.Since(began)/window) > revision-3 {
 						assertStatus(t, h.replace(revision, revision+1), 200)
 						revision++
 						for _, one := range gateways {
-							has, _ := one.has()
+							has, _ := one.applied()
 							assert.Equal(t, has, int64(revision), "acknowledged before it is in force")
 						}
 					}
@@ -268,7 +268,7 @@
 					at      time.Time
 				}
 				var pushes []push
-				stood := 0
+				activeSteps := 0
 				for began := time.Now(); time.Since(began) < 30*window; {
 					version := uint64(0)
 					h.plane.updatePublished(epoch, func(v *publishedState) {
@@ -277,19 +277,19 @@
 					})
 					pushes = append(pushes, push{version, time.Now()})
 					h.advance(window / 20)
-					if stands, _ := one.client.Active(); stands {
-						stood++
+					if active, _ := one.client.Active(); active {
+						activeSteps++
 					}
 					if !one.client.Current() {
 						continue
 					}
-					_, has := one.has()
+					_, has := one.applied()
 					for _, p := range pushes {
 						assert.Assert(t, p.version <= has || time.Since(p.at) <= bound, "%v after a push the gateway neither has its version nor rejects requests: %v after the begin",
 							time.Since(p.at), time.Since(began))
 					}
 				}
-				t.Logf("the session was active %d%% of the time", stood*100/len(pushes))
+				t.Logf("the session was active %d%% of the time", activeSteps*100/len(pushes))
 			})
 		})
 	}
--- a/internal/tier/controlplane/ejections.go
+++ b/internal/tier/controlplane/ejections.go
@@ -106,13 +106,13 @@
 // announce adds an ejection in place of an earlier one of the same instance, drops those older than a contact window, and
 // returns the rest.
 func (e *ejections) announce(now time.Time, ejection *tierv1.Ejection) *tierv1.Ejections {
-	kept := e.announced[:0]
+	remaining := e.announced[:0]
 	for _, known := range e.announced {
 		if known.ejection.Instance != ejection.Instance && now.Sub(known.at) <= e.window {
-			kept = append(kept, known)
+			remaining = append(remaining, known)
 		}
 	}
-	e.announced = append(kept, announcedEjection{ejection, now})
+	e.announced = append(remaining, announcedEjection{ejection, now})
 	if surplus := len(e.announced) - maxEjections; surplus > 0 {
 		e.announced = e.announced[surplus:]
 	}
--- a/internal/tier/controlplane/ejections_test.go
+++ b/internal/tier/controlplane/ejections_test.go
@@ -32,19 +32,19 @@
 	const window = 4 * time.Second
 	now := time.Unix(0, 0)
 	e := newEjections(window)
-	tell := func(at time.Time, instance string, version uint64) *tierv1.Ejections {
+	announce := func(at time.Time, instance string, version uint64) *tierv1.Ejections {
 		return e.announce(at, &tierv1.Ejection{Instance: instance, Version: version})
 	}
-	tell(now, "i1", 1)
-	tell(now.Add(time.Second), "i2", 2)
-	instances := func(told *tierv1.Ejections) (list []string) {
-		for _, one := range told.List {
+	announce(now, "i1", 1)
+	announce(now.Add(time.Second), "i2", 2)
+	instances := func(announced *tierv1.Ejections) (list []string) {
+		for _, one := range announced.List {
 			list = append(list, fmt.Sprint(one.Instance, " ", one.Version))
 		}
 		return list
 	}
-	assert.DeepEqual(t, instances(tell(now.Add(window), "i2", 3)), []string{"i1 1", "i2 3"})
-	assert.DeepEqual(t, instances(tell(now.Add(window+time.Nanosecond), "i3", 4)), []string{"i2 3", "i3 4"})
+	assert.DeepEqual(t, instances(announce(now.Add(window), "i2", 3)), []string{"i1 1", "i2 3"})
+	assert.DeepEqual(t, instances(announce(now.Add(window+time.Nanosecond), "i3", 4)), []string{"i2 3", "i3 4"})
 }
 
 // The numbers of reports and of announced ejections are bounded.
@@ -72,10 +72,10 @@
 			defer mutex.Unlock()
 			return all[i]
 		}
-		for i, takes := range []bool{true, true, false} {
+		for i, accepts := range []bool{true, true, false} {
 			request := probeRequest()
 			request.Node, request.Role, request.Incarnation, request.PollTimeoutMs = fmt.Sprint("e", i), roleGateway, "a", 600
-			request.AcceptsEjections = takes
+			request.AcceptsEjections = accepts
 			mutex.Lock()
 			all = append(all, nil)
 			mutex.Unlock()
--- a/internal/tier/controlplane/endpoint_list.go
+++ b/internal/tier/controlplane/endpoint_list.go
@@ -63,8 +63,8 @@
 // endScan ends a scan, and removes the endpoints that were on none of its pages.
 func (l *endpointList) endScan(now time.Time) {
 	l.lastScanTime, l.scanBegan = now.Sub(l.scanBegan), time.Time{}
-	for instance, one := range l.entries {
-		if one.scan != l.scan {
+	for instance, entry := range l.entries {
+		if entry.scan != l.scan {
 			delete(l.entries, instance)
 			l.changed = true
 		}
@@ -99,8 +99,8 @@
 // list returns all endpoints, sorted by instance. Their remaining slow start is reduced by the time since they were read.
 func (l *endpointList) list(now time.Time) []*tierv1.Endpoint {
 	list := make([]*tierv1.Endpoint, 0, len(l.entries))
-	for _, one := range l.entries {
-		list = append(list, one.agedTo(now))
+	for _, entry := range l.entries {
+		list = append(list, entry.agedTo(now))
 	}
 	slices.SortFunc(list, func(a, b *tierv1.Endpoint) int { return cmp.Compare(a.Instance, b.Instance) })
 	return list
--- a/internal/tier/controlplane/metrics.go
+++ b/internal/tier/controlplane/metrics.go
@@ -15,7 +15,7 @@
 func (plane *ControlPlane) Metrics() metrics.ControlPlane {
 	record := plane.Store.View()
 	figures := metrics.ControlPlane{Epoch: record.GetEpoch(), Members: len(record.GetMembers()), Disk: tierv1.DiskState_DISK_SOUND}
-	if store, knows := plane.Store.(healthStore); knows {
+	if store, ok := plane.Store.(healthStore); ok {
 		health := store.Health()
 		figures.LeaseRemaining, figures.Disk = health.Lease, diskState(health.Disk)
 	}
--- a/internal/tier/controlplane/placement_model_test.go
+++ b/internal/tier/controlplane/placement_model_test.go
@@ -29,7 +29,7 @@
 	unreachable  bool // reachable for the control plane, but not for turn stores
 	draining     bool
 	diskUnsound  bool // reports to the control plane that its disk is not sound
-	known        []*tierv1.Partition
+	received     []*tierv1.Partition
 	observed     map[int]uint64 // by partition, the newest epoch that a primary has named
 	recovered    map[int]uint64 // by partition, the epoch in which it has all facts of the backups that it was to recover from
 }
@@ -53,13 +53,13 @@
 func byZone(k *tierv1.StoreNode) string { return k.Zone }
 func byNode(k *tierv1.StoreNode) string { return k.Node }
 
-func newModel(t reporter, r *rand.Rand, n, zones int, spread FaultTolerance) *placementModel {
-	return newMutantModel(t, mutant{}, r, n, zones, spread)
+func newModel(t reporter, r *rand.Rand, n, zones int, tolerance FaultTolerance) *placementModel {
+	return newMutantModel(t, mutant{}, r, n, zones, tolerance)
 }
 
 // newMutantModel is newModel with an injected fault.
-func newMutantModel(t reporter, p mutant, r *rand.Rand, n, zones int, spread FaultTolerance) *placementModel {
-	model := &placementModel{t: t, mutant: p, random: r, tolerance: spread}
+func newMutantModel(t reporter, fault mutant, r *rand.Rand, n, zones int, tolerance FaultTolerance) *placementModel {
+	model := &placementModel{t: t, mutant: fault, random: r, tolerance: tolerance}
 	for i := range n {
 		model.add(i, zones)
 	}
@@ -103,7 +103,7 @@
 func (model *placementModel) assign(in Input) bool {
 	before := model.partitionMap
 	unchanged := proto.Clone(before)
-	next, changed := model.mutant.assigned(before, in)
+	next, changed := model.mutant.runAssign(before, in)
 	assert.Assert(model.t, proto.Equal(unchanged, before), "the previous map was modified")
 	if !changed {
 		assert.Assert(model.t, next == before)
@@ -152,12 +152,12 @@
 // accepts reports whether a machine accepts facts of an epoch. A machine that has just started accepts none before it has
 // received the map.
 func (m *modelMachine) accepts(i int, epoch uint64) bool {
-	return !m.unreachable && i < len(m.known) && max(m.known[i].Epoch, m.observed[i]) <= epoch
+	return !m.unreachable && i < len(m.received) && max(m.received[i].Epoch, m.observed[i]) <= epoch
 }
 
 // accepts reports whether a machine accepts facts of an epoch, with the fault that is injected.
 func (model *placementModel) accepts(m *modelMachine, i int, epoch uint64) bool {
-	return m.accepts(i, epoch) || model.mutant.acceptsStaleEpochs && !m.unreachable && i < len(m.known)
+	return m.accepts(i, epoch) || model.mutant.acceptsStaleEpochs && !m.unreachable && i < len(m.received)
 }
 
 // observe records an epoch that a primary has named: the machine accepts no facts of older epochs any more.
@@ -171,16 +171,16 @@
 // receiveMap gives a machine the newest map.
 func (m *modelMachine) receiveMap(model *placementModel) {
 	if m.up && !m.partitioned && model.partitionMap != nil {
-		m.known = model.partitionMap.Partitions
+		m.received = model.partitionMap.Partitions
 	}
 }
 
 // acknowledge lets a machine acknowledge a turn of a partition, if all backups in its map accept the turn.
 func (model *placementModel) acknowledge(m *modelMachine, i int) bool {
-	if !m.up || m.unreachable || i >= len(m.known) || m.known[i].Primary != m.folder {
+	if !m.up || m.unreachable || i >= len(m.received) || m.received[i].Primary != m.folder {
 		return false
 	}
-	p := m.known[i]
+	p := m.received[i]
 	for _, c := range p.Backups {
 		b := model.machine(c.Folder)
 		if b == nil || !b.up || !model.accepts(b, i, p.Epoch) {
@@ -201,27 +201,27 @@
 
 // complete reports whether a folder has all acknowledged facts of a partition.
 func (model *placementModel) complete(i int, folder string) bool {
-	if held := model.facts[i][folder]; held != nil {
-		return held.Cmp(model.acknowledged[i]) == 0
+	if stored := model.facts[i][folder]; stored != nil {
+		return stored.Cmp(model.acknowledged[i]) == 0
 	}
 	return model.acknowledged[i].BitLen() == 0
 }
 
 // addFacts adds facts to a folder.
 func (model *placementModel) addFacts(i int, folder string, facts *big.Int) {
-	held := model.facts[i][folder]
-	if held == nil {
-		held = new(big.Int)
+	stored := model.facts[i][folder]
+	if stored == nil {
+		stored = new(big.Int)
 	}
-	model.facts[i][folder] = new(big.Int).Or(held, facts)
+	model.facts[i][folder] = new(big.Int).Or(stored, facts)
 }
 
 // syncReplica lets a primary sync the replicas of a partition that are not synced, and report them.
 func (model *placementModel) syncReplica(m *modelMachine, i int) {
-	if !m.up || m.unreachable || i >= len(m.known) || m.known[i].Primary != m.folder {
+	if !m.up || m.unreachable || i >= len(m.received) || m.received[i].Primary != m.folder {
 		return
 	}
-	p := m.known[i]
+	p := m.received[i]
 	if m.recovered[i] != p.Epoch && !model.recover(m, i, p) {
 		return
 	}
@@ -304,8 +304,8 @@
 		primaries[p.Primary]++
 		domains := map[string]bool{}
 		for _, folder := range replicaFolders(p) {
-			_, stays := replicas[folder]
-			assert.Assert(model.t, stays, "partition %d: %s: %v of losses %d\n%v", i, folder, p, model.tolerance.Losses, model.trace)
+			_, staying := replicas[folder]
+			assert.Assert(model.t, staying, "partition %d: %s: %v of losses %d\n%v", i, folder, p, model.tolerance.Losses, model.trace)
 			replicas[folder]++
 			c := findBackup(p, folder)
 			assert.Assert(model.t, c == nil || c.Synced)
--- a/internal/tier/controlplane/placement_mutants_test.go
+++ b/internal/tier/controlplane/placement_mutants_test.go
@@ -22,26 +22,26 @@
 // assignFunc has the signature of Assign.
 type assignFunc func(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool)
 
-// assigned returns the map of Assign, or of the function that replaces it.
-func (m mutant) assigned(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
+// runAssign returns the map of Assign, or of the function that replaces it.
+func (m mutant) runAssign(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
 	if m.assign == nil {
 		return Assign(before, in)
 	}
 	return m.assign(before, in)
 }
 
-// changed returns an assignFunc that applies change to each partition of the maps that Assign has changed.
-func changed(change func(old, next *tierv1.Partition)) assignFunc {
+// changeAssigned returns an assignFunc that applies change to each partition of the maps that Assign has changed.
+func changeAssigned(change func(old, next *tierv1.Partition)) assignFunc {
 	return func(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
-		next, is := Assign(before, in)
-		if !is || len(before.GetPartitions()) == 0 {
-			return next, is
+		next, ok := Assign(before, in)
+		if !ok || len(before.GetPartitions()) == 0 {
+			return next, ok
 		}
 		next = proto.CloneOf(next)
 		for i, p := range next.Partitions {
 			change(before.Partitions[i], p)
 		}
-		return next, is
+		return next, ok
 	}
 }
 
@@ -58,8 +58,8 @@
 	}
 }
 
-// forgetRetained drops the retained replicas.
-func forgetRetained(_, next *tierv1.Partition) { next.Retained = nil }
+// dropRetained drops the retained replicas.
+func dropRetained(_, next *tierv1.Partition) { next.Retained = nil }
 
 // acceptOldReports accepts reports of an older epoch as those of the newest.
 func acceptOldReports(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
@@ -87,7 +87,7 @@
 	for _, play := range []struct {
 		name string
 		run  func(t reporter, fault mutant, seed uint64)
-	}{{"session expiries", playSessionExpiries}, {"random events", playRandomEvents}} {
+	}{{"session expiries", simulateSessionExpiries}, {"random events", simulateRandomEvents}} {
 		for _, fault := range []struct {
 			name   string
 			mutant mutant
@@ -96,8 +96,8 @@
 			{"a backup takes a stale epoch", mutant{acceptsStaleEpochs: true}, []string{findingNotComplete, findingServesIncomplete}},
 			{"replicas are reported synced too early", mutant{reportsEarly: true}, []string{findingNotComplete}},
 			{"a recovery loses what it fetches", mutant{recoversNothing: true}, []string{findingNotComplete}},
-			{"an unsynced replica becomes primary", mutant{assign: changed(promoteUnsynced)}, []string{findingNotComplete, findingServesIncomplete}},
-			{"control forgets retained replicas", mutant{assign: changed(forgetRetained)}, []string{findingUnserved}},
+			{"an unsynced replica becomes primary", mutant{assign: changeAssigned(promoteUnsynced)}, []string{findingNotComplete, findingServesIncomplete}},
+			{"control forgets retained replicas", mutant{assign: changeAssigned(dropRetained)}, []string{findingUnserved}},
 			{"reports of an older epoch are accepted", mutant{assign: acceptOldReports}, []string{findingNotComplete}},
 		} {
 			t.Run(play.name+"/"+fault.name, func(t *testing.T) {
--- a/internal/tier/controlplane/placement_random_test.go
+++ b/internal/tier/controlplane/placement_random_test.go
@@ -17,40 +17,40 @@
 // partitions are served when all machines have returned.
 func TestPlacement_RandomEvents(t *testing.T) {
 	for seed := range uint64(20) {
-		playRandomEvents(t, mutant{}, seed)
+		simulateRandomEvents(t, mutant{}, seed)
 	}
 }
 
-// playRandomEvents is one run of TestPlacement_RandomEvents.
-func playRandomEvents(t reporter, fault mutant, seed uint64) {
+// simulateRandomEvents is one run of TestPlacement_RandomEvents.
+func simulateRandomEvents(t reporter, fault mutant, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	losses := 1 + r.IntN(2)
 	n := losses + 1 + r.IntN(4)
-	spread := FaultTolerance{losses, byNode}
+	tolerance := FaultTolerance{losses, byNode}
 	if r.IntN(3) == 0 {
-		spread.Domain = byZone
+		tolerance.Domain = byZone
 	}
-	model := newMutantModel(t, fault, r, n, 3, spread)
+	model := newMutantModel(t, fault, r, n, 3, tolerance)
 	model.assign(model.input())
 	model.runUntilStable()
-	hurt := map[*modelMachine]bool{} // machines affected since the map was last stable
-	var late []Report                // reports to be delivered again
+	affected := map[*modelMachine]bool{} // machines affected since the map was last stable
+	var delayed []Report                 // reports to be delivered again
 	for range 150 {
 		m := model.machines[r.IntN(len(model.machines))]
 		switch r.IntN(12) {
 		case 0:
 			model.tracef("%s stops", m.node)
-			m.up, m.known = false, nil
-			hurt[m] = true
+			m.up, m.received = false, nil
+			affected[m] = true
 		case 1, 2:
 			model.tracef("%s starts", m.node)
 			m.up, m.draining = true, false
 		case 3:
 			model.tracef("%s is partitioned: %v", m.node, !m.partitioned)
 			m.partitioned = !m.partitioned
-			hurt[m] = true
+			affected[m] = true
 		case 4:
-			if hurt[m] = true; len(hurt) > losses {
+			if affected[m] = true; len(affected) > losses {
 				break
 			}
 			model.tracef("%s loses its disk", m.node)
@@ -58,7 +58,7 @@
 		case 5:
 			model.tracef("%s drains", m.node)
 			m.draining = true
-			hurt[m] = true
+			affected[m] = true
 		case 6:
 			if len(model.machines) < 8 && r.IntN(4) == 0 {
 				model.tracef("a machine joins")
@@ -72,8 +72,8 @@
 					stay++
 				}
 			}
-			if model.takeAway(m) {
-				delete(hurt, m)
+			if model.removeRetired(m) {
+				delete(affected, m)
 				break
 			}
 			if stay > losses && !slices.Contains(model.partitionMap.Retiring, m.node) && r.IntN(4) == 0 {
@@ -84,7 +84,7 @@
 		case 9:
 			model.tracef("%s is unreachable for turn stores: %v", m.node, !m.unreachable)
 			m.unreachable = !m.unreachable
-			hurt[m] = true
+			affected[m] = true
 		case 8:
 			for _, one := range model.machines {
 				one.up, one.partitioned, one.draining, one.unreachable = true, false, false, false
@@ -93,14 +93,14 @@
 			model.runUntilStable()
 			model.assertAllServed()
 			model.assertBalanced(false)
-			clear(hurt)
+			clear(affected)
 		case 10:
-			if len(hurt) == 0 { // an expiry is no loss, but Assign does not wait for its end beside a loss
+			if len(affected) == 0 { // an expiry is no loss, but Assign does not wait for its end beside a loss
 				model.expireBriefly(m)
 			}
 		case 11:
-			model.tracef("%d reports come late", len(late))
-			model.reports, late = append(model.reports, late...), slices.Clone(model.reports)
+			model.tracef("%d reports come late", len(delayed))
+			model.reports, delayed = append(model.reports, delayed...), slices.Clone(model.reports)
 		}
 		model.now = model.now.Add(time.Duration(r.IntN(8)) * stepTime)
 		for range 3 {
@@ -142,8 +142,8 @@
 	m.partitioned = false
 }
 
-// takeAway removes a machine that was reported empty, with its disk and for good.
-func (model *placementModel) takeAway(m *modelMachine) bool {
+// removeRetired removes a machine that was reported empty, with its disk and for good.
+func (model *placementModel) removeRetired(m *modelMachine) bool {
 	if !slices.Contains(model.partitionMap.Retiring, m.node) || lifecycleState(model.partitionMap, m.node, model.tolerance.Losses) != retireCompleted {
 		return false
 	}
--- a/internal/tier/controlplane/placement_retire_test.go
+++ b/internal/tier/controlplane/placement_retire_test.go
@@ -22,7 +22,7 @@
 	if renamed {
 		m.node = fmt.Sprint(m.node, "r")
 	}
-	m.folder, m.known, m.up = fmt.Sprint(m.node, ".", m.incarnations), nil, true
+	m.folder, m.received, m.up = fmt.Sprint(m.node, ".", m.incarnations), nil, true
 }
 
 // retire adds the order to empty a machine.
@@ -84,7 +84,7 @@
 				model.wipe(m, true)
 			case 2:
 				model.tracef("%s stops and comes back", m.node)
-				m.up, m.known = false, nil
+				m.up, m.received = false, nil
 				for range r.IntN(4) {
 					model.step()
 				}
@@ -102,7 +102,7 @@
 			switch r.IntN(3) {
 			case 0:
 				model.tracef("%s goes down for good", m.node)
-				m.up, m.known = false, nil
+				m.up, m.received = false, nil
 			case 1:
 				model.tracef("%s is unreachable for the other turn stores", m.node)
 				m.unreachable = true
@@ -127,14 +127,14 @@
 func (model *placementModel) checkRetired(m *modelMachine) {
 	model.t.Helper()
 	for i, p := range model.partitionMap.Partitions {
-		held := 0
+		complete := 0
 		for _, folder := range replicaFolders(p) {
 			assert.Assert(model.t, folder != m.folder)
 			if model.complete(i, folder) {
-				held++
+				complete++
 			}
 		}
-		assert.Assert(model.t, held > model.tolerance.Losses, "partition %d: completed with %d complete replicas elsewhere\n%v", i, held, model.trace)
+		assert.Assert(model.t, complete > model.tolerance.Losses, "partition %d: completed with %d complete replicas elsewhere\n%v", i, complete, model.trace)
 	}
 	assert.Assert(model.t, slices.Contains(model.partitionMap.Retiring, m.node))
 }
--- a/internal/tier/controlplane/platform_poll_test.go
+++ b/internal/tier/controlplane/platform_poll_test.go
@@ -271,14 +271,14 @@
 	now := time.Now()
 	p.tokens = min(p.burst, p.tokens+now.Sub(p.last).Seconds()*p.rate)
 	p.last = now
-	refuse := p.tokens < 1
-	if refuse {
+	reject := p.tokens < 1
+	if reject {
 		p.rejected++
 	} else {
 		p.tokens--
 	}
 	p.mu.Unlock()
-	if refuse {
+	if reject {
 		return &http.Response{StatusCode: http.StatusTooManyRequests, Header: http.Header{}, Body: http.NoBody, Request: q}, nil
 	}
 	return p.pagedPlatform.RoundTrip(q)
--- a/internal/tier/controlplane/platform_rate_test.go
+++ b/internal/tier/controlplane/platform_rate_test.go
@@ -144,9 +144,9 @@
 			version = v.endpoints.GetVersion()
 			seen.pushes++
 		}
-		standing := map[string]bool{}
+		ready := map[string]bool{}
 		for _, e := range v.endpoints.GetList() {
-			standing[e.Instance] = !e.Draining
+			ready[e.Instance] = !e.Draining
 		}
 		p.set(func() {
 			for _, e := range p.list {
@@ -155,7 +155,7 @@
 				}
 				took := time.Since(e.draining)
 				seen.longest = max(seen.longest, took)
-				if !standing[e.instance] {
+				if !ready[e.instance] {
 					known[e.instance] = true
 					seen.known++
 				}
--- a/internal/tier/controlplane/read_barrier.go
+++ b/internal/tier/controlplane/read_barrier.go
@@ -36,15 +36,15 @@
 	if b.next == nil {
 		b.next = &barrierCall{epoch: epoch, done: make(chan struct{})}
 	}
-	mine := b.next
+	call := b.next
 	if !b.running {
 		b.running = true
 		go b.run()
 	}
 	b.mu.Unlock()
 	select {
-	case <-mine.done:
-		return mine.err
+	case <-call.done:
+		return call.err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
--- a/internal/tier/controlplane/rebalance.go
+++ b/internal/tier/controlplane/rebalance.go
@@ -144,17 +144,17 @@
 	slices.SortFunc(from, func(x, y string) int { return cmp.Or(cmp.Compare(load[y], load[x]), cmp.Compare(x, y)) })
 	for _, start := range from {
 		type step struct {
-			p    *tierv1.Partition
-			back string
+			p        *tierv1.Partition
+			previous string
 		}
-		came := map[string]step{start: {}}
+		reached := map[string]step{start: {}}
 		for queue := []string{start}; len(queue) > 0; queue = queue[1:] {
 			at := queue[0]
 			if load[start]-load[at] >= 2 {
 				for at != start {
-					s := came[at]
+					s := reached[at]
 					a.promote(s.p, at)
-					at = s.back
+					at = s.previous
 				}
 				return true
 			}
@@ -163,8 +163,8 @@
 					continue
 				}
 				for _, c := range p.Backups {
-					if _, seen := came[c.Folder]; !seen && c.Synced && a.usable(c.Folder) {
-						came[c.Folder] = step{p, at}
+					if _, seen := reached[c.Folder]; !seen && c.Synced && a.usable(c.Folder) {
+						reached[c.Folder] = step{p, at}
 						queue = append(queue, c.Folder)
 					}
 				}
--- a/internal/tier/controlplane/redirect_test.go
+++ b/internal/tier/controlplane/redirect_test.go
@@ -13,8 +13,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// loseLeader makes the process a backup whose primary, 10.0.0.2, does not answer any more, while 10.0.0.3 does.
-func (h *harness) loseLeader() {
+// losePrimary makes the process a backup whose primary, 10.0.0.2, does not answer any more, while 10.0.0.3 does.
+func (h *harness) losePrimary() {
 	h.plane.Dial = func(address string) tierv1.ControlPlane {
 		if address == "10.0.0.3:7380" {
 			return fakeControlPlane{primary: true}
@@ -33,7 +33,7 @@
 // A caller that comes during a takeover is redirected to the new primary as soon as that is known.
 func TestRedirect_WaitsForNewPrimary(t *testing.T) {
 	withHarness(t, func(h *harness) {
-		h.loseLeader()
+		h.losePrimary()
 		began := time.Now()
 		h.after(700*time.Millisecond, func() { h.store.hint = "10.0.0.3:7380" })
 		w := h.replace(0, 3)
@@ -46,7 +46,7 @@
 // If this process takes over itself, the caller is redirected to it, repeats its call and is served.
 func TestRedirect_WaitsForOwnTakeover(t *testing.T) {
 	withHarness(t, func(h *harness) {
-		h.loseLeader()
+		h.losePrimary()
 		began := time.Now()
 		h.after(300*time.Millisecond, func() { h.store.primary, h.store.hint, h.store.epoch = true, "10.0.0.1:7380", h.store.epoch+1<<12 })
 		w := h.replace(0, 3)
@@ -66,13 +66,13 @@
 			assertStatus(t, h.replace(0, 3), 503)
 			return time.Since(began)
 		}
-		h.loseLeader()
+		h.losePrimary()
 		assert.Equal(t, took(), redirectTimeout)
 		assert.Equal(t, took(), h.plane.windowFraction(takeoverDivisor)-redirectTimeout)
 		assert.Equal(t, took(), time.Duration(0))
 		h.store.set(func() { h.store.hint = "10.0.0.3:7380" })
 		assertStatus(t, h.replace(0, 3), 307)
-		h.loseLeader()
+		h.losePrimary()
 		assert.Equal(t, took(), redirectTimeout)
 	})
 }
--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -80,11 +80,11 @@
 
 // failOver makes a synced backup the primary, and the former primary a synced backup. It returns false if no synced backup is
 // eligible.
-func (a *assignment) failOver(p *tierv1.Partition, may func(folder string) bool) bool {
+func (a *assignment) failOver(p *tierv1.Partition, eligible func(folder string) bool) bool {
 	load := a.primariesByStore()
 	best := ""
 	for _, c := range p.Backups {
-		if !c.Synced || !may(c.Folder) {
+		if !c.Synced || !eligible(c.Folder) {
 			continue
 		}
 		if best == "" || cmp.Or(
--- a/internal/tier/controlplane/replicas.go
+++ b/internal/tier/controlplane/replicas.go
@@ -40,8 +40,8 @@
 
 // retiring reports whether a turn store's machine is to be emptied.
 func (a *assignment) retiring(folder string) bool {
-	one := a.storeNodes[folder]
-	return one != nil && slices.Contains(a.m.Retiring, one.Node)
+	store := a.storeNodes[folder]
+	return store != nil && slices.Contains(a.m.Retiring, store.Node)
 }
 
 // draining reports whether a turn store has been asked to shut down, and has little time left.
@@ -60,8 +60,8 @@
 
 // domain returns the failure domain of a turn store; an unknown turn store is a domain of its own.
 func (a *assignment) domain(folder string) string {
-	if one := a.storeNodes[folder]; one != nil {
-		return a.Domain(one)
+	if store := a.storeNodes[folder]; store != nil {
+		return a.Domain(store)
 	}
 	return folder
 }
--- a/internal/tier/controlplane/request_history_test.go
+++ b/internal/tier/controlplane/request_history_test.go
@@ -53,7 +53,7 @@
 func (h requestHistory) check() (broken []error) {
 	fail := func(format string, args ...any) {
 		for i := range args {
-			if body, is := args[i].(string); is {
+			if body, ok := args[i].(string); ok {
 				args[i] = label(body)
 			}
 		}
@@ -63,7 +63,7 @@
 	for _, o := range h.changes {
 		byBody[o.body] = o
 	}
-	place := map[string]int{"": 0} // of the accepted bodies: -1 for the newest, and less for older ones
+	positions := map[string]int{"": 0} // of the accepted bodies: -1 for the newest, and less for older ones
 	at := h.last
 	for at != "" {
 		o := byBody[at]
@@ -71,18 +71,18 @@
 			fail("%q was read back, but was never sent", at)
 			break
 		}
-		if _, again := place[at]; again {
+		if _, again := positions[at]; again {
 			break
 		}
-		place[at] = -len(place)
+		positions[at] = -len(positions)
 		at = o.baseBody
 	}
 	onBase := map[int64]string{}
 	for _, o := range h.changes {
-		_, taken := place[o.body]
+		_, accepted := positions[o.body]
 		switch o.outcome {
 		case confirmedOutcome:
-			if !taken {
+			if !accepted {
 				fail("%q was confirmed and is lost", o.body)
 			}
 			if other, twice := onBase[o.base]; twice {
@@ -90,39 +90,39 @@
 			}
 			onBase[o.base] = o.body
 		case rejectedOutcome:
-			if taken {
+			if accepted {
 				fail("%q was accepted and rejected", o.body)
 			}
 		case unknownOutcome: // it may be in force or not
 		}
 	}
 	for _, r := range h.reads {
-		position, taken := place[r.body]
+		position, accepted := positions[r.body]
 		if r.body == "" {
-			position = -len(place)
-		} else if !taken {
+			position = -len(positions)
+		} else if !accepted {
 			fail("%q was read back and is lost", r.body)
 			continue
 		}
 		for _, o := range h.changes {
-			if at, kept := place[o.body]; kept && o.outcome == confirmedOutcome && o.ended < r.begun && at > position {
+			if at, accepted := positions[o.body]; accepted && o.outcome == confirmedOutcome && o.ended < r.begun && at > position {
 				fail("%q was read back after %q was confirmed", r.body, o.body)
 			}
 		}
 		for _, earlier := range h.reads {
-			if at, kept := place[earlier.body]; kept && earlier.body != "" && earlier.ended < r.begun && at > position {
+			if at, accepted := positions[earlier.body]; accepted && earlier.body != "" && earlier.ended < r.begun && at > position {
 				fail("%q was read back after the newer %q had been", r.body, earlier.body)
 			}
 		}
 	}
 	for _, again := range h.repeats {
-		_, taken := place[again.change.body]
+		_, accepted := positions[again.change.body]
 		switch {
-		case again.outcome == rejectedOutcome && taken:
+		case again.outcome == rejectedOutcome && accepted:
 			fail("%q was accepted, and rejected when it was sent again", again.change.body)
-		case again.outcome == confirmedOutcome && !taken:
+		case again.outcome == confirmedOutcome && !accepted:
 			fail("%q was acknowledged when it was sent again, but was never accepted", again.change.body)
-		case again.outcome != confirmedOutcome && taken && again.withoutFaults:
+		case again.outcome != confirmedOutcome && accepted && again.withoutFaults:
 			fail("%q was accepted, and not acknowledged again without faults: %s", again.change.body, again.outcome)
 		}
 	}
@@ -132,14 +132,14 @@
 // label returns the service of a body, which names the operator and its change, or the whole body if it has no service.
 func label(body string) string {
 	_, rest, found := strings.Cut(body, `"service_name":"`)
-	if name, _, whole := strings.Cut(rest, `"`); found && whole {
+	if name, _, closed := strings.Cut(rest, `"`); found && closed {
 		return name
 	}
 	return body
 }
 
 // requestCounts are the numbers of entries of a history.
-type requestCounts struct{ confirmed, rejected, unknown, reads, repeats, repeatsOpen int }
+type requestCounts struct{ confirmed, rejected, unknown, reads, repeats, repeatsUnknown int }
 
 func (h requestHistory) count() (n requestCounts) {
 	for _, o := range h.changes {
@@ -156,7 +156,7 @@
 	for _, again := range h.repeats {
 		n.repeats++
 		if again.outcome == unknownOutcome {
-			n.repeatsOpen++
+			n.repeatsUnknown++
 		}
 	}
 	return n
--- a/internal/tier/controlplane/response_test.go
+++ b/internal/tier/controlplane/response_test.go
@@ -60,39 +60,39 @@
 // process in each state.
 func TestOperators_ResponseByProcessState(t *testing.T) {
 	const final = 0
-	silent := fakeControlPlane{err: errors.New("no answer")}
+	unreachable := fakeControlPlane{err: errors.New("no answer")}
 	for _, c := range []struct {
 		process string
 		state   func(*harness)
 		other   fakeControlPlane
 		want    int // of all calls; final: the answer of a primary in touch
 	}{
-		{"primary in touch", func(*harness) {}, silent, final},
-		{"primary whose backups do not confirm", func(h *harness) { h.store.set(func() { h.store.unconfirmed = true }) }, silent, 503},
-		{"primary whose lease has ended", func(h *harness) { h.store.set(func() { h.store.primary = false; h.store.hint = "10.0.0.1:7380" }) }, silent, 503},
+		{"primary in touch", func(*harness) {}, unreachable, final},
+		{"primary whose backups do not confirm", func(h *harness) { h.store.set(func() { h.store.unconfirmed = true }) }, unreachable, 503},
+		{"primary whose lease has ended", func(h *harness) { h.store.set(func() { h.store.primary = false; h.store.hint = "10.0.0.1:7380" }) }, unreachable, 503},
 		{"primary whose lease has ended, unnoticed", func(h *harness) {
 			h.store.mu.Lock() // without a signal of the change
 			h.store.primary, h.store.hint = false, "10.0.0.1:7380"
 			h.store.mu.Unlock()
-		}, silent, 503},
+		}, unreachable, 503},
 		{"starting: its state is not replicated", func(h *harness) {
 			h.store.set(func() {
 				h.store.epoch += 1 << 12
 				h.store.failPut = func(map[string][]byte) (bool, bool) { return true, true }
 			})
 			synctest.Wait()
-		}, silent, 503},
-		{"starting: no primary is known", func(h *harness) { h.store.set(func() { h.store.primary = false }) }, silent, 503},
+		}, unreachable, 503},
+		{"starting: no primary is known", func(h *harness) { h.store.set(func() { h.store.primary = false }) }, unreachable, 503},
 		{"candidate that was the primary", func(h *harness) { h.store.set(func() { h.store.primary = false }) }, fakeControlPlane{primary: true}, 503},
 		{"backup", func(h *harness) { h.store.set(func() { h.store.primary, h.store.hint = false, "10.0.0.2:7380" }) }, fakeControlPlane{primary: true}, 307},
 		{"backup whose primary is out of touch", func(h *harness) { h.store.set(func() { h.store.primary, h.store.hint = false, "10.0.0.2:7380" }) }, fakeControlPlane{}, 503},
-		{"witness that is partitioned", func(h *harness) { h.store.set(func() { h.store.primary, h.store.hint = false, "10.0.0.2:7380" }) }, silent, 503},
-		{"failed disk", func(h *harness) { h.store.set(func() { h.store.primary = false; h.store.epoch = 0 }) }, silent, 503},
+		{"witness that is partitioned", func(h *harness) { h.store.set(func() { h.store.primary, h.store.hint = false, "10.0.0.2:7380" }) }, unreachable, 503},
+		{"failed disk", func(h *harness) { h.store.set(func() { h.store.primary = false; h.store.epoch = 0 }) }, unreachable, 503},
 	} {
 		t.Run(c.process, func(t *testing.T) {
 			withHarness(t, func(h *harness) {
-				asked := ""
-				h.plane.Dial = func(address string) tierv1.ControlPlane { asked = address; return c.other }
+				dialed := ""
+				h.plane.Dial = func(address string) tierv1.ControlPlane { dialed = address; return c.other }
 				h.prepare()
 				c.state(h)
 				for _, o := range operatorCalls {
@@ -108,8 +108,8 @@
 					assert.Equal(t, w.Header().Get("Retry-After") != "", want == 503, o.name)
 					assert.Equal(t, strings.HasPrefix(w.Header().Get("Location"), "http://10.0.0.2:8144/saffronyard/"), want == 307, o.name)
 				}
-				if asked != "" {
-					assert.Equal(t, asked, "10.0.0.2:7380")
+				if dialed != "" {
+					assert.Equal(t, dialed, "10.0.0.2:7380")
 				}
 			})
 		})
--- a/internal/tier/controlplane/retained_replicas_test.go
+++ b/internal/tier/controlplane/retained_replicas_test.go
@@ -46,12 +46,12 @@
 // After expiries of one session at a time, at any moment, and the loss of one disk, everything acknowledged is served again.
 func TestPlacement_SessionExpiriesAreNoLosses(t *testing.T) {
 	for seed := range uint64(40) {
-		playSessionExpiries(t, mutant{}, seed)
+		simulateSessionExpiries(t, mutant{}, seed)
 	}
 }
 
-// playSessionExpiries is one run of TestPlacement_SessionExpiriesAreNoLosses.
-func playSessionExpiries(t reporter, fault mutant, seed uint64) {
+// simulateSessionExpiries is one run of TestPlacement_SessionExpiriesAreNoLosses.
+func simulateSessionExpiries(t reporter, fault mutant, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	model := newMutantModel(t, fault, r, 3+r.IntN(3), 3, FaultTolerance{1, byNode})
 	model.assign(model.input())
@@ -109,11 +109,11 @@
 	model := newModel(t, nil, 4, 4, FaultTolerance{1, byNode})
 	model.assign(model.input())
 	model.runUntilStable()
-	primary, lapsed := model.machines[0], model.machines[1]
-	lapsed.partitioned = true
+	primary, expired := model.machines[0], model.machines[1]
+	expired.partitioned = true
 	assert.Assert(t, model.assign(model.input()))
 	model.countServed()
-	lapsed.partitioned = false
+	expired.partitioned = false
 	in := model.input()
 	in.Stalled = map[uint32]bool{}
 	for i, p := range model.partitionMap.Partitions {
--- a/internal/tier/controlplane/retire_deadlines_test.go
+++ b/internal/tier/controlplane/retire_deadlines_test.go
@@ -41,24 +41,24 @@
 		},
 		Retiring: []string{"n1", "n2", "gone"},
 	}
-	pace := func(left map[string]time.Duration) int { return requiredMoves(m, left, time.Second) }
-	assert.Equal(t, pace(nil), 0)
-	assert.Equal(t, pace(map[string]time.Duration{"gone": 0, "n3": 0}), 0)
-	assert.Equal(t, pace(map[string]time.Duration{"n1": time.Minute}), 1)
-	assert.Equal(t, pace(map[string]time.Duration{"n1": 0}), 2)
-	assert.Equal(t, pace(map[string]time.Duration{"n1": 0, "n2": 0}), 4)
+	moves := func(left map[string]time.Duration) int { return requiredMoves(m, left, time.Second) }
+	assert.Equal(t, moves(nil), 0)
+	assert.Equal(t, moves(map[string]time.Duration{"gone": 0, "n3": 0}), 0)
+	assert.Equal(t, moves(map[string]time.Duration{"n1": time.Minute}), 1)
+	assert.Equal(t, moves(map[string]time.Duration{"n1": 0}), 2)
+	assert.Equal(t, moves(map[string]time.Duration{"n1": 0, "n2": 0}), 4)
 	assert.Equal(t, requiredMoves(nil, map[string]time.Duration{"n1": 0}, time.Second), 0)
 }
 
 // An order that another process accepted has no time left, as its age is not known; an order without a deadline never runs out.
 func TestRetireDeadlines(t *testing.T) {
 	now := time.Now()
-	times := retireDeadlines{}
-	times.record("timed", now, retireDuration(7))
+	deadlines := retireDeadlines{}
+	deadlines.record("timed", now, retireDuration(7))
 	for i, seconds := range []float64{0, -1, 1e300} {
-		times.record(fmt.Sprint("endless", i), now, retireDuration(seconds))
+		deadlines.record(fmt.Sprint("endless", i), now, retireDuration(seconds))
 	}
-	left := times.remaining(now.Add(5*time.Second), []string{"timed", "endless0", "endless1", "endless2", "another's"})
+	left := deadlines.remaining(now.Add(5*time.Second), []string{"timed", "endless0", "endless1", "endless2", "another's"})
 	assert.DeepEqual(t, left, map[string]time.Duration{"timed": 2 * time.Second, "another's": 0})
 }
 
@@ -114,11 +114,11 @@
 			h.advance(time.Second)
 		}
 		begun, back := time.Now(), false
-		for taken, completed := false, false; !completed && time.Since(begun) < time.Minute; {
-			if !taken {
+		for accepted, completed := false, false; !completed && time.Since(begun) < time.Minute; {
+			if !accepted {
 				body := strings.NewReader(fmt.Sprintf(`{"duration_s":%g}`, duration.Seconds()))
-				taken = h.call("POST", "Retire.Create/v1", nil, body).Code == http.StatusOK
-				assert.Assert(t, taken != (away.beforeOrder && !back))
+				accepted = h.call("POST", "Retire.Create/v1", nil, body).Code == http.StatusOK
+				assert.Assert(t, accepted != (away.beforeOrder && !back))
 				if away.Duration > 0 && !away.beforeOrder && !back {
 					stores["v3"].stop()
 				}
@@ -133,7 +133,7 @@
 			if back {
 				most = max(most, countUnsynced(h.partitionMap()))
 			}
-			if taken {
+			if accepted {
 				h.advance(20 * time.Millisecond)
 				completed = strings.Contains(h.call("GET", "Retire.Describe/v1", nil, nil).Body.String(), retireCompleted)
 			} else {
--- a/internal/tier/controlplane/retire_test.go
+++ b/internal/tier/controlplane/retire_test.go
@@ -63,7 +63,7 @@
 		h.advance(2 * time.Second)
 		h.store.set(func() {
 			h.store.failPut = func(sets map[string][]byte) (bool, bool) { // no map that records a machine as retired is written
-				m := mapIn(t, sets)
+				m := partitionMapIn(t, sets)
 				bad := m != nil && len(m.Retired) > 0
 				return bad, bad
 			}
@@ -82,7 +82,7 @@
 	})
 }
 
-func mapIn(t *testing.T, sets map[string][]byte) *tierv1.PartitionMap {
+func partitionMapIn(t *testing.T, sets map[string][]byte) *tierv1.PartitionMap {
 	body := sets[keyPartitionMap]
 	if body == nil {
 		return nil
--- a/internal/tier/controlplane/session_expiry_test.go
+++ b/internal/tier/controlplane/session_expiry_test.go
@@ -113,8 +113,8 @@
 // the expiry.
 func TestSessionExpiry_WaitOnlyWithoutReplacement(t *testing.T) {
 	for _, test := range []struct {
-		machines, losses, lapsed int
-		waits                    bool
+		machines, losses, expired int
+		waits                     bool
 	}{
 		{2, 1, 1, true}, {3, 2, 1, true}, {3, 2, 2, true}, {4, 2, 2, true},
 		{3, 1, 1, false}, {4, 1, 1, false}, {4, 2, 1, false}, {5, 2, 2, false},
@@ -122,7 +122,7 @@
 		model := newModel(t, nil, test.machines, test.machines, FaultTolerance{test.losses, byNode})
 		model.assign(model.input())
 		model.runUntilStable()
-		in := model.expire(model.machines[:test.lapsed]...)
+		in := model.expire(model.machines[:test.expired]...)
 		now, _ := Assign(model.partitionMap, in)
 		in.RecentlyExpired = nil
 		later, changed := Assign(model.partitionMap, in)
@@ -153,11 +153,11 @@
 	first := model.machines[0]
 	in := model.expire(first)
 	assert.Assert(t, model.assign(in)) // its partitions have the other as the primary
-	lapsed := in.RecentlyExpired
+	expired := in.RecentlyExpired
 	model.wipe(first, false)
 	first.partitioned = false
 	in = model.input()
-	in.RecentlyExpired = lapsed
+	in.RecentlyExpired = expired
 	assert.Assert(t, model.assign(in))
 	for i, p := range model.partitionMap.Partitions {
 		assert.Assert(t, len(p.Backups) == 1 && p.Backups[0].Folder == first.folder, "partition %d: %v", i, p)
@@ -175,17 +175,17 @@
 		for range 10 {
 			order := r.Perm(len(model.machines))
 			last := model.machines[order[2]]
-			var silent []*modelMachine
+			var expired []*modelMachine
 			for _, i := range order[:2] {
-				silent = append(silent, model.machines[i])
+				expired = append(expired, model.machines[i])
 				model.tracef("the session of %s expires", model.machines[i].node)
-				model.assign(model.expire(silent...))
+				model.assign(model.expire(expired...))
 				for range r.IntN(3) {
 					model.countServed()
 					for range r.IntN(40) {
 						model.syncReplica(model.machines[r.IntN(len(model.machines))], r.IntN(partitionCount))
 					}
-					model.assign(model.expire(silent...))
+					model.assign(model.expire(expired...))
 					model.reports = nil
 				}
 			}
@@ -194,7 +194,7 @@
 				model.tracef("%s loses its disk", last.node)
 				model.wipe(last, r.IntN(3) == 0)
 			}
-			for _, m := range silent {
+			for _, m := range expired {
 				m.partitioned = false
 			}
 			model.reports = nil
@@ -205,8 +205,8 @@
 	}
 }
 
-// unserved returns for how long, from now on, some partition has a replica on a turn store that is gone, at most limit.
-func (h *harness) unserved(gone []string, limit time.Duration) time.Duration {
+// unavailableTime returns for how long, from now on, some partition has a replica on a turn store that is gone, at most limit.
+func (h *harness) unavailableTime(gone []string, limit time.Duration) time.Duration {
 	const pace = 10 * time.Millisecond
 	begun := time.Now()
 	for time.Since(begun) < limit {
@@ -254,9 +254,9 @@
 					gone = append(gone, "v2.1")
 					all[1].stop()
 				}
-				took := h.unserved(gone, unbounded)
-				t.Logf("unserved for %v", took)
-				assert.Assert(t, took >= test.shortest && took <= test.limit, "unserved for %v", took)
+				took := h.unavailableTime(gone, unbounded)
+				t.Logf("unavailable for %v", took)
+				assert.Assert(t, took >= test.shortest && took <= test.limit, "unavailable for %v", took)
 			})
 		})
 	}
@@ -276,25 +276,25 @@
 		all[1].stop()
 		h.advance(5 * time.Second)
 		h.store.set(func() { h.store.primary, h.store.epoch = true, h.store.epoch+1<<12 })
-		took := h.unserved([]string{"v1.1", "v2.1"}, 30*time.Second)
+		took := h.unavailableTime([]string{"v1.1", "v2.1"}, 30*time.Second)
 		window := testSettings().ContactWindow
 		shortest := window/takeoverGraceDivisor + window/lostReplicaWaitDivisor
-		assert.Assert(t, took >= shortest && took <= shortest+window/sessionCheckDivisor+100*time.Millisecond, "unserved for %v", took)
+		assert.Assert(t, took >= shortest && took <= shortest+window/sessionCheckDivisor+100*time.Millisecond, "unavailable for %v", took)
 	})
 }
 
 // A draining turn store is not waited for after it has stopped.
 func TestSessionExpiry_NoWaitForDrainingStore(t *testing.T) {
 	withHarness(t, func(h *harness) {
-		leaver := h.join(roleTurnStore, "v1", nil)
+		draining := h.join(roleTurnStore, "v1", nil)
 		h.join(roleTurnStore, "v2", nil)
 		h.advance(3 * time.Second)
-		leaver.mu.Lock()
-		leaver.request.Draining = true
-		leaver.mu.Unlock()
+		draining.mu.Lock()
+		draining.request.Draining = true
+		draining.mu.Unlock()
 		h.advance(time.Second)
-		leaver.stop()
-		took := h.unserved([]string{"v1.1"}, 30*time.Second)
-		assert.Assert(t, took < disconnectedTTL+testSettings().ContactWindow/sessionCheckDivisor+50*time.Millisecond, "unserved for %v", took)
+		draining.stop()
+		took := h.unavailableTime([]string{"v1.1"}, 30*time.Second)
+		assert.Assert(t, took < disconnectedTTL+testSettings().ContactWindow/sessionCheckDivisor+50*time.Millisecond, "unavailable for %v", took)
 	})
 }
--- a/internal/tier/controlplane/staleness_test.go
+++ b/internal/tier/controlplane/staleness_test.go
@@ -35,8 +35,8 @@
 	at       time.Time
 }
 
-// startEdge starts a gateway with some of the core machines as its seeds.
-func (c *cluster) startEdge(ip string, seeds ...*coreMachine) *testGateway {
+// startGateway starts a gateway with some of the core machines as its seeds.
+func (c *cluster) startGateway(ip string, seeds ...*coreMachine) *testGateway {
 	e := &testGateway{c: c, ip: ip}
 	set := settings.Settings{Node: "edge-" + ip, IP: ip, ContactWindow: 3 * time.Second, PortFirst: 7680, PortLast: 7690}
 	for _, m := range seeds {
@@ -74,8 +74,8 @@
 	return reply, err
 }
 
-// has returns the revision in force, 0 without one, and since when.
-func (e *testGateway) has() (revision int64, since time.Time) {
+// currentRevision returns the revision in force, 0 without one, and since when.
+func (e *testGateway) currentRevision() (revision int64, since time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.applied) == 0 {
@@ -138,7 +138,7 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(*partitionSeeds) {
 				withPartitionedPrimary(t, seed, wrap, func(c *cluster, old *coreMachine, rest []*coreMachine) {
-					var edges []*testGateway
+					var gateways []*testGateway
 					c.partition(old, true, true, true)
 					for i := range 6 { // right after the partition, within the lease and after it
 						ip := fmt.Sprint("10.0.1.", i)
@@ -146,16 +146,16 @@
 							c.block(ip, m.ip, true)
 							c.block(m.ip, ip, true)
 						}
-						edges = append(edges, c.startEdge(ip, old))
+						gateways = append(gateways, c.startGateway(ip, old))
 						<-time.After(200 * time.Millisecond)
 					}
 					c.replaceConfiguration(3, 5, rest...)
 					<-time.After(5 * time.Second)
-					for _, e := range edges {
-						revision, _ := e.has()
+					for _, e := range gateways {
+						revision, _ := e.currentRevision()
 						assert.Equal(t, revision, int64(0), "seed %d, %s", seed, e.ip)
 					}
-					for _, e := range edges {
+					for _, e := range gateways {
 						for _, m := range rest {
 							c.block(e.ip, m.ip, false)
 							c.block(m.ip, e.ip, false)
@@ -163,8 +163,8 @@
 					}
 					c.partition(old, true, true, false)
 					<-time.After(5 * time.Second)
-					for _, e := range edges {
-						revision, _ := e.has()
+					for _, e := range gateways {
+						revision, _ := e.currentRevision()
 						assert.Equal(t, revision, int64(5), "seed %d, %s", seed, e.ip)
 						assert.Equal(t, len(e.applied), 1)
 					}
@@ -188,20 +188,20 @@
 func TestStaleness_PartitionedPrimaryServesWithinLease(t *testing.T) {
 	var longest time.Duration
 	for _, way := range []struct {
-		name         string
-		sends, hears bool
+		name              string
+		outbound, inbound bool
 	}{{"both ways", true, true}, {"outbound", true, false}, {"inbound", false, true}} {
 		t.Run(way.name, func(t *testing.T) {
 			for seed := range uint64(*partitionSeeds) {
 				withPartitionedPrimary(t, seed, nil, func(c *cluster, old *coreMachine, rest []*coreMachine) {
-					e := c.startEdge("10.0.1.1", old)
+					e := c.startGateway("10.0.1.1", old)
 					<-time.After(time.Second)
 					for _, m := range rest {
 						c.block(e.ip, m.ip, true)
 						c.block(m.ip, e.ip, true)
 					}
-					c.partition(old, way.sends, way.hears, true)
-					cut := time.Now()
+					c.partition(old, way.outbound, way.inbound, true)
+					partitionedAt := time.Now()
 					if seed%2 == 1 { // the gateway's connection breaks, and it reconnects to the old primary with the versions that it has
 						c.block(old.ip, e.ip, true)
 						<-time.After(callBound)
@@ -211,9 +211,9 @@
 					<-time.After(6 * time.Second)
 					at, from := e.lastAnswer()
 					assert.Equal(t, from, old.ip+":"+internalPort)
-					assert.Assert(t, at.Sub(cut) <= leaseBound+slackBound, "seed %d: %v", seed, at.Sub(cut))
-					longest = max(longest, at.Sub(cut))
-					revision, _ := e.has()
+					assert.Assert(t, at.Sub(partitionedAt) <= leaseBound+slackBound, "seed %d: %v", seed, at.Sub(partitionedAt))
+					longest = max(longest, at.Sub(partitionedAt))
+					revision, _ := e.currentRevision()
 					assert.Equal(t, revision, int64(3))
 				})
 			}
@@ -228,7 +228,7 @@
 	var longest time.Duration
 	for seed := range uint64(*partitionSeeds) {
 		withPartitionedPrimary(t, seed, nil, func(c *cluster, old *coreMachine, rest []*coreMachine) {
-			e := c.startEdge("10.0.1.1", old)
+			e := c.startGateway("10.0.1.1", old)
 			<-time.After(time.Second)
 			c.partition(old, true, true, true)
 			if seed%2 == 1 { // messages from the old primary to the gateway are lost, too
@@ -237,7 +237,7 @@
 			c.replaceConfiguration(3, 5, rest...)
 			acknowledged := time.Now()
 			<-time.After(forceBound + slackBound)
-			revision, since := e.has()
+			revision, since := e.currentRevision()
 			assert.Equal(t, revision, int64(5), "seed %d", seed)
 			longest = max(longest, since.Sub(acknowledged))
 			c.partition(old, true, true, false)
--- a/internal/tier/controlplane/status.go
+++ b/internal/tier/controlplane/status.go
@@ -70,7 +70,7 @@
 	report.ControlMembers, report.ControlChanging = uint32(len(view.GetMembers())), len(view.GetFormer()) > 0
 	report.ControlCopies = uint32(len(view.GetBackups()))
 	report.ControlBorne = int32(min(len(view.GetBackups()), plane.faultTolerance.Losses))
-	if store, knows := plane.Store.(healthStore); knows {
+	if store, ok := plane.Store.(healthStore); ok {
 		health := store.Health()
 		report.ControlBorne, report.ControlCopies, report.ControlAbsent = int32(health.Tolerates), uint32(health.Backups), health.Absent
 	}
@@ -78,7 +78,7 @@
 
 // diskError returns the error that prevents this process from writing; empty if there is none.
 func (plane *ControlPlane) diskError() string {
-	if store, knows := plane.Store.(healthStore); knows {
+	if store, ok := plane.Store.(healthStore); ok {
 		if err := store.Health().Disk; err != nil {
 			return err.Error()
 		}
--- a/internal/tier/controlplane/store_selection.go
+++ b/internal/tier/controlplane/store_selection.go
@@ -15,12 +15,12 @@
 // pickStoreWhere chooses among the eligible turn stores: the one with the fewest failure domain conflicts, then the fewest slow
 // syncs, then the fewest replicas, then the fewest replicas of the partition in its zone. A partition without a primary gets
 // the one with the fewest primaries first of all.
-func (a *assignment) pickStoreWhere(p *tierv1.Partition, may func(folder string) bool) string {
+func (a *assignment) pickStoreWhere(p *tierv1.Partition, eligible func(folder string) bool) string {
 	load, first := a.replicasByStore(), a.primariesByStore()
 	all := replicaFolders(p)
 	best := ""
 	for _, folder := range slices.Sorted(maps.Keys(a.Alive)) {
-		if !may(folder) || slices.Contains(all, folder) {
+		if !eligible(folder) || slices.Contains(all, folder) {
 			continue
 		}
 		if best == "" {
@@ -68,33 +68,33 @@
 func (a *assignment) alternatives(p *tierv1.Partition, folder string) []string {
 	others := slices.DeleteFunc(replicaFolders(p), func(member string) bool { return member == folder })
 	list, fewest := []string{folder}, -1
-	for _, one := range slices.Sorted(maps.Keys(a.Alive)) {
-		if !a.usable(one) || slices.Contains(others, one) || one == folder {
+	for _, candidate := range slices.Sorted(maps.Keys(a.Alive)) {
+		if !a.usable(candidate) || slices.Contains(others, candidate) || candidate == folder {
 			continue
 		}
-		n := a.domainConflicts(others, one)
+		n := a.domainConflicts(others, candidate)
 		if fewest < 0 || n < fewest {
 			list, fewest = []string{folder}, n
 		}
 		if n == fewest {
-			list = append(list, one)
+			list = append(list, candidate)
 		}
 	}
 	return list
 }
 
 // nextInCycle sorts a list and returns the item after a given one, and whether it has wrapped around to the first.
-func nextInCycle(list []string, one string) (next string, wrapped bool) {
+func nextInCycle(list []string, item string) (next string, wrapped bool) {
 	slices.Sort(list)
-	at := slices.Index(list, one) + 1
+	at := slices.Index(list, item) + 1
 	return list[at%len(list)], at == len(list)
 }
 
 // domainConflicts counts the other folders that share a failure domain with a folder.
-func (a *assignment) domainConflicts(folders []string, one string) int {
+func (a *assignment) domainConflicts(folders []string, target string) int {
 	n := 0
 	for _, folder := range folders {
-		if folder != one && folder != "" && a.domain(folder) == a.domain(one) {
+		if folder != target && folder != "" && a.domain(folder) == a.domain(target) {
 			n++
 		}
 	}
@@ -102,10 +102,10 @@
 }
 
 // sameZone counts the other folders in the zone of a folder. Replicas are placed in different zones if all else is equal.
-func (a *assignment) sameZone(folders []string, one string) int {
+func (a *assignment) sameZone(folders []string, target string) int {
 	n := 0
 	for _, folder := range folders {
-		if k := a.storeNodes[folder]; k != nil && folder != one && k.Zone == a.storeNodes[one].Zone {
+		if other := a.storeNodes[folder]; other != nil && folder != target && other.Zone == a.storeNodes[target].Zone {
 			n++
 		}
 	}
--- a/internal/tier/controlplane/substitute_test.go
+++ b/internal/tier/controlplane/substitute_test.go
@@ -34,7 +34,7 @@
 // A machine that is being emptied takes second replicas if no other can, and does not count as empty before others have them.
 func TestSubstitute_RetiringStoreTakesReplicas(t *testing.T) {
 	model := modelWhileRetiring(t)
-	emptied, silent, last := model.machines[0], model.machines[1], model.machines[2]
+	emptied, unresponsive, last := model.machines[0], model.machines[1], model.machines[2]
 	model.assign(model.input())
 	for i, p := range model.partitionMap.Partitions {
 		assert.Equal(t, len(replicaFolders(p)), 2, "partition %d: %v", i, p)
@@ -47,7 +47,7 @@
 	assert.Equal(t, model.countReplicas(emptied), partitionCount)
 	assert.Equal(t, lifecycleState(model.partitionMap, emptied.node, model.tolerance.Losses), retireInProgress)
 
-	silent.partitioned = false
+	unresponsive.partitioned = false
 	model.runUntilStable()
 	assert.Equal(t, model.countReplicas(emptied), 0)
 	assert.Equal(t, lifecycleState(model.partitionMap, emptied.node, model.tolerance.Losses), retireCompleted)
--- a/internal/tier/controlplane/write_test.go
+++ b/internal/tier/controlplane/write_test.go
@@ -31,19 +31,19 @@
 // A request is written with the state of its last decision, and one that is not to be written neither waits nor writes.
 func TestDecideAndWrite(t *testing.T) {
 	withHarness(t, func(h *harness) {
-		taken := &scriptedDecisions{results: []string{"accept"}}
-		verdict, v, err := taken.run(h.ctx, h.plane)
+		accepted := &scriptedDecisions{results: []string{"accept"}}
+		decision, v, err := accepted.run(h.ctx, h.plane)
 		assert.NilError(t, err)
-		assert.Equal(t, verdict, "written")
-		assert.Equal(t, len(taken.states), 2)
-		assert.Assert(t, len(taken.written) == 1 && v == taken.written[0] && v == taken.states[1])
+		assert.Equal(t, decision, "written")
+		assert.Equal(t, len(accepted.states), 2)
+		assert.Assert(t, len(accepted.written) == 1 && v == accepted.written[0] && v == accepted.states[1])
 
 		assert.NilError(t, h.plane.lockWriter(h.ctx))
-		refused := &scriptedDecisions{results: []string{"reject"}} // while another request holds the writer lock
-		verdict, v, err = refused.run(h.ctx, h.plane)
+		rejected := &scriptedDecisions{results: []string{"reject"}} // while another request holds the writer lock
+		decision, v, err = rejected.run(h.ctx, h.plane)
 		assert.NilError(t, err)
-		assert.Equal(t, verdict, "reject")
-		assert.Assert(t, len(refused.states) == 1 && v == refused.states[0] && len(refused.written) == 0)
+		assert.Equal(t, decision, "reject")
+		assert.Assert(t, len(rejected.states) == 1 && v == rejected.states[0] && len(rejected.written) == 0)
 
 		ctx, cancel := context.WithTimeout(h.ctx, operatorWriteTimeout)
 		defer cancel()
@@ -56,7 +56,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			verdict, v, err = overtaken.run(h.ctx, h.plane)
+			decision, v, err = overtaken.run(h.ctx, h.plane)
 		}()
 		synctest.Wait() // it waits for the writer lock
 		assert.Equal(t, len(overtaken.states), 1)
@@ -64,7 +64,7 @@
 		h.plane.unlockWriter()
 		<-done
 		assert.NilError(t, err)
-		assert.Equal(t, verdict, "reject")
+		assert.Equal(t, decision, "reject")
 		assert.Assert(t, len(overtaken.states) == 2 && v == overtaken.states[1] && v != overtaken.states[0] && len(overtaken.written) == 0)
 	})
 }
