--- a/internal/tier/controlplane/change_history.go
+++ b/internal/tier/controlplane/change_history.go
@@ -100,7 +100,8 @@
 	decisionAlreadyAccepted
 	// decisionConflict: the change was not accepted and never can be, as another revision than its base is in force.
 	decisionConflict
-	// decisionNotNewer: the change builds on the revision in force, but its own is not above it; it never can be accepted.
+	// decisionNotNewer: the change builds on the revision in force, but its own revision is not above that; it never can be
+	// accepted.
 	decisionNotNewer
 	// decisionStateTooLarge: the change was not written, as it would make the control state too large.
 	decisionStateTooLarge
--- a/internal/tier/controlplane/change_history_test.go
+++ b/internal/tier/controlplane/change_history_test.go
@@ -63,7 +63,7 @@
 		{"the next on a truncated history", truncated, changeOf(9, 10, "d"), decisionAccept},
 		{"in force without a record", unrecorded, changeOf(5, 9, "c"), decisionAlreadyAccepted},
 		{"before one without a record", unrecorded, changeOf(3, 5, "b"), decisionTooOld},
-		{"beside one without a record", unrecorded, changeOf(5, 9, "x"), decisionTooOld},
+		{"same number as one without a record, other body", unrecorded, changeOf(5, 9, "x"), decisionTooOld},
 		{"above one without a record, on another base", unrecorded, changeOf(3, 10, "x"), decisionConflict},
 		{"on one without a record", unrecorded, changeOf(9, 10, "d"), decisionAccept},
 	} {
--- a/internal/tier/controlplane/distant_sessions_test.go
+++ b/internal/tier/controlplane/distant_sessions_test.go
@@ -23,7 +23,7 @@
 
 	mu          sync.Mutex
 	roundTrip   time.Duration
-	idle        int // connections
+	idle        int // idle connections
 	partitioned bool
 }
 
@@ -295,7 +295,8 @@
 	}
 }
 
-// A distant gateway that is partitioned rejects requests for some contact windows, and then serves requests again like any other.
+// A distant gateway that is partitioned rejects requests for some contact windows, and then serves requests again like any
+// other partitioned gateway.
 func TestDistantSessions_PartitionedGatewayGoesOn(t *testing.T) {
 	window := testSettings().ContactWindow
 	withHarness(t, func(h *harness) {
--- a/internal/tier/controlplane/ejections_test.go
+++ b/internal/tier/controlplane/ejections_test.go
@@ -61,7 +61,8 @@
 	assert.Equal(t, len(e.reports), 1) // the stale reports were dropped
 }
 
-// All gateways that accept ejections are notified of one, others are not woken by it, and only the primary accepts reports.
+// All gateways that accept ejections are notified of an ejection, the long polls of others are not answered for it, and only
+// the primary accepts reports.
 func TestEjections_Pushed(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		service := h.plane.Sessions()
--- a/internal/tier/controlplane/endpoint_list.go
+++ b/internal/tier/controlplane/endpoint_list.go
@@ -16,7 +16,7 @@
 // rejects the request. Times are passed in, and the caller serializes access.
 type endpointList struct {
 	minPushInterval time.Duration             // minimum time between pushes within a scan
-	quickScan       time.Duration             // scans up to this duration are pushed at their end, if the previous one was no longer either
+	quickScan       time.Duration             // a scan up to this duration is pushed at its end, if the previous scan was as short
 	entries         map[string]listedEndpoint // by instance
 	scan            uint64                    // number of the current or last scan
 	complete        bool                      // a scan has ended: entries is a complete list
--- a/internal/tier/controlplane/placement_mutants_test.go
+++ b/internal/tier/controlplane/placement_mutants_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// promoteUnsynced makes a replica being synced the primary where Assign names a new one.
+// promoteUnsynced makes a replica being synced the primary if Assign has chosen a new primary.
 func promoteUnsynced(old, next *tierv1.Partition) {
 	if next.Primary == old.Primary {
 		return
@@ -61,7 +61,7 @@
 // dropRetained drops the retained replicas.
 func dropRetained(_, next *tierv1.Partition) { next.Retained = nil }
 
-// acceptOldReports accepts reports of an older epoch as those of the newest.
+// acceptOldReports accepts reports of older epochs as reports of the current one.
 func acceptOldReports(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
 	in.Reports = slices.Clone(in.Reports)
 	for i, r := range in.Reports {
--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -69,8 +69,8 @@
 
 // awaitsReturn reports whether a partition that has no turn store for another replica keeps a lost one as its backup, and waits
 // for it. It does so if more turn stores with replicas are lost than is tolerated. It also does so for a short time after a
-// session has expired, as messages may have been lost rather than the turn store. If the other replicas acknowledged something
-// without it and were then lost, that would be lost, too, though no more losses occurred than are tolerated.
+// session has expired, as messages may have been lost rather than the turn store. Data that the other replicas acknowledged
+// without the lost one would be lost if they were lost next, though no more losses occurred than are tolerated.
 func (a *assignment) awaitsReturn(folder string) bool {
 	if a.replaced[folder] {
 		return false
--- a/internal/tier/controlplane/request_history_test.go
+++ b/internal/tier/controlplane/request_history_test.go
@@ -175,11 +175,11 @@
 		broken  int
 	}{
 		"right":                       {requestHistory{changes: all, last: "c", reads: []observedRead{{"", 0, second(3)}, {"a", second(2), second(3)}, {"b", second(4), second(5)}}}, 0},
-		"a confirmed is lost":         {requestHistory{changes: []*sentChange{a, b, c}, last: "b"}, 1},
+		"a confirmed change is lost":  {requestHistory{changes: []*sentChange{a, b, c}, last: "b"}, 1},
 		"an accepted one is rejected": {requestHistory{changes: []*sentChange{a, {"b", "a", 3, 5, rejectedOutcome, second(3), second(4)}, c}, last: "c"}, 1},
 		"two on one base":             {requestHistory{changes: []*sentChange{a, b, c, {"y", "a", 3, 7, confirmedOutcome, second(3), second(4)}}, last: "c"}, 1},
-		"read back what is old":       {requestHistory{changes: all, last: "c", reads: []observedRead{{"a", second(7), second(8)}}}, 1},
-		"reads go back":               {requestHistory{changes: all, last: "c", reads: []observedRead{{"b", second(3), second(4)}, {"a", second(5), second(6)}}}, 1},
+		"a read is stale":             {requestHistory{changes: all, last: "c", reads: []observedRead{{"a", second(7), second(8)}}}, 1},
+		"reads are not monotonic":     {requestHistory{changes: all, last: "c", reads: []observedRead{{"b", second(3), second(4)}, {"a", second(5), second(6)}}}, 1},
 		"read back, then lost":        {requestHistory{changes: all, last: "c", reads: []observedRead{{"x", second(3), second(4)}}}, 1},
 		"a repeat is rejected":        {requestHistory{changes: all, last: "c", repeats: []repeatedChange{{b, rejectedOutcome, false}}}, 1},
 		"a repeat is left open":       {requestHistory{changes: all, last: "c", repeats: []repeatedChange{{b, unknownOutcome, false}}}, 0},
--- a/internal/tier/controlplane/response_test.go
+++ b/internal/tier/controlplane/response_test.go
@@ -23,7 +23,7 @@
 }{
 
 	{"read back", func(h *harness) *httptest.ResponseRecorder { return h.describe() }, 200},
-	{"taken before", func(h *harness) *httptest.ResponseRecorder { return h.replace(0, 3) }, 200},
+	{"accepted before", func(h *harness) *httptest.ResponseRecorder { return h.replace(0, 3) }, 200},
 	{"stale", func(h *harness) *httptest.ResponseRecorder { return h.replace(1, 4) }, 412},
 	{"not above", func(h *harness) *httptest.ResponseRecorder { return h.replaceBody(3, configuration(3, "other")) }, 400},
 	{"invalid", func(h *harness) *httptest.ResponseRecorder { return h.replaceBody(3, []byte("{")) }, 400},
--- a/internal/tier/controlplane/retire_deadlines.go
+++ b/internal/tier/controlplane/retire_deadlines.go
@@ -8,7 +8,7 @@
 )
 
 // A machine is to be emptied in half of the time that its order has left, so that a loss meanwhile can be repaired in the other
-// half. Both numbers are estimates: if they give too few concurrent moves, the number rises as the time runs out.
+// half. Both divisors are estimates: if they give too few concurrent moves, the number rises as the time runs out.
 const (
 	deadlineReserveDivisor = 2 // divides the time left: moves are planned for this part of it
 	moveTimeDivisor        = 3 // divides the contact window: the estimated duration of a move
--- a/internal/tier/controlplane/session_expiry_test.go
+++ b/internal/tier/controlplane/session_expiry_test.go
@@ -152,7 +152,7 @@
 	model.runUntilStable()
 	first := model.machines[0]
 	in := model.expire(first)
-	assert.Assert(t, model.assign(in)) // its partitions have the other as the primary
+	assert.Assert(t, model.assign(in)) // the other machine is the primary of all partitions
 	expired := in.RecentlyExpired
 	model.wipe(first, false)
 	first.partitioned = false
--- a/internal/tier/controlplane/sessions.go
+++ b/internal/tier/controlplane/sessions.go
@@ -101,7 +101,7 @@
 
 // ttlFor returns how long a session stays active after the answer to a call. A process that requests a shorter long poll than
 // is allowed does so because answers, and so its next calls, take longer to arrive. Its TTL is longer by the difference: the
-// sum of long poll and TTL, within which the end of a process is noticed, is the same for all.
+// sum of long poll and TTL, within which the end of a process is noticed, is the same for all processes of a role.
 func (r *sessionRegistry) ttlFor(req *tierv1.WatchRequest) time.Duration {
 	longest := r.window / longPollDivisor
 	if req.Role == roleTurnStore {
--- a/internal/tier/controlplane/staleness_test.go
+++ b/internal/tier/controlplane/staleness_test.go
@@ -180,7 +180,7 @@
 	leaseBound = testWindow / 3                       // of a primary, from the begin of its last confirmed round trip
 	callBound  = testWindow/6 + testWindow/10         // a held call, and the time-out after it
 	findBound  = testWindow/8 + testWindow/30         // one search for the primary, and the pause before the next
-	slackBound = 100 * time.Millisecond               // messages on their way, ticks
+	slackBound = 100 * time.Millisecond               // message latency and timer ticks
 	forceBound = leaseBound + callBound + 2*findBound // from an acknowledgement until the revision is in force at a gateway in touch with the primary
 )
 
--- a/internal/tier/controlplane/state_limit_test.go
+++ b/internal/tier/controlplane/state_limit_test.go
@@ -17,7 +17,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// paddedConfiguration is a valid configuration of just that many bytes.
+// paddedConfiguration returns a valid configuration of exactly size bytes.
 func paddedConfiguration(revision, size int) []byte {
 	body := configuration(revision, "s")
 	return append(body, bytes.Repeat([]byte{' '}, size-len(body))...)
