--- a/internal/tier/controlplane/write_test.go
+++ b/internal/tier/controlplane/write_test.go
@@ -25,13 +25,13 @@
 		d.written = append(d.written, v)
 		return "written", v, nil
 	}
-	return decideAndWrite(ctx, plane, "accept", decide, write)
+	return decideAndWrite(ctx, plane, "take", decide, write)
 }
 
 // A request is written with the state of its last decision, and one that is not to be written neither waits nor writes.
 func TestDecideAndWrite(t *testing.T) {
 	withHarness(t, func(h *harness) {
-		accepted := &scriptedDecisions{results: []string{"accept"}}
+		accepted := &scriptedDecisions{results: []string{"take"}}
 		decision, v, err := accepted.run(h.ctx, h.plane)
 		assert.NilError(t, err)
 		assert.Equal(t, decision, "written")
@@ -39,20 +39,20 @@
 		assert.Assert(t, len(accepted.written) == 1 && v == accepted.written[0] && v == accepted.states[1])
 
 		assert.NilError(t, h.plane.lockWriter(h.ctx))
-		rejected := &scriptedDecisions{results: []string{"reject"}} // while another request holds the writer lock
+		rejected := &scriptedDecisions{results: []string{"no"}} // while another request holds the writer lock
 		decision, v, err = rejected.run(h.ctx, h.plane)
 		assert.NilError(t, err)
-		assert.Equal(t, decision, "reject")
+		assert.Equal(t, decision, "no")
 		assert.Assert(t, len(rejected.states) == 1 && v == rejected.states[0] && len(rejected.written) == 0)
 
 		ctx, cancel := context.WithTimeout(h.ctx, operatorWriteTimeout)
 		defer cancel()
-		late := &scriptedDecisions{results: []string{"accept"}}
+		late := &scriptedDecisions{results: []string{"take"}}
 		_, _, err = late.run(ctx, h.plane)
 		assert.ErrorIs(t, err, errWriterBusy)
 		assert.Equal(t, len(late.written), 0)
 
-		overtaken := &scriptedDecisions{results: []string{"accept", "reject"}}
+		overtaken := &scriptedDecisions{results: []string{"take", "no"}}
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -64,7 +64,7 @@
 		h.plane.unlockWriter()
 		<-done
 		assert.NilError(t, err)
-		assert.Equal(t, decision, "reject")
+		assert.Equal(t, decision, "no")
 		assert.Assert(t, len(overtaken.states) == 2 && v == overtaken.states[1] && v != overtaken.states[0] && len(overtaken.written) == 0)
 	})
 }
@@ -72,7 +72,7 @@
 // A process that is not the primary decides nothing, even if it was the primary until it got the writer lock.
 func TestDecideAndWrite_NotPrimary(t *testing.T) {
 	withHarness(t, func(h *harness) {
-		deposed := &scriptedDecisions{results: []string{"accept"}}
+		deposed := &scriptedDecisions{results: []string{"take"}}
 		assert.NilError(t, h.plane.lockWriter(h.ctx))
 		done := make(chan error)
 		go func() {
@@ -87,7 +87,7 @@
 		assert.Equal(t, len(deposed.written), 0)
 
 		h.advance(time.Second)
-		never := &scriptedDecisions{results: []string{"accept"}}
+		never := &scriptedDecisions{results: []string{"take"}}
 		_, _, err := never.run(h.ctx, h.plane)
 		assert.ErrorIs(t, err, errNotPrimary)
 		assert.Equal(t, len(never.states), 0)
