--- a/internal/tier/controlplane/placement_mutants_test.go
+++ b/internal/tier/controlplane/placement_mutants_test.go
@@ -11,41 +11,41 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// mutant is a fault of the model's turn stores or of placement, made from outside. The zero mutant has none.
+// mutant is an injected fault of the model's turn stores or of Assign. The zero mutant has none.
 type mutant struct {
 	assign             assignFunc // in place of Assign
-	acceptsStaleEpochs bool       // backups take what comes under an epoch that is over
-	reportsEarly       bool       // replicas are reported synced that have not been compared
-	recoversNothing    bool       // a recovery brings no facts, and is reported as done
+	acceptsStaleEpochs bool       // backups accept facts of an epoch that is over
+	reportsEarly       bool       // replicas are reported as synced before facts are exchanged
+	recoversNothing    bool       // a recovery exchanges no facts, and is reported as done
 }
 
 // assignFunc has the signature of Assign.
 type assignFunc func(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool)
 
-// assigned returns the map of Assign, or of the function that replaces it.
-func (m mutant) assigned(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
+// runAssign returns the map of Assign, or of the function that replaces it.
+func (m mutant) runAssign(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
 	if m.assign == nil {
 		return Assign(before, in)
 	}
 	return m.assign(before, in)
 }
 
-// changed returns Assign's map after a change to those partitions that Assign has changed.
-func changed(change func(old, next *tierv1.Partition)) assignFunc {
+// changeAssigned returns an assignFunc that applies change to each partition of the maps that Assign has changed.
+func changeAssigned(change func(old, next *tierv1.Partition)) assignFunc {
 	return func(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
-		next, is := Assign(before, in)
-		if !is || len(before.GetPartitions()) == 0 {
-			return next, is
+		next, ok := Assign(before, in)
+		if !ok || len(before.GetPartitions()) == 0 {
+			return next, ok
 		}
 		next = proto.CloneOf(next)
 		for i, p := range next.Partitions {
 			change(before.Partitions[i], p)
 		}
-		return next, is
+		return next, ok
 	}
 }
 
-// promoteUnsynced makes a replica being synced the primary where Assign names a new one.
+// promoteUnsynced makes a replica being synced the primary if Assign has chosen a new primary.
 func promoteUnsynced(old, next *tierv1.Partition) {
 	if next.Primary == old.Primary {
 		return
@@ -58,10 +58,10 @@
 	}
 }
 
-// forgetRetained forgets replicas that were taken out while they were unresponsive.
-func forgetRetained(_, next *tierv1.Partition) { next.Retained = nil }
+// dropRetained drops the retained replicas.
+func dropRetained(_, next *tierv1.Partition) { next.Retained = nil }
 
-// acceptOldReports accepts reports of an older epoch as those of the newest.
+// acceptOldReports accepts reports of older epochs as reports of the current one.
 func acceptOldReports(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
 	in.Reports = slices.Clone(in.Reports)
 	for i, r := range in.Reports {
@@ -81,22 +81,23 @@
 	findingServesIncomplete = "serves and is not complete"
 )
 
-// TestPlacement_MutantsFound injects faults, and expects random events and expiries to find each by what it takes away.
+// TestPlacement_MutantsFound injects faults, and expects that a check of the model finds each under random events and session
+// expiries.
 func TestPlacement_MutantsFound(t *testing.T) {
 	for _, play := range []struct {
 		name string
 		run  func(t reporter, fault mutant, seed uint64)
-	}{{"session expiries", playSessionExpiries}, {"random events", playRandomEvents}} {
+	}{{"session expiries", simulateSessionExpiries}, {"random events", simulateRandomEvents}} {
 		for _, fault := range []struct {
 			name   string
 			mutant mutant
-			by     []string // the check finds one of these
+			by     []string // findings, one of which the check reports
 		}{
 			{"a backup takes a stale epoch", mutant{acceptsStaleEpochs: true}, []string{findingNotComplete, findingServesIncomplete}},
 			{"replicas are reported synced too early", mutant{reportsEarly: true}, []string{findingNotComplete}},
 			{"a recovery loses what it fetches", mutant{recoversNothing: true}, []string{findingNotComplete}},
-			{"an unsynced replica becomes primary", mutant{assign: changed(promoteUnsynced)}, []string{findingNotComplete, findingServesIncomplete}},
-			{"control forgets retained replicas", mutant{assign: changed(forgetRetained)}, []string{findingUnserved}},
+			{"an unsynced replica becomes primary", mutant{assign: changeAssigned(promoteUnsynced)}, []string{findingNotComplete, findingServesIncomplete}},
+			{"control forgets retained replicas", mutant{assign: changeAssigned(dropRetained)}, []string{findingUnserved}},
 			{"reports of an older epoch are accepted", mutant{assign: acceptOldReports}, []string{findingNotComplete}},
 		} {
 			t.Run(play.name+"/"+fault.name, func(t *testing.T) {
--- a/internal/tier/controlplane/read_barrier.go
+++ b/internal/tier/controlplane/read_barrier.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// readBarrier makes reads linearizable: what a primary read before a round trip to all backups was in force then, as no
-// other primary can have acknowledged anything in between. (Raft calls this ReadIndex, section 6.4 of the thesis.) Callers that
-// wait at the same time share a round trip; each gets one that began after its call.
+// readBarrier makes reads linearizable: a state that a primary read before a round trip to all backups was still in force at
+// the round trip, as no other primary can have acknowledged anything in between. (Raft calls this ReadIndex, section 6.4 of the
+// thesis.) Callers that wait at the same time share a round trip; each gets one that began after its call.
 type readBarrier struct {
 	store   Store
 	timeout time.Duration // of one round trip
 
 	mu      sync.Mutex
 	running bool         // run is active
-	next    *barrierCall // nil: nobody waits for a round trip that has not begun
+	next    *barrierCall // round trip that has not begun; nil: no caller waits for one
 }
 
 // barrierCall is one round trip.
@@ -36,21 +36,21 @@
 	if b.next == nil {
 		b.next = &barrierCall{epoch: epoch, done: make(chan struct{})}
 	}
-	mine := b.next
+	call := b.next
 	if !b.running {
 		b.running = true
 		go b.run()
 	}
 	b.mu.Unlock()
 	select {
-	case <-mine.done:
-		return mine.err
+	case <-call.done:
+		return call.err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// run makes round trips, one after the other, until nobody waits for one. Each ends within the time-out.
+// run makes round trips, one after the other, until no caller waits for one. Each ends within the time-out.
 func (b *readBarrier) run() {
 	for {
 		b.mu.Lock()
--- a/internal/tier/controlplane/request_history_test.go
+++ b/internal/tier/controlplane/request_history_test.go
@@ -9,19 +9,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// outcome is what an operator knows of a change in the end.
+// outcome is the result of a change as its operator sees it.
 type outcome string
 
 const (
 	confirmedOutcome outcome = "confirmed" // 200
 	rejectedOutcome  outcome = "rejected"  // 4xx
-	unknownOutcome   outcome = "unknown"   // no clear answer
+	unknownOutcome   outcome = "unknown"   // no final response
 )
 
-// sentChange is one change, from its first attempt to the last answer. Its body identifies it.
+// sentChange is one change, from its first attempt to its last answer. Its body identifies it.
 type sentChange struct {
 	body           string
-	baseBody       string // the body that it builds on, as its operator knows it
+	baseBody       string // the body that the change builds on, as its operator read it
 	base, revision int64
 	outcome        outcome
 	begun, ended   time.Duration
@@ -29,31 +29,31 @@
 
 // observedRead is one answer to Configuration.Describe, by its body.
 type observedRead struct {
-	body         string // empty: there is none
+	body         string // empty: there is no configuration
 	begun, ended time.Duration
 }
 
-// repeatedChange is a change that was sent once more when it had its outcome already.
+// repeatedChange is a change that was sent again after its outcome.
 type repeatedChange struct {
 	change        *sentChange
 	outcome       outcome
-	withoutFaults bool // nothing was wrong with the machines for long
+	withoutFaults bool // no machine had a fault for a long time before
 }
 
-// requestHistory is all that operators saw. Its check knows only what operators may expect, nothing of the code.
+// requestHistory is all that operators observed. Its check uses only the guarantees to operators, nothing of the implementation.
 type requestHistory struct {
 	changes []*sentChange
 	reads   []observedRead
 	repeats []repeatedChange
-	last    string // body read back at the end, when nobody sends any more
+	last    string // body read back at the end, after all traffic
 }
 
-// check follows the configurations back from the one read last, each by the base of its change: that is all that was ever
-// accepted. It returns an error for each rule that does not hold.
+// check follows the configurations back from the one read last, each by the base of its change: that chain is all that was ever
+// accepted. It returns an error for each guarantee that is violated.
 func (h requestHistory) check() (broken []error) {
 	fail := func(format string, args ...any) {
 		for i := range args {
-			if body, is := args[i].(string); is {
+			if body, ok := args[i].(string); ok {
 				args[i] = label(body)
 			}
 		}
@@ -63,26 +63,26 @@
 	for _, o := range h.changes {
 		byBody[o.body] = o
 	}
-	place := map[string]int{"": 0} // of what was taken, from the newest on below 0
+	positions := map[string]int{"": 0} // of the accepted bodies: -1 for the newest, and less for older ones
 	at := h.last
 	for at != "" {
 		o := byBody[at]
 		if o == nil {
-			fail("%q was read back, and nobody sent it", at)
+			fail("%q was read back, but was never sent", at)
 			break
 		}
-		if _, again := place[at]; again {
+		if _, again := positions[at]; again {
 			break
 		}
-		place[at] = -len(place)
+		positions[at] = -len(positions)
 		at = o.baseBody
 	}
 	onBase := map[int64]string{}
 	for _, o := range h.changes {
-		_, taken := place[o.body]
+		_, accepted := positions[o.body]
 		switch o.outcome {
 		case confirmedOutcome:
-			if !taken {
+			if !accepted {
 				fail("%q was confirmed and is lost", o.body)
 			}
 			if other, twice := onBase[o.base]; twice {
@@ -90,56 +90,56 @@
 			}
 			onBase[o.base] = o.body
 		case rejectedOutcome:
-			if taken {
+			if accepted {
 				fail("%q was accepted and rejected", o.body)
 			}
 		case unknownOutcome: // it may be in force or not
 		}
 	}
 	for _, r := range h.reads {
-		position, taken := place[r.body]
+		position, accepted := positions[r.body]
 		if r.body == "" {
-			position = -len(place)
-		} else if !taken {
+			position = -len(positions)
+		} else if !accepted {
 			fail("%q was read back and is lost", r.body)
 			continue
 		}
 		for _, o := range h.changes {
-			if at, kept := place[o.body]; kept && o.outcome == confirmedOutcome && o.ended < r.begun && at > position {
+			if at, accepted := positions[o.body]; accepted && o.outcome == confirmedOutcome && o.ended < r.begun && at > position {
 				fail("%q was read back after %q was confirmed", r.body, o.body)
 			}
 		}
 		for _, earlier := range h.reads {
-			if at, kept := place[earlier.body]; kept && earlier.body != "" && earlier.ended < r.begun && at > position {
-				fail("%q was read back after %q had been", r.body, earlier.body)
+			if at, accepted := positions[earlier.body]; accepted && earlier.body != "" && earlier.ended < r.begun && at > position {
+				fail("%q was read back after the newer %q had been", r.body, earlier.body)
 			}
 		}
 	}
 	for _, again := range h.repeats {
-		_, taken := place[again.change.body]
+		_, accepted := positions[again.change.body]
 		switch {
-		case again.outcome == rejectedOutcome && taken:
+		case again.outcome == rejectedOutcome && accepted:
 			fail("%q was accepted, and rejected when it was sent again", again.change.body)
-		case again.outcome == confirmedOutcome && !taken:
-			fail("%q was acknowledged when it was sent again, and is not there", again.change.body)
-		case again.outcome != confirmedOutcome && taken && again.withoutFaults:
+		case again.outcome == confirmedOutcome && !accepted:
+			fail("%q was acknowledged when it was sent again, but was never accepted", again.change.body)
+		case again.outcome != confirmedOutcome && accepted && again.withoutFaults:
 			fail("%q was accepted, and not acknowledged again without faults: %s", again.change.body, again.outcome)
 		}
 	}
 	return broken
 }
 
-// label is a body's service, which names the operator and its change; or the whole body, where it has none.
+// label returns the service of a body, which names the operator and its change, or the whole body if it has no service.
 func label(body string) string {
 	_, rest, found := strings.Cut(body, `"service_name":"`)
-	if name, _, whole := strings.Cut(rest, `"`); found && whole {
+	if name, _, closed := strings.Cut(rest, `"`); found && closed {
 		return name
 	}
 	return body
 }
 
 // requestCounts are the numbers of entries of a history.
-type requestCounts struct{ confirmed, rejected, unknown, reads, repeats, repeatsOpen int }
+type requestCounts struct{ confirmed, rejected, unknown, reads, repeats, repeatsUnknown int }
 
 func (h requestHistory) count() (n requestCounts) {
 	for _, o := range h.changes {
@@ -156,13 +156,13 @@
 	for _, again := range h.repeats {
 		n.repeats++
 		if again.outcome == unknownOutcome {
-			n.repeatsOpen++
+			n.repeatsUnknown++
 		}
 	}
 	return n
 }
 
-// TestRequestHistory_Check shows that the check finds what it is there for.
+// TestRequestHistory_Check checks that the check of a history finds each violation.
 func TestRequestHistory_Check(t *testing.T) {
 	second := func(n int) time.Duration { return time.Duration(n) * time.Second }
 	a := &sentChange{"a", "", 0, 3, confirmedOutcome, second(1), second(2)}
@@ -175,17 +175,17 @@
 		broken  int
 	}{
 		"right":                       {requestHistory{changes: all, last: "c", reads: []observedRead{{"", 0, second(3)}, {"a", second(2), second(3)}, {"b", second(4), second(5)}}}, 0},
-		"a confirmed is lost":         {requestHistory{changes: []*sentChange{a, b, c}, last: "b"}, 1},
+		"a confirmed change is lost":  {requestHistory{changes: []*sentChange{a, b, c}, last: "b"}, 1},
 		"an accepted one is rejected": {requestHistory{changes: []*sentChange{a, {"b", "a", 3, 5, rejectedOutcome, second(3), second(4)}, c}, last: "c"}, 1},
 		"two on one base":             {requestHistory{changes: []*sentChange{a, b, c, {"y", "a", 3, 7, confirmedOutcome, second(3), second(4)}}, last: "c"}, 1},
-		"read back what is old":       {requestHistory{changes: all, last: "c", reads: []observedRead{{"a", second(7), second(8)}}}, 1},
-		"reads go back":               {requestHistory{changes: all, last: "c", reads: []observedRead{{"b", second(3), second(4)}, {"a", second(5), second(6)}}}, 1},
+		"a read is stale":             {requestHistory{changes: all, last: "c", reads: []observedRead{{"a", second(7), second(8)}}}, 1},
+		"reads are not monotonic":     {requestHistory{changes: all, last: "c", reads: []observedRead{{"b", second(3), second(4)}, {"a", second(5), second(6)}}}, 1},
 		"read back, then lost":        {requestHistory{changes: all, last: "c", reads: []observedRead{{"x", second(3), second(4)}}}, 1},
 		"a repeat is rejected":        {requestHistory{changes: all, last: "c", repeats: []repeatedChange{{b, rejectedOutcome, false}}}, 1},
 		"a repeat is left open":       {requestHistory{changes: all, last: "c", repeats: []repeatedChange{{b, unknownOutcome, false}}}, 0},
-		"and so it is in calm":        {requestHistory{changes: all, last: "c", repeats: []repeatedChange{{b, unknownOutcome, true}}}, 1},
-		"a repeat is made up":         {requestHistory{changes: all, last: "c", repeats: []repeatedChange{{x, confirmedOutcome, false}}}, 1},
-		"nobody sent it":              {requestHistory{changes: all, last: "z"}, 3},
+		"open without faults":         {requestHistory{changes: all, last: "c", repeats: []repeatedChange{{b, unknownOutcome, true}}}, 1},
+		"a rejected one acknowledged": {requestHistory{changes: all, last: "c", repeats: []repeatedChange{{x, confirmedOutcome, false}}}, 1},
+		"read back, but never sent":   {requestHistory{changes: all, last: "z"}, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			broken := test.history.check()
--- a/internal/tier/controlplane/retire_deadlines_test.go
+++ b/internal/tier/controlplane/retire_deadlines_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Only what still lies on machines that are to be emptied by a deadline requires moves.
+// Only replicas on machines that are to be emptied by a deadline require moves.
 func TestRequiredMoves(t *testing.T) {
 	m := &tierv1.PartitionMap{
 		StoreNodes: []*tierv1.StoreNode{{Folder: "f1", Node: "n1"}, {Folder: "f2", Node: "n2"}, {Folder: "f3", Node: "n3"}},
@@ -41,28 +41,28 @@
 		},
 		Retiring: []string{"n1", "n2", "gone"},
 	}
-	pace := func(left map[string]time.Duration) int { return requiredMoves(m, left, time.Second) }
-	assert.Equal(t, pace(nil), 0)
-	assert.Equal(t, pace(map[string]time.Duration{"gone": 0, "n3": 0}), 0)
-	assert.Equal(t, pace(map[string]time.Duration{"n1": time.Minute}), 1)
-	assert.Equal(t, pace(map[string]time.Duration{"n1": 0}), 2)
-	assert.Equal(t, pace(map[string]time.Duration{"n1": 0, "n2": 0}), 4)
+	moves := func(left map[string]time.Duration) int { return requiredMoves(m, left, time.Second) }
+	assert.Equal(t, moves(nil), 0)
+	assert.Equal(t, moves(map[string]time.Duration{"gone": 0, "n3": 0}), 0)
+	assert.Equal(t, moves(map[string]time.Duration{"n1": time.Minute}), 1)
+	assert.Equal(t, moves(map[string]time.Duration{"n1": 0}), 2)
+	assert.Equal(t, moves(map[string]time.Duration{"n1": 0, "n2": 0}), 4)
 	assert.Equal(t, requiredMoves(nil, map[string]time.Duration{"n1": 0}, time.Second), 0)
 }
 
-// An order that another process accepted has no time left, as its age is not known; one without a deadline never runs out.
+// An order that another process accepted has no time left, as its age is not known; an order without a deadline never runs out.
 func TestRetireDeadlines(t *testing.T) {
 	now := time.Now()
-	times := retireDeadlines{}
-	times.record("timed", now, retireDuration(7))
+	deadlines := retireDeadlines{}
+	deadlines.record("timed", now, retireDuration(7))
 	for i, seconds := range []float64{0, -1, 1e300} {
-		times.record(fmt.Sprint("endless", i), now, retireDuration(seconds))
+		deadlines.record(fmt.Sprint("endless", i), now, retireDuration(seconds))
 	}
-	left := times.remaining(now.Add(5*time.Second), []string{"timed", "endless0", "endless1", "endless2", "another's"})
+	left := deadlines.remaining(now.Add(5*time.Second), []string{"timed", "endless0", "endless1", "endless2", "another's"})
 	assert.DeepEqual(t, left, map[string]time.Duration{"timed": 2 * time.Second, "another's": 0})
 }
 
-// An order that is repeated before it could be accepted keeps its deadline; after the deadline it is a new one.
+// An order that is repeated before it could be accepted keeps its deadline; after the deadline it counts as a new order.
 func TestRetireDeadlines_RepeatedOrder(t *testing.T) {
 	now := time.Now()
 	times := retireDeadlines{}
@@ -84,17 +84,18 @@
 const (
 	slowSyncTime = 700 * time.Millisecond
 	slowSyncPoll = 50 * time.Millisecond
-	repairTime   = time.Second // after a return
+	repairTime   = time.Second // advance after a turn store's return
 )
 
-// absence is another turn store's absence beside an order.
+// absence is the absence of another turn store during an order.
 type absence struct {
 	time.Duration
-	beforeOrder bool // it is away already when the order comes, so that the order is not taken before it returns
+	beforeOrder bool // the turn store is away before the order is sent, and the order is not accepted before it returns
 }
 
-// retireWithDeadline orders a machine to be emptied within a time, until that is accepted. It returns how long it took from the
-// first attempt on, and the most replicas that were being synced at a time once all turn stores were there.
+// retireWithDeadline orders a machine to be emptied within a duration, and repeats the order until it is accepted. It returns
+// the time from the first attempt to the completion, and the largest number of replicas that were being synced at a time once
+// all turn stores were available.
 func retireWithDeadline(t *testing.T, duration time.Duration, away absence) (took time.Duration, most int) {
 	const again = 500 * time.Millisecond
 	withHarness(t, func(h *harness) {
@@ -113,11 +114,11 @@
 			h.advance(time.Second)
 		}
 		begun, back := time.Now(), false
-		for taken, completed := false, false; !completed && time.Since(begun) < time.Minute; {
-			if !taken {
+		for accepted, completed := false, false; !completed && time.Since(begun) < time.Minute; {
+			if !accepted {
 				body := strings.NewReader(fmt.Sprintf(`{"duration_s":%g}`, duration.Seconds()))
-				taken = h.call("POST", "Retire.Create/v1", nil, body).Code == http.StatusOK
-				assert.Assert(t, taken != (away.beforeOrder && !back))
+				accepted = h.call("POST", "Retire.Create/v1", nil, body).Code == http.StatusOK
+				assert.Assert(t, accepted != (away.beforeOrder && !back))
 				if away.Duration > 0 && !away.beforeOrder && !back {
 					stores["v3"].stop()
 				}
@@ -132,7 +133,7 @@
 			if back {
 				most = max(most, countUnsynced(h.partitionMap()))
 			}
-			if taken {
+			if accepted {
 				h.advance(20 * time.Millisecond)
 				completed = strings.Contains(h.call("GET", "Retire.Describe/v1", nil, nil).Body.String(), retireCompleted)
 			} else {
@@ -144,7 +145,7 @@
 	return took, most
 }
 
-// An order is completed within its deadline, also where another turn store is away for a part of it.
+// An order is completed within its deadline, even if another turn store is away for a part of the time.
 func TestRetire_CompletedWithinDeadline(t *testing.T) {
 	for _, test := range []struct {
 		duration time.Duration
@@ -165,7 +166,7 @@
 	}
 }
 
-// Where there is time, an eighth of the partitions moves at a time, as without a deadline.
+// If there is enough time, at most an eighth of the partitions moves at a time, as without a deadline.
 func TestRetire_FewMovesWithTimeLeft(t *testing.T) {
 	for _, duration := range []time.Duration{0, 2 * time.Minute} {
 		took, most := retireWithDeadline(t, duration, absence{})
--- a/internal/tier/controlplane/session_expiry_test.go
+++ b/internal/tier/controlplane/session_expiry_test.go
@@ -25,7 +25,8 @@
 	return in
 }
 
-// modelAfterExpiry returns three machines, one loss to be tolerated, and the first machine's replicas taken out as its session expired.
+// modelAfterExpiry returns a model of three machines with one loss to tolerate, in which the first machine's replicas were
+// removed because its session expired.
 func modelAfterExpiry(t *testing.T) *placementModel {
 	model := newModel(t, nil, 3, 3, FaultTolerance{1, byNode})
 	model.assign(model.input())
@@ -53,8 +54,8 @@
 	return n
 }
 
-// The session of a second turn store expires while the first, which has no replicas any more, is unresponsive too: the third does not go
-// on alone, so that nothing is lost with its disk.
+// The session of a second turn store expires while the first, which has no replicas any more, is still unresponsive: the third
+// does not serve alone, so that nothing acknowledged is lost if its disk is lost.
 func TestSessionExpiry_LastStoreWaits(t *testing.T) {
 	model := modelAfterExpiry(t)
 	model.assign(model.expire(model.machines[0], model.machines[1]))
@@ -71,7 +72,7 @@
 	model.assertBalanced(false)
 }
 
-// A turn store that is back within the wait is the synced backup that it was, in the same epoch.
+// A turn store that returns within the wait is still a synced backup, in the same epoch.
 func TestSessionExpiry_StoreBackWithinWaitStaysBackup(t *testing.T) {
 	model := modelAfterExpiry(t)
 	for _, p := range model.partitionMap.Partitions {
@@ -83,7 +84,7 @@
 	waiting := model.partitionMap
 	second.partitioned = false
 	in := model.expire(model.machines[0])
-	in.MayMove = false // primaries are made even later
+	in.MayMove = false // primaries are balanced later
 	model.assign(in)
 	for i, p := range model.partitionMap.Partitions {
 		assert.Assert(t, proto.Equal(p, waiting.Partitions[i]), "partition %d: %v", i, p)
@@ -95,7 +96,7 @@
 	assert.Equal(t, model.countServed(), partitionCount)
 }
 
-// When the wait is over, the last one goes on alone as far as it is complete.
+// When the wait is over, the last turn store serves alone the partitions of which it has everything acknowledged.
 func TestSessionExpiry_LastStoreGoesOnAfterWait(t *testing.T) {
 	model := modelAfterExpiry(t)
 	model.assign(model.expire(model.machines[0], model.machines[1]))
@@ -108,11 +109,12 @@
 	assert.Equal(t, model.countServed(), partitionCount)
 }
 
-// An expiry is waited for only where no turn store could take another replica; else the map is the same as after an expiry long ago.
+// Assign waits after an expiry only if no turn store can take another replica; otherwise it makes the same map as long after
+// the expiry.
 func TestSessionExpiry_WaitOnlyWithoutReplacement(t *testing.T) {
 	for _, test := range []struct {
-		machines, losses, lapsed int
-		waits                    bool
+		machines, losses, expired int
+		waits                     bool
 	}{
 		{2, 1, 1, true}, {3, 2, 1, true}, {3, 2, 2, true}, {4, 2, 2, true},
 		{3, 1, 1, false}, {4, 1, 1, false}, {4, 2, 1, false}, {5, 2, 2, false},
@@ -120,7 +122,7 @@
 		model := newModel(t, nil, test.machines, test.machines, FaultTolerance{test.losses, byNode})
 		model.assign(model.input())
 		model.runUntilStable()
-		in := model.expire(model.machines[:test.lapsed]...)
+		in := model.expire(model.machines[:test.expired]...)
 		now, _ := Assign(model.partitionMap, in)
 		in.RecentlyExpired = nil
 		later, changed := Assign(model.partitionMap, in)
@@ -150,20 +152,20 @@
 	model.runUntilStable()
 	first := model.machines[0]
 	in := model.expire(first)
-	assert.Assert(t, model.assign(in)) // its partitions have the other as the primary
-	lapsed := in.RecentlyExpired
+	assert.Assert(t, model.assign(in)) // the other machine is the primary of all partitions
+	expired := in.RecentlyExpired
 	model.wipe(first, false)
 	first.partitioned = false
 	in = model.input()
-	in.RecentlyExpired = lapsed
+	in.RecentlyExpired = expired
 	assert.Assert(t, model.assign(in))
 	for i, p := range model.partitionMap.Partitions {
 		assert.Assert(t, len(p.Backups) == 1 && p.Backups[0].Folder == first.folder, "partition %d: %v", i, p)
 	}
 }
 
-// Sessions of several turn stores expire, one after the other or at once, and are back within the wait. Where all but one expire,
-// that one may lose its disk: everything acknowledged is served again.
+// Sessions of several turn stores expire, one after the other or at once, and they return within the wait. If all but one
+// expire, that one may lose its disk. Everything acknowledged is served again.
 func TestSessionExpiry_SeveralAreNoLosses(t *testing.T) {
 	for seed := range uint64(10) {
 		r := rand.New(rand.NewPCG(seed, 9))
@@ -173,17 +175,17 @@
 		for range 10 {
 			order := r.Perm(len(model.machines))
 			last := model.machines[order[2]]
-			var silent []*modelMachine
+			var expired []*modelMachine
 			for _, i := range order[:2] {
-				silent = append(silent, model.machines[i])
+				expired = append(expired, model.machines[i])
 				model.tracef("the session of %s expires", model.machines[i].node)
-				model.assign(model.expire(silent...))
+				model.assign(model.expire(expired...))
 				for range r.IntN(3) {
 					model.countServed()
 					for range r.IntN(40) {
 						model.syncReplica(model.machines[r.IntN(len(model.machines))], r.IntN(partitionCount))
 					}
-					model.assign(model.expire(silent...))
+					model.assign(model.expire(expired...))
 					model.reports = nil
 				}
 			}
@@ -192,7 +194,7 @@
 				model.tracef("%s loses its disk", last.node)
 				model.wipe(last, r.IntN(3) == 0)
 			}
-			for _, m := range silent {
+			for _, m := range expired {
 				m.partitioned = false
 			}
 			model.reports = nil
@@ -203,8 +205,8 @@
 	}
 }
 
-// unavailable returns for how long, from now on, some partition has no primary whose backups are all there, within limit.
-func (h *harness) unserved(gone []string, limit time.Duration) time.Duration {
+// unavailableTime returns for how long, from now on, some partition has a replica on a turn store that is gone, at most limit.
+func (h *harness) unavailableTime(gone []string, limit time.Duration) time.Duration {
 	const pace = 10 * time.Millisecond
 	begun := time.Now()
 	for time.Since(begun) < limit {
@@ -219,11 +221,12 @@
 	return time.Since(begun)
 }
 
-// How long partitions are unavailable: no longer than the detection where another turn store is there, else with a bounded wait.
+// Partitions are unavailable for no longer than the detection if another turn store can take the replicas, and else for an
+// additional bounded wait.
 func TestSessionExpiry_UnavailableTime(t *testing.T) {
 	detection := testSettings().ContactWindow/sessionTTLDivisor + testSettings().ContactWindow/sessionCheckDivisor + 50*time.Millisecond
 	wait := testSettings().ContactWindow / lostReplicaWaitDivisor
-	const unbounded = 30 * time.Second // both have replicas: the return of one is waited for
+	const unbounded = 30 * time.Second // both have replicas: the return of one is awaited
 	for _, test := range []struct {
 		name            string
 		stores, killed  int
@@ -251,15 +254,15 @@
 					gone = append(gone, "v2.1")
 					all[1].stop()
 				}
-				took := h.unserved(gone, unbounded)
-				t.Logf("unserved for %v", took)
-				assert.Assert(t, took >= test.shortest && took <= test.limit, "unserved for %v", took)
+				took := h.unavailableTime(gone, unbounded)
+				t.Logf("unavailable for %v", took)
+				assert.Assert(t, took >= test.shortest && took <= test.limit, "unavailable for %v", took)
 			})
 		})
 	}
 }
 
-// A new primary has not seen the sessions expire: the wait begins when its grace is over.
+// A new primary has not observed the expiry of the sessions: the wait begins when the takeover grace is over.
 func TestSessionExpiry_NewPrimaryWaitsAfterGrace(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		var all []*testProcess
@@ -273,25 +276,25 @@
 		all[1].stop()
 		h.advance(5 * time.Second)
 		h.store.set(func() { h.store.primary, h.store.epoch = true, h.store.epoch+1<<12 })
-		took := h.unserved([]string{"v1.1", "v2.1"}, 30*time.Second)
+		took := h.unavailableTime([]string{"v1.1", "v2.1"}, 30*time.Second)
 		window := testSettings().ContactWindow
 		shortest := window/takeoverGraceDivisor + window/lostReplicaWaitDivisor
-		assert.Assert(t, took >= shortest && took <= shortest+window/sessionCheckDivisor+100*time.Millisecond, "unserved for %v", took)
+		assert.Assert(t, took >= shortest && took <= shortest+window/sessionCheckDivisor+100*time.Millisecond, "unavailable for %v", took)
 	})
 }
 
-// A draining turn store is not waited for when it has gone.
+// A draining turn store is not waited for after it has stopped.
 func TestSessionExpiry_NoWaitForDrainingStore(t *testing.T) {
 	withHarness(t, func(h *harness) {
-		leaver := h.join(roleTurnStore, "v1", nil)
+		draining := h.join(roleTurnStore, "v1", nil)
 		h.join(roleTurnStore, "v2", nil)
 		h.advance(3 * time.Second)
-		leaver.mu.Lock()
-		leaver.request.Draining = true
-		leaver.mu.Unlock()
+		draining.mu.Lock()
+		draining.request.Draining = true
+		draining.mu.Unlock()
 		h.advance(time.Second)
-		leaver.stop()
-		took := h.unserved([]string{"v1.1"}, 30*time.Second)
-		assert.Assert(t, took < disconnectedTTL+testSettings().ContactWindow/sessionCheckDivisor+50*time.Millisecond, "unserved for %v", took)
+		draining.stop()
+		took := h.unavailableTime([]string{"v1.1"}, 30*time.Second)
+		assert.Assert(t, took < disconnectedTTL+testSettings().ContactWindow/sessionCheckDivisor+50*time.Millisecond, "unavailable for %v", took)
 	})
 }
