--- a/internal/tier/http1/chars.go
+++ b/internal/tier/http1/chars.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// Class is a set of classes of characters.
+// Class is a bit set of character classes.
 type Class uint8
 
-// The classes of characters.
+// The character classes.
 const (
 	TokenChar  Class = 1 << iota // of a token (RFC 9110, 5.6.2)
 	ValueChar                    // of a field's value: visible, obs-text, space and tab (RFC 9110, 5.5)
@@ -13,7 +13,7 @@
 	HostChar                     // of a host with its port
 )
 
-// charClasses are the classes of each character.
+// charClasses maps each byte to the set of its classes.
 var charClasses = func() (classes [256]Class) {
 	for c := range 256 {
 		alphanumeric := c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
@@ -46,5 +46,5 @@
 // IsToken reports whether s is a token.
 func IsToken(s string) bool { return AllOf(s, TokenChar) }
 
-// IsFieldValue reports whether s may be the value of a field. An empty one may.
+// IsFieldValue reports whether s is a valid field value. The empty value is valid.
 func IsFieldValue(s string) bool { return s == "" || AllOf(s, ValueChar) }
--- a/internal/tier/http1/header.go
+++ b/internal/tier/http1/header.go
@@ -5,10 +5,10 @@
 // Field is a header field: its name as sent, its value without the white space around it.
 type Field struct{ Name, Value string }
 
-// Header is header fields in the order in which they were sent.
+// Header is a list of header fields in the order in which they were sent.
 type Header []Field
 
-// Get returns the value of the first field of a name, in any case, or "".
+// Get returns the value of the first field with the name, compared case-insensitively, or "" if there is none.
 func (header Header) Get(name string) string {
 	for i := range header {
 		if strings.EqualFold(header[i].Name, name) {
@@ -18,8 +18,8 @@
 	return ""
 }
 
-// AppendEndToEnd appends the fields that are to be forwarded: without those that are hop-by-hop, those that Connection names,
-// Expect (which the server has acted on), and Host and Content-Length, which a request has apart from its header.
+// AppendEndToEnd appends the fields that a proxy forwards. It omits hop-by-hop fields, fields listed in Connection, Expect, which
+// the server has already handled, and Host and Content-Length, which a request has apart from its header.
 func (header Header) AppendEndToEnd(to []Field) []Field {
 	for _, field := range header {
 		if IsHopByHop(field.Name) || strings.EqualFold(field.Name, "Host") || strings.EqualFold(field.Name, "Expect") || header.namedByConnection(field.Name) {
@@ -30,7 +30,7 @@
 	return to
 }
 
-// namedByConnection reports whether a Connection field names a field.
+// namedByConnection reports whether a Connection field lists the name.
 func (header Header) namedByConnection(name string) bool {
 	for _, field := range header {
 		if len(field.Name) == len("Connection") && strings.EqualFold(field.Name, "Connection") && ListContains(field.Value, name) {
@@ -40,7 +40,7 @@
 	return false
 }
 
-// ParseField parses a field line without its CRLF. It is false for a line that is no field, which a folded one is not either.
+// ParseField parses a field line without its CRLF. ok is false if the line is not a valid field; a folded line is not.
 func ParseField(line string) (field Field, ok bool) {
 	name, value, ok := strings.Cut(line, ":")
 	value = strings.Trim(value, " \t")
@@ -55,7 +55,7 @@
 	return append(append(append(append(to, name...), ": "...), value...), "\r\n"...)
 }
 
-// ListContains reports whether a comma-separated list has an element, in any case.
+// ListContains reports whether a comma-separated list contains the element, compared case-insensitively.
 func ListContains(list, element string) bool {
 	for item := range strings.SplitSeq(list, ",") {
 		if strings.EqualFold(strings.Trim(item, " \t"), element) {
@@ -65,7 +65,7 @@
 	return false
 }
 
-// IsHopByHop reports whether a field concerns one connection only, or the framing on it (RFC 9110, 7.6.1).
+// IsHopByHop reports whether a field applies to one connection only or to message framing (RFC 9110, 7.6.1).
 func IsHopByHop(name string) bool {
 	switch len(name) {
 	case 2:
