--- a/internal/tier/ingress/bench_test.go
+++ b/internal/tier/ingress/bench_test.go
@@ -15,31 +15,31 @@
 const benchGet = "GET /lohu930/2f HTTP/1.1\r\nHost: ficu95.example\r\nX-Attempt-Id: 9c41d07be2a35f68\r\nX-Deadline-Ms: 6000\r\n" +
 	"X-Model: m\r\nX-Token-Usage: 1460,80\r\n\r\n"
 
-// exchanges sends small requests one after another on a connection. What the client allots is nothing.
-func exchanges(b *testing.B, addr string) {
+// benchmarkExchanges sends small requests one after another on a connection. The client itself allocates nothing per request.
+func benchmarkExchanges(b *testing.B, addr string) {
 	conn := dial(b, addr)
 	conn.send(benchGet)
 	size := 0
-	a, err := http.ReadResponse(bufio.NewReader(io.TeeReader(conn.TCPConn, gateway{&size})), nil)
+	a, err := http.ReadResponse(bufio.NewReader(io.TeeReader(conn.TCPConn, byteCounter{&size})), nil)
 	assert.NilError(b, err)
 	_, err = io.ReadAll(a.Body)
 	assert.NilError(b, err)
-	request, answer := []byte(benchGet), make([]byte, size)
+	request, response := []byte(benchGet), make([]byte, size)
 	conn.SetDeadline(time.Time{})
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
 		conn.Write(request)
-		if _, err := io.ReadFull(conn.TCPConn, answer); err != nil {
+		if _, err := io.ReadFull(conn.TCPConn, response); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// gateway counts what is written to it.
-type gateway struct{ n *int }
+// byteCounter counts the bytes written to it.
+type byteCounter struct{ n *int }
 
-func (c gateway) Write(p []byte) (int, error) {
+func (c byteCounter) Write(p []byte) (int, error) {
 	*c.n += len(p)
 	return len(p), nil
 }
@@ -48,10 +48,10 @@
 
 func BenchmarkRequest(b *testing.B) {
 	body := make([]byte, 200)
-	exchanges(b, start(b, &Server{Handler: func(x *Exchange) { x.Respond(200, benchFields, body) }}))
+	benchmarkExchanges(b, start(b, &Server{Handler: func(x *Exchange) { x.Respond(200, benchFields, body) }}))
 }
 
-// The same by net/http, to compare.
+// BenchmarkRequestNetHTTP serves the requests of BenchmarkRequest with net/http, for comparison.
 func BenchmarkRequestNetHTTP(b *testing.B) {
 	body := make([]byte, 200)
 	l, err := Listen("127.0.0.1:0")
@@ -64,7 +64,7 @@
 	})}
 	go s.Serve(l)
 	b.Cleanup(func() { s.Close() })
-	exchanges(b, l.Addr().String())
+	benchmarkExchanges(b, l.Addr().String())
 }
 
 func BenchmarkStream20(b *testing.B) {
@@ -75,7 +75,7 @@
 			name = "watched"
 		}
 		b.Run(name, func(b *testing.B) {
-			exchanges(b, start(b, &Server{Handler: func(x *Exchange) {
+			benchmarkExchanges(b, start(b, &Server{Handler: func(x *Exchange) {
 				if watched {
 					x.OnClientGone(0, func() {})
 				}
--- a/internal/tier/ingress/client_gone.go
+++ b/internal/tier/ingress/client_gone.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// peekResult is what a socket has to read.
+// peekResult is what a read of a socket would find.
 type peekResult uint8
 
 const (
@@ -17,7 +17,7 @@
 	peerClosed                    // closed or reset
 )
 
-// peek returns what a socket has to read, without waiting and without reading it.
+// peek returns what a read of a socket would find, without waiting and without consuming bytes.
 func peek(raw syscall.RawConn) peekResult {
 	p := peerClosed
 	raw.Control(func(fd uintptr) { p = peekAt(fd) })
@@ -41,22 +41,22 @@
 	}
 }
 
-// clientWatch waits for the end of a connection in a goroutine of its own.
+// clientWatch waits, in its own goroutine, for a client to close its connection.
 type clientWatch struct {
 	timer *time.Timer
 	done  chan struct{}
 	gone  atomic.Bool
 }
 
-// ClientGone reports whether the client has closed or reset its connection (a half-closed one counts, too). While bytes of a next
-// request are unread it is not gone. It costs one system call.
+// ClientGone reports whether the client has closed, half-closed or reset its connection. A close is not detected while bytes of a
+// next request are unread. The check costs one system call.
 func (exchange *Exchange) ClientGone() bool {
 	return exchange.conn == nil || exchange.broken || exchange.watch != nil && exchange.watch.gone.Load() || peek(exchange.conn.raw) == peerClosed
 }
 
-// OnClientGone has f called, from another goroutine and at most once, when the client closes or resets its connection before the
-// handler returns. Watching begins after a delay, so that a short exchange costs a timer and no goroutine; it stops where bytes of
-// a next request are received. f must not block. Only the first call for an exchange has an effect.
+// OnClientGone calls f, from another goroutine and at most once, when the client closes or resets its connection before the handler
+// returns. Watching begins after a delay, so that a short exchange costs a timer and no goroutine; it stops when bytes of a next
+// request are received. f must not block. Only the first call for an exchange has an effect.
 func (exchange *Exchange) OnClientGone(delay time.Duration, f func()) {
 	if exchange.watch != nil || exchange.conn == nil {
 		return
@@ -79,7 +79,7 @@
 	})
 }
 
-// stop ends a watch, and waits for its goroutine, before anything else reads the connection.
+// stop ends a watch and waits for its goroutine. It must return before anything else reads the connection.
 func (w *clientWatch) stop(c *conn) {
 	if w == nil || w.timer.Stop() {
 		return
--- a/internal/tier/ingress/conn.go
+++ b/internal/tier/ingress/conn.go
@@ -16,7 +16,7 @@
 	bufferSize          = 4 << 10  // of a pooled buffer
 	maxPooledBuffer     = 16 << 10 // a larger one is not returned to the pool
 	bodyProgressBytes   = 4 << 10  // bytes of a body that extend its time-out
-	initialBodyCapacity = 64 << 10 // of the buffer of a body before more of it was received
+	initialBodyCapacity = 64 << 10 // of the buffer of a body; it grows as bytes are received
 	maxWriteSize        = 64 << 10 // bytes written under one time-out
 	maxLingerBytes      = 1 << 20  // bytes read and discarded after a rejection
 )
@@ -31,26 +31,26 @@
 	}
 }
 
-// connState is the state of a connection, for those who would close it.
+// connState is the state of a connection. Only an idle one may be closed between requests.
 type connState uint8
 
 const (
 	active connState = iota
 	idle
-	closed // closed, or about to be by the one that has set the state
+	closed // closed, or about to be closed by the goroutine that set the state
 )
 
-// conn is a client's connection. All but what mu guards belongs to its goroutine.
+// conn is a client's connection. Fields that no mutex guards belong to its goroutine.
 type conn struct {
 	server         *Server
 	socket         net.Conn
 	raw            syscall.RawConn
 	readFirstBytes func(uintptr) bool
-	overCapacity   bool // its request is answered 503 for lack of descriptors
+	overCapacity   bool // its request is answered with 503 for lack of descriptors
 
 	buffer        *[]byte   // nil while nothing was read
 	consumed      int       // bytes of buffer that requests have consumed
-	buffered      int       // bytes of buffer that were read
+	buffered      int       // bytes read into buffer
 	readAt        time.Time // time of the last read into buffer
 	readDeadline  time.Time // of the part of a request that is being read
 	progress      int       // bytes of a body since readDeadline was set
@@ -58,15 +58,15 @@
 	writeDeadline time.Time
 	readErr       error // of readFirst
 
-	mu             sync.Mutex // held over the read of the first bytes of a request; guards state and requestsServed
+	mu             sync.Mutex // held while the first bytes of a request are read; guards state and requestsServed
 	state          connState
 	requestsServed int
 
-	listed     bool // in the server's idle list, whose mutex guards this and the neighbours
+	listed     bool // in the server's idle list; the server's mutex guards listed, prev and next
 	prev, next *conn
 }
 
-// newConn returns the connection of an accepted socket; errNotASocket if it is not one of the system.
+// newConn returns the conn of an accepted connection, or errNotASocket if nc is not an operating system socket.
 func newConn(s *Server, nc net.Conn) (*conn, error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -120,7 +120,7 @@
 	}
 }
 
-// serveExchange calls the handler, or answers 503 where descriptors have run out. A panic of the handler ends only its connection.
+// serveExchange calls the handler, or answers with 503 if descriptors have run out. A panic in the handler closes only its connection.
 func (conn *conn) serveExchange(exchange *Exchange) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -142,7 +142,7 @@
 	conn.server.Handler(exchange)
 }
 
-// awaitRequest waits for the first bytes of a request without holding a buffer. It is false when the connection has ended.
+// awaitRequest waits for the first bytes of a request without holding a buffer. It returns false if the connection has ended.
 func (conn *conn) awaitRequest() bool {
 	conn.releaseBuffer()
 	wait := conn.server.limits().IdleTimeout
@@ -161,7 +161,7 @@
 	}
 	err := conn.raw.Read(conn.readFirstBytes)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		err = conn.raw.Control(func(fd uintptr) { // what was received until now is a request
+		err = conn.raw.Control(func(fd uintptr) { // bytes received before the close belong to a request and are read
 			for !conn.readFirst(fd) && !conn.closeIfIdle() {
 			}
 		})
@@ -172,8 +172,8 @@
 	return err == nil && conn.readErr == nil && conn.buffered > 0
 }
 
-// readFirst reads the first bytes of a request, if there are any, and makes the connection active in the same step, so that no
-// request is read that closeIfIdle then drops.
+// readFirst reads the first bytes of a request, if any were received, and marks the connection active under the same lock, so that
+// closeIfIdle cannot close a connection whose request was read. It returns false if the connection is still idle.
 func (conn *conn) readFirst(fd uintptr) bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -202,8 +202,8 @@
 	}
 }
 
-// closeIfIdle marks an idle connection as closed if no byte of a request was received; the caller closes its socket, outside of all
-// locks, since that waits for its readers.
+// closeIfIdle marks an idle connection as closed if no byte of a request was received, and reports whether it did. The caller then
+// closes the socket without holding a lock, because closing waits for the socket's readers.
 func (conn *conn) closeIfIdle() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -214,14 +214,14 @@
 	return true
 }
 
-// shortenIdle sets the deadline for the next request of an idle connection; of one that has carried requests only if used is true. It
-// reports whether it did.
-func (conn *conn) shortenIdle(by time.Time, used bool) bool {
+// shortenIdle sets the deadline for the next request of an idle connection, and reports whether it did. A connection that has served
+// requests is changed only if includeUsed is true.
+func (conn *conn) shortenIdle(deadline time.Time, includeUsed bool) bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	if conn.state != idle || conn.requestsServed > 0 && !used {
+	if conn.state != idle || conn.requestsServed > 0 && !includeUsed {
 		return false
 	}
-	conn.socket.SetReadDeadline(by)
+	conn.socket.SetReadDeadline(deadline)
 	return true
 }
--- a/internal/tier/ingress/conn_io.go
+++ b/internal/tier/ingress/conn_io.go
@@ -26,7 +26,7 @@
 	return n, err
 }
 
-// fill reads more into the buffer, which grows as needed.
+// fill reads more bytes into the buffer, which grows as needed.
 func (conn *conn) fill() error {
 	if conn.buffer == nil {
 		conn.buffer = buffers.Get().(*[]byte)
@@ -81,7 +81,7 @@
 	}
 }
 
-// write writes all of p. A client that does not receive it in time loses its connection.
+// write writes all of p. It returns an error if the client does not receive each maxWriteSize bytes within the write time-out.
 func (conn *conn) write(p []byte) error {
 	for {
 		step := p[:min(len(p), maxWriteSize)]
@@ -89,7 +89,7 @@
 		if timeout <= 0 {
 			timeout = conn.limits.IdleTimeout
 		}
-		if now := time.Now(); conn.writeDeadline.Sub(now) < timeout*3/4 { // so that the timer is seldom changed
+		if now := time.Now(); conn.writeDeadline.Sub(now) < timeout*3/4 { // avoids setting the timer on every write
 			conn.writeDeadline = now.Add(timeout)
 			conn.socket.SetWriteDeadline(conn.writeDeadline)
 		}
@@ -102,8 +102,8 @@
 	}
 }
 
-// reject answers a request that was not read completely, and discards what the client still sends for a while: closed with bytes
-// unread, the connection would be reset and the response lost (RFC 9112, 9.6).
+// reject answers a request that was not read completely, then reads and discards what the client still sends during the linger
+// time: closing a socket with unread bytes resets the connection, and the client may lose the response (RFC 9112, 9.6).
 func (conn *conn) reject(status int) {
 	b := append([]byte(nil), "HTTP/1.1 "...)
 	b = appendStatus(b, status)
@@ -123,8 +123,9 @@
 	}
 }
 
-// lingeringClose ends a connection after its last response. Pipelined requests behind it stay unread, so that the client knows that
-// they were not processed; it gets a moment to read the response before the reset that this causes.
+// lingeringClose ends a connection after its last response. Pipelined requests after that response stay unread, so that the client
+// can tell that they were not processed. Closing with unread bytes resets the connection, so the client first gets the linger time
+// to read the response.
 func (conn *conn) lingeringClose() {
 	if peek(conn.raw) != dataPending || conn.closeWrite() != nil {
 		return
@@ -133,7 +134,7 @@
 	conn.raw.Read(func(uintptr) bool { return false })
 }
 
-// closeWrite closes the server's side of the connection.
+// closeWrite closes the sending direction of the connection.
 func (conn *conn) closeWrite() error {
 	if h, ok := conn.socket.(interface{ CloseWrite() error }); ok {
 		return h.CloseWrite()
--- a/internal/tier/ingress/errors.go
+++ b/internal/tier/ingress/errors.go
@@ -3,15 +3,15 @@
 import "errors"
 
 var (
-	// ErrStopped is returned by Serve where Shutdown or Close was called before it, and by a second Shutdown.
+	// ErrStopped is returned by Serve after a call of Shutdown or Close, and by Shutdown while an earlier Shutdown waits.
 	ErrStopped = errors.New("ingress: server is stopped")
-	// ErrAlreadyResponded is returned where a response was made before, or the handler has returned.
+	// ErrAlreadyResponded is returned if the exchange already has a response or its handler has returned.
 	ErrAlreadyResponded = errors.New("ingress: already responded")
-	// ErrInvalidHeader is returned where a status or a field can't be written; nothing was.
+	// ErrInvalidHeader is returned for an invalid status or header field. Nothing was written.
 	ErrInvalidHeader = errors.New("ingress: invalid status or header field")
-	// ErrStreamVersion is returned where a stream is begun for a client of HTTP/1.0, which was answered 505.
-	ErrStreamVersion = errors.New("ingress: no streams in HTTP/1.0")
+	// ErrStreamVersion is returned by Begin for an HTTP/1.0 client, which was answered with 505.
+	ErrStreamVersion = errors.New("ingress: HTTP/1.0 client cannot receive a stream")
 
 	errConnectionBroken = errors.New("ingress: connection is broken")
-	errNotASocket       = errors.New("ingress: connection is no socket of the system")
+	errNotASocket       = errors.New("ingress: connection is not an operating system socket")
 )
--- a/internal/tier/ingress/exchange.go
+++ b/internal/tier/ingress/exchange.go
@@ -7,11 +7,11 @@
 	"saffronyard.example/saffronyard/internal/tier/http1"
 )
 
-// Exchange is one request and its response. Its methods are for the handler's goroutine, until the handler returns; the strings and
-// the body stay valid after that.
+// Exchange is one request and its response. Its methods may be called only from the handler's goroutine, until the handler returns;
+// the strings and the body stay valid after that.
 type Exchange struct {
 	Method    string
-	Target    string // path and query as received; of an absolute target what follows the host
+	Target    string // path and query as received; of an absolute target, the part after the host
 	Path      string // of Target, as received
 	Host      string // with its port if the client sent one
 	Header    http1.Header
@@ -41,7 +41,7 @@
 	finished
 )
 
-// CanStream reports whether the client accepts a response in chunks.
+// CanStream reports whether the client accepts a chunked response.
 func (exchange *Exchange) CanStream() bool { return !exchange.http10 }
 
 // Responded reports whether a response was begun.
@@ -56,8 +56,8 @@
 // Complete reports whether the response was written to its end.
 func (exchange *Exchange) Complete() bool { return exchange.phase == finished && !exchange.broken }
 
-// Respond writes a complete response, in one write if it is small. Hop-by-hop and framing fields of the header are left out. After
-// an error the client may not have received it.
+// Respond writes a complete response, in one write if it is small. Hop-by-hop and framing fields of the header are left out. If it
+// returns an error, the client may not have received the response.
 func (exchange *Exchange) Respond(status int, header []http1.Field, body []byte) error {
 	if exchange.conn == nil || exchange.phase != notStarted {
 		return ErrAlreadyResponded
@@ -82,7 +82,7 @@
 	return err
 }
 
-// Begin begins a response in chunks; its head is sent with the first Write or with End.
+// Begin begins a chunked response; its head is sent with the first Write or with End.
 func (exchange *Exchange) Begin(status int, header []http1.Field) error {
 	if exchange.conn == nil || exchange.phase != notStarted {
 		return ErrAlreadyResponded
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// Write sends a part of a stream at once, in one write if it is small. An empty one sends the head if that is pending.
+// Write sends p as a part of a stream immediately, in one write if p is small. An empty p sends only a pending head.
 func (exchange *Exchange) Write(p []byte) error {
 	if exchange.conn == nil || exchange.phase != streaming {
 		return ErrAlreadyResponded
@@ -153,14 +153,14 @@
 	return exchange.write(b)
 }
 
-// Abort has the connection closed when the handler returns, so that an incomplete response never looks complete.
+// Abort makes the server close the connection when the handler returns, so that an incomplete response never looks complete.
 func (exchange *Exchange) Abort() {
 	if exchange.phase != finished {
 		exchange.broken = true
 	}
 }
 
-// takeBuffer returns a buffer that begins with the head where that is pending.
+// takeBuffer returns a buffer that begins with the head if that is pending.
 func (exchange *Exchange) takeBuffer() (buffer *[]byte, b []byte) {
 	if buffer = exchange.pendingHead; buffer != nil {
 		exchange.pendingHead = nil
@@ -170,7 +170,7 @@
 	return buffer, (*buffer)[:0]
 }
 
-// write writes to the connection, and marks the exchange as broken where that fails.
+// write writes to the connection, and marks the exchange as broken if that fails.
 func (exchange *Exchange) write(b []byte) error {
 	if exchange.broken {
 		return errConnectionBroken
@@ -182,14 +182,14 @@
 	return err
 }
 
-// decideKeepAlive decides whether the connection stays open: not while draining, unless a further request was read already.
+// decideKeepAlive clears keepAlive if the server is draining, unless bytes of a further request were already read.
 func (exchange *Exchange) decideKeepAlive() {
 	if exchange.conn.server.draining.Load() && exchange.conn.consumed == exchange.conn.buffered {
 		exchange.keepAlive = false
 	}
 }
 
-// finish ends the exchange after its handler, and reports whether its response is complete.
+// finish ends the exchange after its handler has returned, and reports whether its response is complete.
 func (exchange *Exchange) finish() bool {
 	if exchange.phase == notStarted && !exchange.broken {
 		exchange.Respond(500, nil, nil)
--- a/internal/tier/ingress/idle_list.go
+++ b/internal/tier/ingress/idle_list.go
@@ -1,6 +1,6 @@
 package ingress
 
-// idleList lists the idle connections, the one idle for longest first.
+// idleList is a linked list of the idle connections, in order of idle time, longest first.
 type idleList struct {
 	first, last *conn
 	n           int
--- a/internal/tier/ingress/limits.go
+++ b/internal/tier/ingress/limits.go
@@ -4,15 +4,15 @@
 	"time"
 )
 
-// Limits bound what a client may send, and how long it may take. A field that is not positive takes its default.
+// Limits bounds the size of requests and the time that a client may take. A field that is not positive takes its default.
 type Limits struct {
 	MaxHeader     int           // bytes of a request head; default 64 KB
 	MaxBody       int           // bytes of a body; default 8 MB
-	HeaderTimeout time.Duration // for a head from its first byte, and for each further 4 KB of a body; default 10 s
+	HeaderTimeout time.Duration // for a head, and for each 4 KB of a body; default 10 s
 	IdleTimeout   time.Duration // between requests; default 1 min
 }
 
-// withDefaults returns the limits with the defaults of what is not positive.
+// withDefaults returns the limits with each field that is not positive replaced by its default.
 func (l Limits) withDefaults() Limits {
 	if l.MaxHeader <= 0 {
 		l.MaxHeader = 64 << 10
--- a/internal/tier/ingress/request_body.go
+++ b/internal/tier/ingress/request_body.go
@@ -8,8 +8,8 @@
 	"saffronyard.example/saffronyard/internal/tier/http1"
 )
 
-// readLength appends n bytes to a body, of which more may follow. The buffer grows as they are received, so that an announced length
-// alone takes no memory.
+// readLength reads n bytes and appends them to body; more means that further bytes may follow. The buffer grows as bytes are
+// received, so that announcing a large length does not in itself allocate that much memory.
 func (conn *conn) readLength(body []byte, n int, more bool) ([]byte, error) {
 	for n > 0 {
 		if cap(body) == len(body) {
@@ -78,7 +78,7 @@
 	return conn.skipTrailers(extra)
 }
 
-// skipTrailers reads the trailers and the end of a body. They may have extra bytes in all.
+// skipTrailers reads and discards the trailers and the end of a body, which may have extra bytes in total.
 func (conn *conn) skipTrailers(extra int) (status int, err error) {
 	for {
 		line, status, err := conn.readLine(extra)
@@ -97,7 +97,7 @@
 	}
 }
 
-// parseChunkSize parses the size line of a chunk, extensions being discarded. Sizes have up to 15 hexadecimal digits.
+// parseChunkSize parses the size line of a chunk and discards its extensions. A size has at most 15 hexadecimal digits.
 func parseChunkSize(line string) (int64, bool) {
 	size, ext, has := strings.Cut(line, ";")
 	if len(size) > 15 || has && !http1.AllOf(ext, http1.ValueChar) {
--- a/internal/tier/ingress/request_head.go
+++ b/internal/tier/ingress/request_head.go
@@ -7,8 +7,9 @@
 	"saffronyard.example/saffronyard/internal/tier/http1"
 )
 
-// scanHead searches for the empty line that ends a head, from an offset on; line is where the line at that offset begins. It returns
-// the length of the head or 0, where to continue, and whether a line ended in a bare LF.
+// scanHead searches b for the empty line that ends a head, beginning at offset from; line is where the line at that offset begins.
+// It returns the length of the head, or 0 if the head is incomplete, the two offsets with which to continue, and whether a line
+// ended in a bare LF.
 func scanHead(b []byte, from, line int) (end, next, lineNext int, bad bool) {
 	for i := from; i < len(b); i++ {
 		if b[i] != '\n' {
@@ -31,7 +32,7 @@
 	return h[:i-1], h[i+1:]
 }
 
-// framing is what a head says of the request's body and its connection.
+// framing is what a head specifies about the request's body and its connection.
 type framing struct {
 	length  int64 // Content-Length; -1: there is none
 	chunked bool
@@ -39,10 +40,10 @@
 	expect  bool // Expect: 100-continue
 }
 
-// fieldCounts counts the fields that may be in a head once.
+// fieldCounts counts the fields that may occur at most once in a head.
 type fieldCounts struct{ hosts, ids, deadlines, lengths, codings int }
 
-// parseHead parses a head, which ends with an empty line, into exchange. It returns the status of the rejection; 0: there is none.
+// parseHead parses a head, which ends with an empty line, into exchange. It returns the status of a rejection, or 0 if the head is valid.
 func parseHead(head string, exchange *Exchange) (f framing, status int) {
 	f.length = -1
 	line, head := splitLine(head)
@@ -73,7 +74,7 @@
 	return f, 0
 }
 
-// applyField interprets a field that the server itself acts on. It returns the status of the rejection; 0: there is none.
+// applyField interprets the fields that the server itself acts on. It returns the status of a rejection, or 0 if the field is valid.
 func (f *framing) applyField(field http1.Field, exchange *Exchange, seen *fieldCounts) (status int) {
 	var ok bool
 	switch name := field.Name; len(name) {
@@ -121,7 +122,7 @@
 	return 0
 }
 
-// parseRequestLine parses a request line. It returns the status of the rejection; 0: there is none.
+// parseRequestLine parses a request line. It returns the status of a rejection, or 0 if the line is valid.
 func parseRequestLine(line string, exchange *Exchange) int {
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
@@ -146,7 +147,7 @@
 		authority := target[len(scheme):]
 		target = "/"
 		if i := strings.IndexAny(authority, "/?"); i >= 0 {
-			if authority[i] == '?' { // it would have to be changed to be forwarded
+			if authority[i] == '?' { // the target would have to be rewritten to be forwarded
 				return 400
 			}
 			authority, target = authority[:i], authority[i:]
@@ -165,7 +166,7 @@
 	return 0
 }
 
-// parseLength parses a Content-Length; one that overflows is the largest number.
+// parseLength parses a Content-Length. A value that overflows is returned as the largest int64.
 func parseLength(s string) (int64, bool) {
 	n := int64(0)
 	for i := 0; i < len(s); i++ {
@@ -213,14 +214,14 @@
 	return 0, nil
 }
 
-// readHead reads a head with the empty line that ends it. It has one time-out, which counts from the first wait for more of it: its
-// first bytes may have been received, behind a request, long before they are parsed.
+// readHead reads a head with the empty line that ends it. The complete head has one time-out, which starts when readHead first waits
+// for more bytes: the first bytes may have been received with the previous request, long before they are parsed.
 func (conn *conn) readHead() (head string, status int, err error) {
 	conn.readDeadline, conn.progress = time.Time{}, 0
 	from, line, end, blank := 0, 0, 0, false
 	for {
 		b := (*conn.buffer)[conn.consumed:conn.buffered]
-		if !blank && from == 0 && len(b) >= 2 && b[0] == '\r' && b[1] == '\n' { // one empty line may come before
+		if !blank && from == 0 && len(b) >= 2 && b[0] == '\r' && b[1] == '\n' { // one empty line may precede the head
 			blank = true
 			conn.consumed += 2
 			continue
--- a/internal/tier/ingress/request_head_golden_test.go
+++ b/internal/tier/ingress/request_head_golden_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/golden"
 )
 
-// goldenRequests are heads of requests at the edges of what is accepted; the rejected ones are rows of refusals, too.
+// goldenRequests returns request heads at the edges of what is accepted; rejectedRequests has more rejected ones.
 func goldenRequests() []string {
 	var heads []string
 	for _, line := range []string{"GET / HTTP/1.1", "GET /a?b=c&d HTTP/1.1", "GET /a%20b//../c HTTP/1.1", "OPTIONS * HTTP/1.1", "GET http://a/x?y HTTP/1.1", "GET HTTP://A HTTP/1.1",
@@ -30,7 +30,7 @@
 	return heads
 }
 
-// TestParseHead_Golden compares what is read of many heads with the golden file.
+// TestParseHead_Golden compares the parsed form of many heads with the golden file.
 func TestParseHead_Golden(t *testing.T) {
 	var out strings.Builder
 	for _, head := range goldenRequests() {
--- a/internal/tier/ingress/request_head_test.go
+++ b/internal/tier/ingress/request_head_test.go
@@ -10,8 +10,8 @@
 	"saffronyard.example/saffronyard/internal/tier/http1"
 )
 
-// refusals are heads that are refused, by status.
-var refusals = []struct {
+// rejectedRequests are requests that the server rejects, each with the status of the rejection.
+var rejectedRequests = []struct {
 	name, request string
 	status        int
 }{
@@ -85,7 +85,7 @@
 	{"chunk size with a space", chunkedHead + "1 \r\nx\r\n0\r\n\r\n", 400},
 	{"chunk size too long", chunkedHead + "0000000000000001\r\nx\r\n0\r\n\r\n", 400},
 	{"chunk line ends in LF", chunkedHead + "1\nx\r\n0\r\n\r\n", 400},
-	{"chunk longer than told", chunkedHead + "1\r\nxy\r\n0\r\n\r\n", 400},
+	{"chunk longer than its size", chunkedHead + "1\r\nxy\r\n0\r\n\r\n", 400},
 	{"chunk without an end", chunkedHead + "1\r\nxyz0\r\n\r\n", 400},
 	{"chunk ends in LF", chunkedHead + "1\r\nx\n0\r\n\r\n", 400},
 	{"control character in an extension", chunkedHead + "1;a\x01\r\nx\r\n0\r\n\r\n", 400},
@@ -99,9 +99,9 @@
 	{"extensions too long", chunkedHead + "1;" + strings.Repeat("x", testHeader) + "\r\nx\r\n0\r\n\r\n", 431},
 	{"trailers too long", chunkedHead + "0\r\nX: " + strings.Repeat("x", testHeader) + "\r\n\r\n", 431},
 	{"body too long", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: " + strconv.Itoa(testBody+1) + "\r\n\r\n", 413},
-	{"length beyond numbers", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999999999999999999999\r\n\r\n", 413},
+	{"length overflows", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999999999999999999999\r\n\r\n", 413},
 	{"chunk too long", chunkedHead + strconv.FormatInt(testBody+1, 16) + "\r\n", 413},
-	{"chunk beyond numbers", chunkedHead + "fffffffffffffff\r\n", 413},
+	{"largest chunk size", chunkedHead + "fffffffffffffff\r\n", 413},
 	{"chunks too long together", chunkedHead + "1\r\nx\r\n" + strconv.FormatInt(testBody, 16) + "\r\n", 413},
 }
 
--- a/internal/tier/ingress/server.go
+++ b/internal/tier/ingress/server.go
@@ -17,10 +17,10 @@
 type Server struct {
 	Handler      func(*Exchange) // called from the goroutine of the connection
 	Limits       func() Limits   // called for each request; nil: defaults
-	MaxConns     int             // connections, each of which takes a descriptor; 0: unlimited
+	MaxConns     int             // open connections, each of which uses a descriptor; 0: unlimited
 	WriteTimeout time.Duration   // for each 64 KB that a client receives; 0: the idle time-out
 	Linger       time.Duration   // how long a client may still send or read before its connection is closed; 0: 500 ms
-	RetryAfter   time.Duration   // sent with the 503 for lack of descriptors; 0: 250 ms
+	RetryAfter   time.Duration   // sent with a 503 for lack of descriptors; 0: 250 ms
 	Log          *log.Logger     // may be nil
 
 	draining atomic.Bool
@@ -28,14 +28,14 @@
 
 	mu          sync.Mutex // taken before a connection's; guards the fields below
 	listeners   []net.Listener
-	acceptUntil time.Time // in a shutdown: queued connections are accepted until then
+	acceptUntil time.Time // during a shutdown, queued connections are accepted until then
 	conns       map[*conn]struct{}
 	idle        idleList
 	ended       chan struct{} // closed when all listeners and connections have ended; nil: no shutdown waits
 }
 
-// Listen opens a TCP listener whose connections have no keep-alive probes: the time-outs of the server find more, and setting the
-// probes costs several system calls for each connection.
+// Listen opens a TCP listener whose connections have keep-alive probes disabled: the server's time-outs detect more dead clients,
+// and enabling the probes costs several system calls per connection.
 func Listen(addr string) (net.Listener, error) {
 	c := net.ListenConfig{KeepAlive: -1}
 	return c.Listen(context.Background(), "tcp", addr)
@@ -52,7 +52,7 @@
 	server.listeners = append(server.listeners, l)
 	server.mu.Unlock()
 	defer server.removeListener(l)
-	empty := 0 // how often in a row the queue was found empty in a shutdown: a stalled process may miss the first deadline
+	empty := 0 // consecutive accept time-outs in a shutdown: two are required, as a stalled process may miss the first deadline
 	for {
 		nc, err := l.Accept()
 		if err != nil {
@@ -81,8 +81,8 @@
 	}
 }
 
-// startConn starts the goroutine of a connection. Where descriptors run out, the connection idle for longest is closed; where none is
-// idle, the new one is answered 503 out of a small reserve, and beyond that closed unread.
+// startConn starts the goroutine of a connection. Near MaxConns, it closes the connection that has been idle longest. If none is
+// idle, a small reserve of connections remains to answer the new one with 503; at MaxConns, the new one is closed unread.
 func (server *Server) startConn(nc net.Conn) {
 	c, err := newConn(server, nc)
 	if err != nil {
@@ -90,8 +90,8 @@
 		return
 	}
 	if server.MaxConns > 0 {
-		usual := max(1, server.MaxConns-server.MaxConns/16-1)
-		for server.connCount() >= usual {
+		softLimit := max(1, server.MaxConns-server.MaxConns/16-1)
+		for server.connCount() >= softLimit {
 			if server.closeLongestIdle() {
 				continue
 			}
@@ -114,8 +114,8 @@
 
 // outOfResources reports whether an accept failed for lack of descriptors or memory.
 func outOfResources(err error) bool {
-	for _, lack := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
-		if errors.Is(err, lack) {
+	for _, errno := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
+		if errors.Is(err, errno) {
 			return true
 		}
 	}
@@ -159,7 +159,7 @@
 	server.notifyEnded()
 }
 
-// closeLongestIdle closes the connection idle for longest, and reports whether there was one.
+// closeLongestIdle closes the connection that has been idle longest, and reports whether any was idle.
 func (server *Server) closeLongestIdle() bool {
 	for {
 		server.mu.Lock()
--- a/internal/tier/ingress/server_test.go
+++ b/internal/tier/ingress/server_test.go
@@ -18,12 +18,12 @@
 	"saffronyard.example/saffronyard/internal/tier/http1"
 )
 
-// patience is how long a test waits for what has to come.
-const patience = 20 * time.Second
+// testTimeout is how long a test waits for an expected event.
+const testTimeout = 20 * time.Second
 
-var testLimits = Limits{MaxHeader: testHeader, MaxBody: testBody, HeaderTimeout: patience, IdleTimeout: patience}
+var testLimits = Limits{MaxHeader: testHeader, MaxBody: testBody, HeaderTimeout: testTimeout, IdleTimeout: testTimeout}
 
-// start serves until the test ends.
+// start starts a server on a new listener, which serves until the test ends.
 func start(t testing.TB, s *Server) (addr string) {
 	t.Helper()
 	l, err := Listen("127.0.0.1:0")
@@ -32,7 +32,7 @@
 		s.Limits = func() Limits { return testLimits }
 	}
 	if s.Linger == 0 {
-		s.Linger = patience
+		s.Linger = testTimeout
 	}
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(l) }()
@@ -54,7 +54,7 @@
 	c, err := net.Dial("tcp", addr)
 	assert.NilError(t, err)
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return &client{t, c.(*net.TCPConn), bufio.NewReader(c)}
 }
 
@@ -64,8 +64,8 @@
 	assert.NilError(c.t, err)
 }
 
-// answer reads the next response.
-func (c *client) answer() (*http.Response, string) {
+// readResponse reads the next response and its body.
+func (c *client) readResponse() (*http.Response, string) {
 	c.t.Helper()
 	a, err := http.ReadResponse(c.r, nil)
 	assert.NilError(c.t, err)
@@ -74,15 +74,15 @@
 	return a, string(body)
 }
 
-// over checks that the connection ends without a further byte, and not by a reset.
-func (c *client) over() {
+// expectClosed checks that the connection ends without a further byte, and not by a reset.
+func (c *client) expectClosed() {
 	c.t.Helper()
 	rest, err := io.ReadAll(c.r)
 	assert.NilError(c.t, err)
 	assert.Equal(c.t, string(rest), "")
 }
 
-// echo answers with what came.
+// echo responds with the request's method, target and body.
 func echo(x *Exchange) {
 	x.Respond(200, []http1.Field{{Name: "X-Attempt-Id", Value: x.Header.Get("X-Attempt-Id")}}, []byte(x.Method+" "+x.Target+" "+string(x.Body)))
 }
@@ -92,16 +92,16 @@
 func TestServer_RejectsMalformed(t *testing.T) {
 	var ran atomic.Int64
 	addr := start(t, &Server{Handler: func(x *Exchange) { ran.Add(1); echo(x) }})
-	for _, c := range refusals {
+	for _, c := range rejectedRequests {
 		t.Run(c.name, func(t *testing.T) {
 			conn := dial(t, addr)
 			conn.send(c.request)
 			conn.CloseWrite()
-			a, body := conn.answer()
+			a, body := conn.readResponse()
 			assert.Equal(t, a.StatusCode, c.status)
 			assert.Equal(t, body, "")
 			assert.Assert(t, a.Close)
-			conn.over()
+			conn.expectClosed()
 		})
 	}
 	assert.Equal(t, ran.Load(), int64(0))
@@ -116,25 +116,25 @@
 		"POST /e HTTP/1.1\r\nHost: a\r\nContent-Length: 102400\r\n\r\n" + long +
 		"POST /f HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n19000\r\n" + long + "\r\n0\r\n\r\n" + get)
 	for _, want := range []string{"GET /a ", "POST /b?c abc", "POST /d abc", "POST /e " + long, "POST /f " + long, "GET /a "} {
-		a, body := conn.answer()
+		a, body := conn.readResponse()
 		assert.Equal(t, a.StatusCode, 200)
 		assert.Equal(t, body, want)
 		assert.Equal(t, a.Header.Get("Keep-Alive"), "timeout=18")
 	}
 	conn.send(strings.Replace(get, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
-	a, _ := conn.answer()
+	a, _ := conn.readResponse()
 	assert.Assert(t, a.Close)
 	assert.Equal(t, a.Header.Get("X-Attempt-Id"), "7")
-	conn.over()
+	conn.expectClosed()
 }
 
-// Trailers are no fields: neither the id nor the framing of a request is theirs to say.
+// Trailers are not header fields: they must not change the attempt id, the framing or the connection handling of a request.
 func TestServer_TrailersDiscarded(t *testing.T) {
 	conn := dial(t, start(t, &Server{Handler: echo}))
 	for range 2 {
 		conn.send("POST /d HTTP/1.1\r\nHost: a\r\nX-Attempt-Id: 7\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n" +
 			"X-Attempt-Id: 8\r\nContent-Length: 5\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n")
-		a, body := conn.answer()
+		a, body := conn.readResponse()
 		assert.Equal(t, a.Header.Get("X-Attempt-Id"), "7")
 		assert.Equal(t, body, "POST /d abc")
 		assert.Assert(t, !a.Close)
@@ -149,12 +149,12 @@
 		for _, b := range []byte("\r\nPOST /d HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX: y\r\n\r\n") {
 			conn.send(string(b))
 		}
-		_, body := conn.answer()
+		_, body := conn.readResponse()
 		assert.Equal(t, body, "POST /d abc")
 	}
 }
 
-// A request truncated at any byte is never handed on, and is told so or not answered at all.
+// A request truncated at any byte never reaches the handler, and the connection is closed without a response.
 func TestServer_TruncatedRequest(t *testing.T) {
 	var ran atomic.Int64
 	addr := start(t, &Server{Handler: func(x *Exchange) { ran.Add(1); echo(x) }})
@@ -166,15 +166,15 @@
 			conn := dial(t, addr)
 			conn.send(request[:n])
 			conn.CloseWrite()
-			conn.over()
+			conn.expectClosed()
 			conn.Close()
 		}
 	}
 	assert.Equal(t, ran.Load(), int64(0))
 }
 
-// Whatever one byte of a request is changed to, no more requests are handed on than were sent, and the one behind is
-// either itself or not there.
+// When one byte of a request is changed, the handler is called for at most the two requests that were sent, and the
+// second one is either received unchanged or not at all.
 func TestServer_OneByteChanged(t *testing.T) {
 	const request = "POST /b HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	var targets []string
@@ -208,23 +208,23 @@
 	_, err = conn.r.ReadString('\n')
 	assert.NilError(t, err)
 	conn.send("abc")
-	_, body := conn.answer()
+	_, body := conn.readResponse()
 	assert.Equal(t, body, "POST /b abc")
 	conn.send("POST /b HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 102401\r\n\r\n")
-	a, _ := conn.answer()
+	a, _ := conn.readResponse()
 	assert.Equal(t, a.StatusCode, 413)
-	conn.over()
+	conn.expectClosed()
 }
 
-// The response to a body too long reaches a client that writes all of it before it reads.
+// A client that writes all of an oversized body before it reads still receives the 413 response.
 func TestServer_BodyTooLargeGetsResponse(t *testing.T) {
 	addr := start(t, &Server{Handler: echo})
 	conn := dial(t, addr)
 	conn.send("POST /b HTTP/1.1\r\nHost: a\r\nContent-Length: 800000\r\n\r\n")
 	conn.send(strings.Repeat("x", 800000))
-	a, _ := conn.answer()
+	a, _ := conn.readResponse()
 	assert.Equal(t, a.StatusCode, 413)
-	conn.over()
+	conn.expectClosed()
 }
 
 func TestServer_HTTP10(t *testing.T) {
@@ -239,10 +239,10 @@
 	for path, status := range map[string]int{"/a": 200, "/stream": 505} {
 		conn := dial(t, addr)
 		conn.send("GET " + path + " HTTP/1.0\r\nHost: a\r\nConnection: keep-alive\r\n\r\n")
-		a, _ := conn.answer()
+		a, _ := conn.readResponse()
 		assert.Equal(t, a.StatusCode, status)
 		assert.Assert(t, a.Close)
-		conn.over()
+		conn.expectClosed()
 	}
 }
 
@@ -324,11 +324,11 @@
 	rest, err := io.ReadAll(a.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, len(rest), 0)
-	_, body := conn.answer()
+	_, body := conn.readResponse()
 	assert.Equal(t, body, "")
 }
 
-// What ends early never looks complete: aborted, left without an end, or by a panic.
+// A stream that ends by Abort, by a panic or without End never looks complete to the client.
 func TestExchange_UnfinishedIncomplete(t *testing.T) {
 	addr := start(t, &Server{Handler: func(x *Exchange) {
 		x.Begin(200, nil)
@@ -354,14 +354,14 @@
 	}
 	conn := dial(t, addr)
 	conn.send("GET /none HTTP/1.1\r\nHost: a\r\n\r\n")
-	conn.over()
+	conn.expectClosed()
 }
 
 func TestServer_NoResponseIs500(t *testing.T) {
 	addr := start(t, &Server{Handler: func(*Exchange) {}})
 	conn := dial(t, addr)
 	conn.send(get)
-	a, _ := conn.answer()
+	a, _ := conn.readResponse()
 	assert.Equal(t, a.StatusCode, 500)
 }
 
@@ -372,28 +372,28 @@
 	for _, part := range []string{"G", "GET / HTTP/1.1\r\nHost: a\r\n", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nab", chunkedHead + "3"} {
 		conn := dial(t, addr)
 		conn.send(part)
-		a, _ := conn.answer()
+		a, _ := conn.readResponse()
 		assert.Equal(t, a.StatusCode, 408, part)
-		conn.over()
+		conn.expectClosed()
 	}
 	conn := dial(t, addr) // idle before the first request, and between requests
-	conn.over()
+	conn.expectClosed()
 	conn = dial(t, addr)
 	conn.send(get)
-	a, _ := conn.answer()
-	assert.Equal(t, a.Header.Get("Keep-Alive"), "") // no whole second to tell
-	conn.over()
+	a, _ := conn.readResponse()
+	assert.Equal(t, a.Header.Get("Keep-Alive"), "") // the time-out is below one second and is not announced
+	conn.expectClosed()
 }
 
-// The time-out of a head does not run while the request before it is answered, though a part of it has come with that.
+// The time-out of a head does not run while the previous request is handled, even if a part of the head was received with that request.
 func TestServer_HeaderTimeoutStartsAfterPreviousResponse(t *testing.T) {
 	limits := testLimits
 	limits.HeaderTimeout = 100 * time.Millisecond
-	begun, further := make(chan struct{}), make(chan struct{})
+	begun, release := make(chan struct{}), make(chan struct{})
 	addr := start(t, &Server{Limits: func() Limits { return limits }, Handler: func(x *Exchange) {
 		if x.Path == "/held" {
 			close(begun)
-			<-further
+			<-release
 			until(t, "the time-out", func() bool { return time.Since(x.ArrivedAt) > limits.HeaderTimeout })
 		}
 		echo(x)
@@ -402,10 +402,10 @@
 	conn.send("GET /held HTTP/1.1\r\nHost: a\r\n\r\n" + get[:9])
 	<-begun
 	conn.send(get[9:])
-	close(further)
-	_, body := conn.answer()
+	close(release)
+	_, body := conn.readResponse()
 	assert.Equal(t, body, "GET /held ")
-	a, body := conn.answer()
+	a, body := conn.readResponse()
 	assert.Equal(t, a.StatusCode, 200)
 	assert.Equal(t, body, "GET /a ")
 }
@@ -421,11 +421,11 @@
 	conn := dial(t, addr)
 	const post = "POST /b HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
 	conn.send(post)
-	a, _ := conn.answer()
+	a, _ := conn.readResponse()
 	assert.Equal(t, a.StatusCode, 200)
 	body.Store(2)
 	conn.send(post)
-	a, _ = conn.answer()
+	a, _ = conn.readResponse()
 	assert.Equal(t, a.StatusCode, 413)
 }
 
@@ -435,11 +435,11 @@
 	before := time.Now()
 	conn := dial(t, addr)
 	conn.send(get)
-	conn.answer()
+	conn.readResponse()
 	assert.Assert(t, arrived.After(before) && arrived.Before(time.Now()))
 }
 
-// A client that doesn't read ends its own connection only.
+// A client that doesn't read its response has only its own connection closed.
 func TestServer_SlowReader(t *testing.T) {
 	failed := make(chan error, 1)
 	addr := start(t, &Server{WriteTimeout: 50 * time.Millisecond, Handler: func(x *Exchange) {
@@ -459,7 +459,7 @@
 	slow, other := dial(t, addr), dial(t, addr)
 	slow.send("GET /slow HTTP/1.1\r\nHost: a\r\n\r\n")
 	other.send(get)
-	_, body := other.answer()
+	_, body := other.readResponse()
 	assert.Equal(t, body, "GET /a ")
 	assert.Assert(t, <-failed != nil)
 }
--- a/internal/tier/ingress/shutdown.go
+++ b/internal/tier/ingress/shutdown.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// queueEmptyTime is how long a listener's accept queue has to stay empty in a shutdown.
+// queueEmptyTime is how long a listener's accept queue must stay empty in a shutdown before the listener is closed.
 const queueEmptyTime = 20 * time.Millisecond
 
-// Drain has every response from now on carry Connection: close; connections that wait for a request are closed after Linger.
+// Drain makes every response from now on carry Connection: close; connections that wait for a request are closed after Linger.
 func (server *Server) Drain() {
 	if server.draining.Swap(true) {
 		return
@@ -18,7 +18,7 @@
 }
 
 // Shutdown accepts and serves the connections in the listeners' accept queues, closes the listeners and the connections that wait
-// for a request, and returns nil when the active connections have ended, or the error of ctx when that is over before.
+// for a request, and waits until the active connections have ended. It returns nil then, or the error of ctx if that ends first.
 func (server *Server) Shutdown(ctx context.Context) error {
 	server.draining.Store(true)
 	ended := make(chan struct{})
@@ -50,15 +50,15 @@
 	}
 }
 
-// acceptQueued has a listener accept the connections in its queue, and end.
+// acceptQueued sets the deadline by which a listener must accept the connections in its queue; a listener without deadlines is closed.
 func (server *Server) acceptQueued(l net.Listener) {
 	server.mu.Lock()
-	by := time.Now().Add(queueEmptyTime)
-	if by.After(server.acceptUntil) {
-		by = server.acceptUntil
+	deadline := time.Now().Add(queueEmptyTime)
+	if deadline.After(server.acceptUntil) {
+		deadline = server.acceptUntil
 	}
 	server.mu.Unlock()
-	if d, ok := l.(interface{ SetDeadline(time.Time) error }); !ok || d.SetDeadline(by) != nil {
+	if d, ok := l.(interface{ SetDeadline(time.Time) error }); !ok || d.SetDeadline(deadline) != nil {
 		l.Close()
 	}
 }
@@ -82,13 +82,14 @@
 	}
 }
 
-// closeIdle closes the connections that wait for a request; one that has not carried any yet gets the time fresh for its first.
-func (server *Server) closeIdle(fresh time.Duration) {
+// closeIdle closes the connections that wait for a request. A connection that has not served a request yet first gets the time
+// grace to send one.
+func (server *Server) closeIdle(grace time.Duration) {
 	server.mu.Lock()
 	var closing []*conn
-	by := time.Now().Add(fresh)
+	deadline := time.Now().Add(grace)
 	for c := server.idle.first; c != nil; c = c.next {
-		if fresh > 0 && c.shortenIdle(by, false) {
+		if grace > 0 && c.shortenIdle(deadline, false) {
 			continue
 		}
 		if c.closeIfIdle() {
@@ -101,7 +102,7 @@
 	}
 }
 
-// notifyEnded notifies a shutdown where all listeners and connections have ended. The caller holds mu.
+// notifyEnded notifies a waiting Shutdown if all listeners and connections have ended. The caller holds mu.
 func (server *Server) notifyEnded() {
 	if server.ended != nil && len(server.listeners) == 0 && len(server.conns) == 0 {
 		close(server.ended)
--- a/internal/tier/ingress/shutdown_test.go
+++ b/internal/tier/ingress/shutdown_test.go
@@ -12,10 +12,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// until waits for a state that has to come.
+// until waits until ok returns true, and fails the test if it doesn't within testTimeout.
 func until(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); runtime.Gosched() {
+	for end := time.Now().Add(testTimeout); !ok(); runtime.Gosched() {
 		assert.Assert(t, time.Now().Before(end), what)
 	}
 }
@@ -30,49 +30,49 @@
 		echo(x)
 	}}
 	addr := start(t, s)
-	idle, fresh, held, stream := dial(t, addr), dial(t, addr), dial(t, addr), dial(t, addr)
+	idle, fresh, blocked, pipelined := dial(t, addr), dial(t, addr), dial(t, addr), dial(t, addr)
 	idle.send(get)
-	idle.answer()
-	held.send("GET /held HTTP/1.1\r\nHost: a\r\n\r\n")
+	idle.readResponse()
+	blocked.send("GET /held HTTP/1.1\r\nHost: a\r\n\r\n")
 	<-begun
-	stream.send("GET /held HTTP/1.1\r\nHost: a\r\n\r\n" + get) // with one behind it that was read already
+	pipelined.send("GET /held HTTP/1.1\r\nHost: a\r\n\r\n" + get) // the second request is read together with the first
 	<-begun
 	until(t, "idle connections", func() bool { _, n := s.Conns(); return n == 2 })
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(context.Background()) }()
-	idle.over()
-	fresh.over()
+	idle.expectClosed()
+	fresh.expectClosed()
 	finish <- true
 	finish <- true
-	a, body := held.answer()
+	a, body := blocked.readResponse()
 	assert.Equal(t, body, "GET /held ")
 	assert.Assert(t, a.Close)
-	held.over()
-	_, body = stream.answer()
+	blocked.expectClosed()
+	_, body = pipelined.readResponse()
 	assert.Equal(t, body, "GET /held ")
-	a, body = stream.answer()
+	a, body = pipelined.readResponse()
 	assert.Equal(t, body, "GET /a ")
 	assert.Assert(t, a.Close)
-	stream.over()
+	pipelined.expectClosed()
 	assert.NilError(t, <-done)
 	n, _ := s.Conns()
 	assert.Equal(t, n, 0)
 }
 
-// gate holds a listener up until it is opened.
-type gate struct {
+// gatedListener is a listener whose Accept waits until open is closed.
+type gatedListener struct {
 	*net.TCPListener
 	open chan struct{}
 }
 
-func (g gate) Accept() (net.Conn, error) {
+func (g gatedListener) Accept() (net.Conn, error) {
 	<-g.open
 	return g.TCPListener.Accept()
 }
 
-// What lies in the listener's queue when the shutdown begins is accepted and served, also by a process that was held up.
+// Connections in the accept queue when the shutdown begins are accepted and served, even by a process that stalls before Accept.
 func TestShutdown_ServesAcceptQueue(t *testing.T) {
-	s := &Server{Handler: echo, Linger: patience}
+	s := &Server{Handler: echo, Linger: testTimeout}
 	l, err := Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	var conns []*client
@@ -81,7 +81,7 @@
 		c.send(get)
 		conns = append(conns, c)
 	}
-	g := gate{l.(*net.TCPListener), make(chan struct{})}
+	g := gatedListener{l.(*net.TCPListener), make(chan struct{})}
 	served, done := make(chan error, 1), make(chan error, 1)
 	go func() { served <- s.Serve(g) }()
 	until(t, "listener", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.listeners) == 1 })
@@ -89,7 +89,7 @@
 	until(t, "shutdown", func() bool { return s.stopping.Load() })
 	close(g.open)
 	for _, c := range conns {
-		a, body := c.answer()
+		a, body := c.readResponse()
 		assert.Equal(t, body, "GET /a ")
 		assert.Assert(t, a.Close)
 		c.Close()
@@ -98,8 +98,8 @@
 	assert.NilError(t, <-served)
 }
 
-// only is the one connection of a server.
-func only(t testing.TB, s *Server) *conn {
+// onlyConn returns the only connection of a server.
+func onlyConn(t testing.TB, s *Server) *conn {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// A request pipelined behind one whose response says that the connection closes stays unread, and costs the client nothing of
-// that response.
+// A request pipelined after one whose response has Connection: close stays unread. Closing with unread bytes resets the
+// connection; the client must still receive the complete response.
 func TestConn_UnreadRequestAfterLastResponse(t *testing.T) {
 	begun, finish := make(chan bool), make(chan bool)
 	s := &Server{Handler: func(x *Exchange) { begun <- true; <-finish; echo(x) }}
@@ -119,28 +119,28 @@
 	conn.send(get)
 	<-begun
 	conn.send(get)
-	until(t, "request", func() bool { return peek(only(t, s).raw) == dataPending })
+	until(t, "request", func() bool { return peek(onlyConn(t, s).raw) == dataPending })
 	s.Drain()
 	finish <- true
-	a, body := conn.answer()
+	a, body := conn.readResponse()
 	assert.Equal(t, body, "GET /a ")
 	assert.Assert(t, a.Close)
-	conn.over()
+	conn.expectClosed()
 }
 
-// A connection that waits is not ended once a byte of its next request has come, even before anybody has read it.
+// An idle connection is not closed once a byte of its next request was received, even if that byte is still unread.
 func TestConn_NotClosedOnceRequestArrived(t *testing.T) {
 	l, err := Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
-	there := dial(t, l.Addr().String())
+	peer := dial(t, l.Addr().String())
 	nc, err := l.Accept()
 	assert.NilError(t, err)
 	defer nc.Close()
 	c, err := newConn(&Server{}, nc)
 	assert.NilError(t, err)
 	c.state = idle
-	there.send("G")
+	peer.send("G")
 	until(t, "byte", func() bool { return peek(c.raw) == dataPending })
 	assert.Assert(t, !c.closeIfIdle())
 	assert.NilError(t, c.raw.Read(c.readFirstBytes))
@@ -148,10 +148,10 @@
 	assert.Assert(t, !c.closeIfIdle())
 	c.state = idle
 	assert.Assert(t, c.closeIfIdle())
-	there.send("G")
+	peer.send("G")
 	until(t, "byte", func() bool { return peek(c.raw) == dataPending })
 	c.releaseBuffer()
-	assert.NilError(t, c.raw.Read(c.readFirstBytes)) // ended first: what comes after stays unread
+	assert.NilError(t, c.raw.Read(c.readFirstBytes)) // closed first: bytes received afterwards stay unread
 	assert.Assert(t, c.state == closed && c.buffered == 0 && peek(c.raw) == dataPending)
 }
 
@@ -166,8 +166,8 @@
 	cancel()
 	assert.Equal(t, s.Shutdown(ctx), context.Canceled)
 	finish <- true
-	conn.answer()
-	conn.over()
+	conn.readResponse()
+	conn.expectClosed()
 }
 
 func TestDrain(t *testing.T) {
@@ -175,19 +175,19 @@
 	addr := start(t, s)
 	idle := dial(t, addr)
 	idle.send(get)
-	a, _ := idle.answer()
+	a, _ := idle.readResponse()
 	assert.Assert(t, !a.Close)
 	s.Drain()
-	idle.over()
+	idle.expectClosed()
 	late := dial(t, addr)
 	late.send(get)
-	a, _ = late.answer()
+	a, _ = late.readResponse()
 	assert.Assert(t, a.Close)
-	late.over()
+	late.expectClosed()
 }
 
-// A connection is closed between requests only while no byte of one has come: whoever is closed by a shutdown has had no
-// request read, and each request that was read is answered.
+// A shutdown closes a connection between requests only while no byte of a request was received: the server has read no
+// request of a client that gets no response, and each request that was read is answered.
 func TestShutdown_ConcurrentRequests(t *testing.T) {
 	for range 30 {
 		read := make(chan bool, 16)
@@ -197,7 +197,7 @@
 		for i := range conns {
 			conns[i] = dial(t, addr)
 			conns[i].send(get)
-			conns[i].answer()
+			conns[i].readResponse()
 			<-read
 		}
 		done := make(chan error, 1)
@@ -237,13 +237,13 @@
 	conn.send("GET /check HTTP/1.1\r\nHost: a\r\n\r\n")
 	check <- true
 	assert.Assert(t, !<-result)
-	conn.send(get) // bytes of a next request are no end
+	conn.send(get) // unread bytes of a next request hide the close
 	conn.CloseWrite()
 	check <- true
 	assert.Assert(t, !<-result)
 	check <- false
-	conn.answer()
-	conn.answer()
+	conn.readResponse()
+	conn.readResponse()
 	for _, reset := range []bool{false, true} {
 		conn = dial(t, addr)
 		conn.send("GET /watch HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -260,7 +260,7 @@
 	}
 }
 
-// A watch takes nothing from the requests that follow, and is not told of an end after its exchange.
+// A watch consumes no bytes of the requests that follow, and does not report a close after its exchange.
 func TestExchange_OnClientGoneKeepsConnectionUsable(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Hour} {
 		begun, finish := make(chan bool), make(chan bool)
@@ -275,44 +275,44 @@
 			conn.send(get)
 			<-begun
 			finish <- true
-			_, body := conn.answer()
+			_, body := conn.readResponse()
 			assert.Equal(t, body, "GET /a ")
 			conn.send(get)
 			<-begun
-			conn.send("POST /b HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\n") // behind, while it is watched
+			conn.send("POST /b HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\n") // pipelined while the watch runs
 			finish <- true
-			conn.answer()
+			conn.readResponse()
 			conn.send("abc")
 			<-begun
 			finish <- true
-			_, body = conn.answer()
+			_, body = conn.readResponse()
 			assert.Equal(t, body, "POST /b abc")
 		}
 		conn.send("GET /a HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
 		<-begun
 		finish <- true
-		conn.answer()
-		conn.over() // the server closes first: the client does not while the last handler returns, as the watch would report that
+		conn.readResponse()
+		conn.expectClosed() // the server closes first: the watch would report a close by the client before the last handler returns
 	}
 }
 
 func TestServer_FullClosesLongestIdle(t *testing.T) {
-	s := &Server{Handler: echo, MaxConns: 4} // three in usual times
+	s := &Server{Handler: echo, MaxConns: 4} // the reserve for 503 responses leaves three
 	addr := start(t, s)
 	conns := make([]*client, 4)
 	for i := range conns {
 		conns[i] = dial(t, addr)
 		conns[i].send(get)
-		_, body := conns[i].answer()
+		_, body := conns[i].readResponse()
 		assert.Equal(t, body, "GET /a ")
 		if i < 3 {
 			until(t, "idle", func() bool { _, n := s.Conns(); return n == i+1 })
 		}
 	}
-	conns[0].over()
+	conns[0].expectClosed()
 	for _, c := range conns[1:] {
 		c.send(get)
-		c.answer()
+		c.readResponse()
 	}
 }
 
@@ -329,26 +329,26 @@
 	more := dial(t, addr)
 	until(t, "connection", func() bool { n, _ := s.Conns(); return n == 3 })
 	more.send(get)
-	a, _ := more.answer()
+	a, _ := more.readResponse()
 	assert.Equal(t, a.StatusCode, 503)
 	assert.Equal(t, a.Header.Get("Retry-After"), "0.3")
 	assert.Assert(t, a.Close)
-	more.over()
+	more.expectClosed()
 	for _, c := range conns {
 		finish <- true
-		_, body := c.answer()
+		_, body := c.readResponse()
 		assert.Equal(t, body, "GET /a ")
 	}
 }
 
-// Connections that wait hold no buffers.
+// Connections that wait for a request hold no buffers.
 func TestConn_IdleMemory(t *testing.T) {
 	s := &Server{Handler: echo}
 	addr := start(t, s)
 	for range 20 {
 		c := dial(t, addr)
 		c.send(get)
-		c.answer()
+		c.readResponse()
 	}
 	until(t, "idle", func() bool { _, n := s.Conns(); return n == 20 })
 	s.mu.Lock()
--- a/internal/tier/ingress/truncation_test.go
+++ b/internal/tier/ingress/truncation_test.go
@@ -13,26 +13,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// record writes down what a handler is given.
-type record struct {
-	mu   sync.Mutex
-	runs []string
+// requestRecorder records the requests that a handler receives.
+type requestRecorder struct {
+	mu       sync.Mutex
+	requests []string
 }
 
-func (r *record) handle(x *Exchange) {
+func (r *requestRecorder) handle(x *Exchange) {
 	r.mu.Lock()
-	r.runs = append(r.runs, x.Method+" "+x.Target+" "+string(x.Body))
+	r.requests = append(r.requests, x.Method+" "+x.Target+" "+string(x.Body))
 	r.mu.Unlock()
 	echo(x)
 }
 
-// take gives what came since the last time.
-func (r *record) take() []string {
+// take returns the requests recorded since the last call.
+func (r *requestRecorder) take() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	runs := r.runs
-	r.runs = nil
-	return runs
+	requests := r.requests
+	r.requests = nil
+	return requests
 }
 
 const smuggled = "GET /smuggled HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -41,10 +41,10 @@
 
 var lengthSmuggled = fmt.Sprintf("POST /l HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(smuggled), smuggled)
 
-// TestServer_ClientClosesAtEachByte: a client that resets or closes within its request has not made one, at whichever byte; a whole one
-// is run once, with its own body.
+// TestServer_ClientClosesAtEachByte: a request that the client cuts off by a reset or close, at any byte, never reaches the handler; a
+// complete one reaches it once, with its own body.
 func TestServer_ClientClosesAtEachByte(t *testing.T) {
-	var seen record
+	var seen requestRecorder
 	s := &Server{Handler: seen.handle}
 	addr := start(t, s)
 	for _, text := range []string{lengthSmuggled, chunkedSmuggled} {
@@ -60,27 +60,27 @@
 					c.SetLinger(0)
 				}
 				c.Close()
-				behind := dial(t, addr) // connections are accepted in their order
+				behind := dial(t, addr) // connections are accepted in order, so the first was accepted, too
 				behind.send(get)
-				behind.answer()
+				behind.readResponse()
 				behind.Close()
-				until(t, "the connections' end", func() bool { n, _ := s.Conns(); return n == 0 })
-				runs := slices.DeleteFunc(seen.take(), func(run string) bool { return run == "GET /a " })
+				until(t, "all connections closed", func() bool { n, _ := s.Conns(); return n == 0 })
+				requests := slices.DeleteFunc(seen.take(), func(request string) bool { return request == "GET /a " })
 				switch {
 				case sent < len(text):
-					assert.Equal(t, len(runs), 0, "byte %d of %q", sent, text)
-				case !reset || len(runs) > 0: // a reset may overtake what was sent
-					assert.DeepEqual(t, runs, []string{want})
+					assert.Equal(t, len(requests), 0, "byte %d of %q", sent, text)
+				case !reset || len(requests) > 0: // a reset may discard bytes sent before it
+					assert.DeepEqual(t, requests, []string{want})
 				}
 			}
 		}
 	}
 }
 
-// TestServer_PipelineSplitAtEachByte: requests sent behind one another are run once each and answered in their order, however the
-// bytes are parted; what is inside a body, or behind a request that closes, is none.
+// TestServer_PipelineSplitAtEachByte: pipelined requests are handled once each and answered in order, wherever the bytes are split;
+// bytes inside a body, or after a request with Connection: close, are never taken for a request.
 func TestServer_PipelineSplitAtEachByte(t *testing.T) {
-	var seen record
+	var seen requestRecorder
 	addr := start(t, &Server{Handler: seen.handle})
 	const last = "GET /last HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
 	text := get + lengthSmuggled + chunkedSmuggled + last + smuggled
@@ -88,9 +88,9 @@
 	for at := range len(text) {
 		c := dial(t, addr)
 		c.send(text[:at])
-		io.WriteString(c, text[at:]) // the server may have left already
+		io.WriteString(c, text[at:]) // the server may have closed the connection already
 		for i, body := range want {
-			a, got := c.answer()
+			a, got := c.readResponse()
 			assert.Equal(t, got, body, "split at %d", at)
 			assert.Equal(t, a.Close, i == len(want)-1)
 		}
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestExchange_AbortedResponseIncomplete: a handler that aborts, panics or just returns within a stream, after each number of
-// pieces, leaves its client with a visible break: no last chunk, and no next response in its place.
+// TestExchange_AbortedResponseIncomplete: if a handler aborts, panics or returns within a stream, after any number of pieces, the
+// response is visibly incomplete: neither a last chunk nor the next response follows.
 func TestExchange_AbortedResponseIncomplete(t *testing.T) {
 	pieces := []string{"a", "0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", strings.Repeat("x", 70<<10)}
 	ends := map[string]func(*Exchange){
@@ -122,25 +122,25 @@
 			raw, _ := io.ReadAll(c)
 			text := string(raw)
 			if text == "" {
-				continue // nothing was said at all
+				continue // not even the head was sent
 			}
 			a, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
 			assert.NilError(t, err)
 			body, err := io.ReadAll(a.Body)
-			assert.Assert(t, err != nil, "%s after %d pieces looks whole: %q", name, n, body)
+			assert.Assert(t, err != nil, "%s after %d pieces looks complete: %q", name, n, body)
 			assert.Assert(t, strings.HasPrefix(strings.Join(pieces, ""), string(body)))
 		}
 	}
 }
 
-// TestServer_ClientClosesDuringResponseAtEachByte: a client that resets while its response is on its way costs the next one nothing.
+// TestServer_ClientClosesDuringResponseAtEachByte: a client that resets while it reads its response does not affect the next client.
 func TestServer_ClientClosesDuringResponseAtEachByte(t *testing.T) {
 	addr := start(t, &Server{Handler: echo})
 	c := dial(t, addr)
 	c.send(strings.Replace(get, "Host: a\r\n", "Host: a\r\nConnection: close\r\n", 1))
-	whole, err := io.ReadAll(c)
+	response, err := io.ReadAll(c)
 	assert.NilError(t, err)
-	for read := range len(whole) {
+	for read := range len(response) {
 		c := dial(t, addr)
 		c.send(strings.Replace(get, "Host: a\r\n", "Host: a\r\nConnection: close\r\n", 1))
 		io.CopyN(io.Discard, c, int64(read))
@@ -148,7 +148,7 @@
 		c.Close()
 		next := dial(t, addr)
 		next.send(get)
-		_, body := next.answer()
+		_, body := next.readResponse()
 		assert.Equal(t, body, "GET /a ")
 		next.Close()
 	}
