--- a/internal/tier/ingress/doc.go
+++ b/internal/tier/ingress/doc.go
@@ -19,6 +19,6 @@
 //	state   entered by                                     left on
 //	idle    conn.awaitRequest                              the first byte of a request (active); the idle time-out, Shutdown or a
 //	                                                       lack of descriptors while no byte was received (closed)
-//	active  conn.readFirst, together with the first read    the end of the exchange (idle, or the goroutine ends)
+//	active  conn.readFirst, together with the first read   the end of the exchange (idle, or the goroutine ends)
 //	closed  conn.closeIfIdle, or a socket error            -
 package ingress
--- a/internal/tier/ingress/request_head.go
+++ b/internal/tier/ingress/request_head.go
@@ -36,7 +36,7 @@
 type framing struct {
 	length  int64 // Content-Length; -1: there is none
 	chunked bool
-	close   bool // no further request follows
+	close   bool // the connection closes after this request
 	expect  bool // Expect: 100-continue
 }
 
