--- a/internal/tier/upstream/body.go
+++ b/internal/tier/upstream/body.go
@@ -28,11 +28,11 @@
 	reader      *bufio.Reader
 	framing     framing
 	remaining   int64 // bytes left of the body or of the chunk
-	chunkEndDue bool  // the CRLF after a chunk is to be read
-	complete    bool  // the end was read, as the framing has it
+	chunkEndDue bool  // the CRLF after a chunk is still to be read
+	complete    bool  // the end of the body was read, as defined by the framing
 }
 
-// newBody returns the decoder of the body of a response to a request by a method.
+// newBody returns the decoder of the body of a response to a request with the method.
 func newBody(reader *bufio.Reader, response *Response, method string) body {
 	decoder := body{reader: reader}
 	switch {
@@ -48,8 +48,8 @@
 	return decoder
 }
 
-// read appends what was received to dst, and waits only if nothing was. It returns io.EOF with or after the last bytes of a complete
-// body; for one that ends with its connection io.EOF says that this was closed without an error.
+// read appends the received bytes of the body to dst, and waits only if there are none. It returns io.EOF with or after the last bytes
+// of a complete body. If the body ends with its connection, io.EOF means only that the connection was closed without an error.
 func (body *body) read(dst []byte) ([]byte, error) {
 	for begin := len(dst); ; {
 		if body.complete {
@@ -106,7 +106,7 @@
 		}
 		ahead = ahead[i+1:]
 	}
-	// The end of the body may be in several lines: it is decoded only where they all are buffered.
+	// The end of the body may have several lines: it is decoded only if all of them are buffered.
 	if len(ahead) > 0 && ahead[0] == '0' {
 		return bytes.Contains(ahead, []byte("\r\n\r\n"))
 	}
@@ -140,7 +140,7 @@
 	return body.discardTrailers()
 }
 
-// chunkSize parses the size line of a chunk, extensions being discarded. It is false for a size above maxChunkBytes, too.
+// chunkSize parses the size line of a chunk and discards its extensions. It returns false if the size is malformed or above maxChunkBytes.
 func chunkSize(line []byte) (int64, bool) {
 	if i := bytes.IndexByte(line, ';'); i >= 0 {
 		line = line[:i]
@@ -164,7 +164,7 @@
 	return n, n <= maxChunkBytes
 }
 
-// discardTrailers reads the trailers and the end of the body.
+// discardTrailers reads and discards the trailers and the end of the body.
 func (body *body) discardTrailers() error {
 	for size := 0; size <= maxTrailerBytes; {
 		line, err := body.readLine()
@@ -197,7 +197,7 @@
 	return line[:len(line)-2], nil
 }
 
-// unexpected returns err, or io.ErrUnexpectedEOF for an end where more was due.
+// unexpected returns io.ErrUnexpectedEOF for io.EOF, and any other error unchanged.
 func unexpected(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/tier/upstream/call.go
+++ b/internal/tier/upstream/call.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	earlyResponseWait = 200 * time.Millisecond // a response sent before the request was completely written arrives within it
+	earlyResponseWait = 200 * time.Millisecond // wait for a response sent before the request was completely written
 	maxScratchBytes   = 8 << 10                // largest buffer of heads that a connection keeps
 )
 
@@ -16,7 +16,7 @@
 type Result struct {
 	Outcome       Outcome
 	Written       bool      // a byte of the request may have been sent
-	NewConnection bool      // a connection was opened for it
+	NewConnection bool      // a connection was opened for the call
 	Response      *Response // nil: no valid head with the request's id was received
 	Body          []byte    // the complete body, where Outcome is Complete
 	Stream        *Stream   // the body, where Outcome is Streaming; it must be closed
@@ -36,7 +36,7 @@
 	cancelStarted    bool // the cancellation may still set the deadline
 }
 
-// Observation returns what Classify goes by. replyStarted says that a part of the response was sent to the client.
+// Observation returns the input of Classify. replyStarted means that a part of the response was sent to the client.
 func (result *Result) Observation(replyStarted bool) Observation {
 	state := &result.connection
 	o := Observation{Outcome: result.Outcome, Written: result.Written, ReplyStarted: replyStarted, Turn: result.turn, Identified: result.identified, Unframed: result.unframed,
@@ -50,13 +50,13 @@
 	return o
 }
 
-// Disposition returns what follows from the outcome.
+// Disposition classifies the result. replyStarted means that a part of the response was sent to the client.
 func (result *Result) Disposition(replyStarted bool) Disposition {
 	return Classify(result.Observation(replyStarted))
 }
 
-// Call sends a request once. timeout counts from now, connecting included, and holds for a Stream until that is given another
-// deadline. The end of ctx ends the call early, and its connection with it.
+// Call sends a request once. timeout counts from now, includes connecting, and applies to a Stream until Stream.SetDeadline is
+// called. If ctx ends, the call ends early and its connection is closed.
 func (pool *Pool) Call(ctx context.Context, target Target, request *Request, timeout time.Duration) *Result {
 	now := time.Now()
 	deadline := now.Add(timeout)
@@ -78,7 +78,7 @@
 	return exchange.send(target, request, deadline)
 }
 
-// end ends a call.
+// end sets the outcome and the error of a call.
 func (result *Result) end(e Outcome, err error) *Result {
 	result.Outcome, result.Err = e, err
 	return result
--- a/internal/tier/upstream/conn.go
+++ b/internal/tier/upstream/conn.go
@@ -13,10 +13,10 @@
 	reader *bufio.Reader // nil while idle
 	key    hostKey
 	host   *host
-	// requests counts those of which a byte was written, responses those read completely, whatever request they are to. A
-	// connection on which they differ is never used again.
+	// requests counts the requests of which a byte was written; responses counts the responses read completely, to whichever request.
+	// A connection on which the two differ is never used again.
 	requests, responses int
-	recentAttempts      [recentAttemptCount]uint64 // ring of the hashes of the last requests' attempt ids
+	recentAttempts      [recentAttemptCount]uint64 // ring buffer of the hashes of the last requests' attempt ids
 
 	idleSince time.Time // when it last carried a response, or was established
 	expiresAt time.Time // when its idle time is over
@@ -25,7 +25,7 @@
 
 var attemptSeed = maphash.MakeSeed()
 
-// attemptHash returns a hash of an attempt id that is never 0, which stands for no request.
+// attemptHash returns a hash of an attempt id. The hash is never 0, which marks an unused entry of recentAttempts.
 func attemptHash(attempt string) uint64 { return maphash.String(attemptSeed, attempt) | 1 }
 
 // recordRequest records that a byte of a request was written.
--- a/internal/tier/upstream/errors.go
+++ b/internal/tier/upstream/errors.go
@@ -2,13 +2,13 @@
 
 import "errors"
 
-// What Result.Err is where the error is not that of the network. Callers go by Result.Outcome.
+// Values of Result.Err that are not network errors. Callers decide by Result.Outcome.
 var (
-	errInvalidRequest  = errors.New("upstream: request can't be written as it is")
-	errDeadlinePassed  = errors.New("upstream: no time is left for the call")
-	errNotPermitted    = errors.New("upstream: send is no longer permitted")
-	errConnectionLimit = errors.New("upstream: limit of connections is reached")
+	errInvalidRequest  = errors.New("upstream: request line or a header field is invalid")
+	errDeadlinePassed  = errors.New("upstream: deadline of the call has passed")
+	errNotPermitted    = errors.New("upstream: permit to send the request was denied")
+	errConnectionLimit = errors.New("upstream: connection limit is reached")
 	errConnectionEnded = errors.New("upstream: endpoint closed the connection")
-	errMalformed       = errors.New("upstream: no valid response to the request")
+	errMalformed       = errors.New("upstream: response is malformed or belongs to another request")
 	errBodyTooLarge    = errors.New("upstream: response body is too large")
 )
--- a/internal/tier/upstream/event_splitter.go
+++ b/internal/tier/upstream/event_splitter.go
@@ -9,8 +9,8 @@
 	maxEventID    = 1 << 53 // larger ids are not compared as numbers
 )
 
-// Event is one event of an event stream, or some bytes of a body of another type, which has Raw alone. Its slices are valid until
-// the next call of Stream.Next.
+// Event is one event of an event stream, or some bytes of a body of another type, for which only Raw is set. Its slices are valid
+// until the next call of Stream.Next.
 type Event struct {
 	Raw      []byte // as received, with the blank line, to be forwarded
 	ID       string // empty: it has none
@@ -23,13 +23,13 @@
 type eventSplitter struct {
 	buf    []byte
 	begin  int // index of the first byte that was not returned yet
-	seen   int // bytes from there on that were searched for the end of an event
+	seen   int // bytes from begin on that were searched for the end of an event
 	lastID string
 	joined []byte
 }
 
-// next returns the next complete event. ok is false where none is buffered, valid is false where ids do not increase or an event
-// is too large.
+// next returns the next complete event. ok is false if none is buffered; valid is false if ids do not increase or an event is too
+// large.
 func (splitter *eventSplitter) next() (event Event, ok, valid bool) {
 	for {
 		rest := splitter.buf[splitter.begin+splitter.seen:]
@@ -55,16 +55,16 @@
 	}
 }
 
-// compact discards what was returned, whose slices are no longer valid.
+// compact discards the events that were returned; their slices are no longer valid.
 func (splitter *eventSplitter) compact() {
 	splitter.buf = splitter.buf[:copy(splitter.buf, splitter.buf[splitter.begin:])]
 	splitter.begin = 0
 }
 
-// unfinished reports whether bytes are left that are no complete event.
+// unfinished reports whether bytes are left that are not a complete event.
 func (splitter *eventSplitter) unfinished() bool { return splitter.begin < len(splitter.buf) }
 
-// parse reads the lines of one event.
+// parse parses the lines of one event.
 func (splitter *eventSplitter) parse(raw []byte) Event {
 	event := Event{Raw: raw}
 	for rest := raw; len(rest) > 0; {
@@ -95,7 +95,7 @@
 	return event
 }
 
-// IDIncreases reports whether an id follows another: by number where both are numbers, else any other id does.
+// IDIncreases reports whether id may follow last: it must be greater if both are numbers, and otherwise only differ from last.
 func IDIncreases(last, id string) bool {
 	lastNumber, lastOK := parseDigits(last, maxEventID)
 	number, ok := parseDigits(id, maxEventID)
--- a/internal/tier/upstream/exchange.go
+++ b/internal/tier/upstream/exchange.go
@@ -9,12 +9,12 @@
 type exchange struct {
 	pool       *Pool
 	conn       *conn       // nil once it has been returned to the pool or closed
-	stopCancel func() bool // keeps the cancellation from touching conn; false: it may have begun to. Nil: the call can't be cancelled
+	stopCancel func() bool // stops the cancellation from setting conn's deadline; false: it may have begun. Nil: the call can't be cancelled
 	ctx        context.Context
 	result     *Result
 }
 
-// send writes the request, as one write where that is possible, and reads the response.
+// send writes the request, in one write if possible, and reads the response.
 func (exchange *exchange) send(target Target, request *Request, deadline time.Time) *Result {
 	c, result, ctx := exchange.conn, exchange.result, exchange.ctx
 	size := 0
@@ -61,7 +61,7 @@
 	return result
 }
 
-// finish returns the connection to the pool or closes it, as Classify says. The result's outcome is set before.
+// finish returns the connection to the pool or closes it, as Classify decides. The result's outcome must be set before.
 func (exchange *exchange) finish() {
 	c, result := exchange.conn, exchange.result
 	if c == nil {
@@ -103,7 +103,7 @@
 		result.Stream.events.lastID = request.LastEventID
 		return result
 	}
-	if result.unframed && (!response.explicitClose || result.connection.partlyWritten) { // its complete end would look like any other end
+	if result.unframed && (!response.explicitClose || result.connection.partlyWritten) { // a truncated body would look the same
 		return exchange.end(Malformed, errMalformed)
 	}
 	body, err := b.readAll(exchange.pool.config.MaxBufferedBody)
@@ -115,8 +115,8 @@
 	return exchange.end(Complete, nil)
 }
 
-// readResponseHead reads the head of the response to the request. It skips interim responses, and late ones to former requests,
-// after which the connection is not used again.
+// readResponseHead reads the head of the response to the request. It skips interim responses and late responses to earlier requests.
+// After a late response, the connection is not used again.
 func (exchange *exchange) readResponseHead(request *Request) (*Response, error) {
 	c := exchange.conn
 	for interim, stale := 0, 0; ; {
@@ -147,8 +147,8 @@
 	}
 }
 
-// earlyResponse looks for a response that was sent while the request was being written: an endpoint that rejects a request need not
-// read it. A success is not believed there, as the endpoint has not received the complete request.
+// earlyResponse reads a response that was sent while the request was being written: an endpoint that rejects a request need not read
+// all of it. A success is treated as Broken, because the endpoint has not received the complete request.
 func (exchange *exchange) earlyResponse(request *Request) *Result {
 	if err := exchange.conn.SetReadDeadline(time.Now().Add(earlyResponseWait)); err != nil {
 		return exchange.end(Broken, err)
--- a/internal/tier/upstream/idle_connections.go
+++ b/internal/tier/upstream/idle_connections.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// putUsed returns a connection to the pool that has carried a complete response and nothing more. alive is the idle time that the
-// endpoint announced; 0: none.
-func (pool *Pool) putUsed(c *conn, alive time.Duration) {
+// putUsed returns a connection to the pool after a complete response, with nothing more received. keepAlive is the idle time that
+// the endpoint announced; 0: none.
+func (pool *Pool) putUsed(c *conn, keepAlive time.Duration) {
 	c.idleSince = time.Now()
-	c.expiresAt = c.idleSince.Add(cmp.Or(alive, pool.config.IdleTimeout) * 4 / 5)
+	c.expiresAt = c.idleSince.Add(cmp.Or(keepAlive, pool.config.IdleTimeout) * 4 / 5)
 	pool.makeIdle(c)
 }
 
-// putUnused returns a connection on which nothing was written: its idle time goes on.
+// putUnused returns a connection to the pool on which the call has written nothing. Its idle time continues to run.
 func (pool *Pool) putUnused(c *conn) {
-	if c.expiresAt.IsZero() { // it is new
+	if c.expiresAt.IsZero() { // the connection is new
 		pool.putUsed(c, 0)
 		return
 	}
@@ -43,7 +43,7 @@
 	pool.scheduleSweep(left)
 }
 
-// attachReader gives a reader to a connection that is taken into use.
+// attachReader attaches a pooled reader to a connection before its use.
 func (pool *Pool) attachReader(c *conn) {
 	c.reader = pool.readers.Get().(*bufio.Reader)
 	c.reader.Reset(c.TCPConn)
@@ -68,19 +68,19 @@
 	c.Close()
 }
 
-// closeStale closes a connection, taken from the idle ones, that the endpoint has closed first, and learns its idle time from that.
+// closeStale closes a connection that the endpoint closed while it was idle, and lowers the endpoint's learned idle time accordingly.
 func (pool *Pool) closeStale(c *conn) {
 	pool.mu.Lock()
 	pool.counts.Stale++
-	span := max(minLearnedIdleTime, time.Since(c.idleSince)*4/5)
-	if c.host.learnedIdleTime == 0 || span < c.host.learnedIdleTime {
-		c.host.learnedIdleTime = span
+	idleTime := max(minLearnedIdleTime, time.Since(c.idleSince)*4/5)
+	if c.host.learnedIdleTime == 0 || idleTime < c.host.learnedIdleTime {
+		c.host.learnedIdleTime = idleTime
 	}
 	pool.mu.Unlock()
 	pool.closeConn(c)
 }
 
-// longestIdle returns the idle connection that was used longest ago, or nil. The caller holds mu.
+// longestIdle returns the least recently used idle connection, or nil. The caller holds mu.
 func (pool *Pool) longestIdle() *conn {
 	var found *conn
 	for _, h := range pool.hosts {
@@ -114,7 +114,7 @@
 	return closing
 }
 
-// scheduleSweep has Sweep run after a time, unless it is scheduled already. The caller holds mu.
+// scheduleSweep schedules Sweep after a time, unless it is already scheduled. The caller holds mu.
 func (pool *Pool) scheduleSweep(after time.Duration) {
 	if pool.sweepScheduled || pool.closed {
 		return
@@ -128,7 +128,7 @@
 	pool.sweepTimer.Reset(after)
 }
 
-// Sweep closes the connections whose idle time is over, and forgets endpoints without connections. The pool runs it by itself.
+// Sweep closes the connections whose idle time is over, and forgets endpoints without connections. The pool's timer calls it.
 func (pool *Pool) Sweep() {
 	pool.mu.Lock()
 	var closing []*conn
--- a/internal/tier/upstream/outcome.go
+++ b/internal/tier/upstream/outcome.go
@@ -11,8 +11,8 @@
 	Complete                     // the complete response was received
 	Streaming                    // the head of a response was received, its body is read by Stream.Next
 	Broken                       // the connection was closed before the end of the response
-	Malformed                    // what was received is no valid response to the request
-	TimedOut                     // the time-out of the call
+	Malformed                    // the bytes received are not a valid response to the request
+	TimedOut                     // the time-out of the call expired
 	Canceled                     // the context was cancelled
 )
 
@@ -21,7 +21,7 @@
 	return [...]string{"not_sent", "no_room", "connect_failed", "whole", "streaming", "broken", "malformed", "timed_out", "abandoned"}[e]
 }
 
-// Execution is whether the endpoint has begun to execute the request, or may yet.
+// Execution is whether the endpoint has begun to execute the request, or may still begin to.
 type Execution uint8
 
 // The states of execution.
@@ -37,12 +37,12 @@
 // ClientReply is what the client gets if there is no further attempt.
 type ClientReply uint8
 
-// The replies.
+// The replies to a client.
 const (
 	ForwardResponse    ClientReply = iota // the endpoint's own response, or the rest of it
 	ServiceUnavailable                    // 503 with Retry-After: not executed
 	BadGateway                            // 502: it may have been executed
-	GatewayTimeout                        // 504: it may have been executed, and the time is over
+	GatewayTimeout                        // 504: it may have been executed, and the time-out has expired
 	AbortConnection                       // the connection is closed, so that the response is visibly incomplete
 	NoReply                               // the client has closed its connection
 )
@@ -57,8 +57,8 @@
 
 // The kinds of reuse.
 const (
-	CloseConnection Reuse = iota // nothing is ever written on it again
-	KeepConnection               // it may carry another request
+	CloseConnection Reuse = iota // nothing is ever written on the connection again
+	KeepConnection               // the connection may carry another request
 )
 
 // String returns a name for tests and logs.
--- a/internal/tier/upstream/pool.go
+++ b/internal/tier/upstream/pool.go
@@ -15,10 +15,10 @@
 
 const (
 	readerSize         = 4 << 10                // bytes read at once, and most bytes of a line of a head
-	minSweepInterval   = 250 * time.Millisecond // idle connections are searched for expired ones no more often
+	minSweepInterval   = 250 * time.Millisecond // shortest time between two searches for expired idle connections
 	minLearnedIdleTime = 50 * time.Millisecond  // lower bound of host.learnedIdleTime
-	// An attempt is kept off a connection that one of the last so many requests was an earlier send of: a late second response to
-	// that one would be taken for the response to this one.
+	// An attempt is not sent on a connection if one of the connection's last recentAttemptCount requests was an earlier send of the
+	// same attempt: a late second response to the earlier send would be taken for the response to the new one.
 	recentAttemptCount   = 4
 	hostRetention        = time.Minute // how long an endpoint without connections is remembered
 	tcpUserTimeoutOption = 18          // TCP_USER_TIMEOUT, which package syscall lacks
@@ -30,14 +30,14 @@
 	IdleTimeout     time.Duration // after which endpoints close an idle connection unless they announce another by Keep-Alive; default 4 s
 	TCPUserTimeout  time.Duration // after which unacknowledged bytes break a connection (TCP_USER_TIMEOUT); default 5 s
 	MaxConnections  int           // to all endpoints, idle ones included; 0: unlimited
-	MaxBufferedBody int           // bytes of a response that are buffered; a larger one is a Stream, or too large; default 1 MB
+	MaxBufferedBody int           // bytes of a response that are buffered; a larger one becomes a Stream or is rejected; default 1 MB
 }
 
 // Target is the endpoint of a call.
 type Target struct {
 	Address        string // host:port
-	Instance       string // its instance_id
-	MaxConnections int    // of this pool to it; 0: unlimited
+	Instance       string // instance_id of the endpoint
+	MaxConnections int    // connections of the pool to the endpoint; 0: unlimited
 }
 
 // hostKey identifies an endpoint: another instance at the same address is another endpoint.
@@ -57,7 +57,7 @@
 	closed         bool
 }
 
-// host is the state of the pool for one endpoint, guarded by its mutex.
+// host is the pool's state for one endpoint, guarded by the pool's mutex.
 type host struct {
 	idle            []*conn       // in order of their last use, the latest at the end
 	openCount       int           // idle, in use or being dialed
@@ -65,7 +65,7 @@
 	lastUsedAt      time.Time     // when a connection was last requested
 }
 
-// Counts counts the connections of a pool: Open and Idle now, the others since it was made.
+// Counts counts the connections of a pool: Open and Idle are current, the others count since NewPool.
 type Counts struct {
 	Open, Idle int
 	Opened     uint64 // connections that were established
@@ -74,7 +74,7 @@
 	Stale      uint64 // idle connections that the endpoint had closed, or sent bytes on
 }
 
-// NewPool returns a pool without connections. Close ends it.
+// NewPool returns a pool without connections. The caller must Close it.
 func NewPool(config Config) *Pool {
 	config.ConnectTimeout = cmp.Or(config.ConnectTimeout, 400*time.Millisecond)
 	config.IdleTimeout = cmp.Or(config.IdleTimeout, 4*time.Second)
@@ -83,7 +83,7 @@
 	p := &Pool{config: config, hosts: map[hostKey]*host{}}
 	p.readers.New = func() any { return bufio.NewReaderSize(nil, readerSize) }
 	p.dialer = net.Dialer{KeepAlive: -1, FallbackDelay: -1, Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { // where the option isn't known, deadlines alone must do
+		return raw.Control(func(fd uintptr) { // if the system lacks the option, only deadlines detect a dead peer
 			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeoutOption, int(config.TCPUserTimeout.Milliseconds()))
 		})
 	}}
@@ -107,8 +107,9 @@
 	return 0, 0
 }
 
-// acquire returns the idle connection used last, or a new one. An attempt never goes where a recent send of it went: a second
-// response to that one would be taken for the response to this one. Any outcome but Complete says why there is no connection.
+// acquire returns the most recently used idle connection, or a new one. It never returns a connection that recently carried an
+// earlier send of the same attempt, because a second response to that send would be taken for the response to this one. Any outcome
+// but Complete says why there is no connection.
 func (pool *Pool) acquire(ctx context.Context, target Target, attempt string, deadline time.Time) (c *conn, isNew bool, end Outcome, err error) {
 	k := hostKey{target.Address, target.Instance}
 	for {
@@ -130,7 +131,7 @@
 	}
 }
 
-// takeIdle takes an idle connection from the pool, or counts one that the caller is to dial (nil, Complete).
+// takeIdle takes an idle connection from the pool. If it returns (nil, Complete), it has counted a connection that the caller must dial.
 func (pool *Pool) takeIdle(k hostKey, limit int, attempt string) (*conn, Outcome) {
 	var closing []*conn
 	defer func() { closeAll(closing) }()
@@ -152,8 +153,8 @@
 			return c, Complete
 		}
 	}
-	var room bool
-	if closing, room = pool.evictIdle(h, limit, closing); !room {
+	var hasCapacity bool
+	if closing, hasCapacity = pool.evictIdle(h, limit, closing); !hasCapacity {
 		return nil, NoConnection
 	}
 	h.openCount++
@@ -161,8 +162,8 @@
 	return nil, Complete
 }
 
-// evictIdle removes idle connections in favour of one that is to be dialed, where the limit of the endpoint or of the pool is
-// reached, and adds them to closing. ok is false where there is none to remove. The caller holds mu, and closes them later.
+// evictIdle removes idle connections and adds them to closing if the limit of the endpoint or of the pool leaves no capacity for a
+// connection to be dialed. ok is false if there is none to remove. The caller holds mu, and closes the connections later.
 func (pool *Pool) evictIdle(h *host, limit int, closing []*conn) (_ []*conn, ok bool) {
 	if limit > 0 && h.openCount >= limit {
 		if len(h.idle) == 0 {
@@ -206,7 +207,8 @@
 	pool.counts.Opened++
 	pool.mu.Unlock()
 	c := &conn{TCPConn: nc.(*net.TCPConn), key: k, host: h}
-	// An endpoint without capacity closes it at once: that is better known before a byte is written than after.
+	// An endpoint without capacity closes a new connection at once. If the close is detected before a byte is written, the request
+	// was certainly not executed.
 	if !calls.IdleConnUsable(c.TCPConn) {
 		pool.closeConn(c)
 		return nil, ConnectFailed, errConnectionEnded
--- a/internal/tier/upstream/request.go
+++ b/internal/tier/upstream/request.go
@@ -20,17 +20,17 @@
 	Deadline      time.Time // the time until then is sent as X-Deadline-Ms; zero: none
 	Priority      int       // 0 to 9; below 0: the client's own field is forwarded
 	ForceStream   bool      // a success is a Stream, whatever its type
-	LastEventID   string    // the id above which the ids of events must increase; empty: any
+	LastEventID   string    // event ids must follow this one (IDIncreases); empty: any
 	Turn          bool      // the request is a turn of a program
-	AllowUnsigned bool      // a success needs no X-Response-Signature: health checks and reports
+	AllowUnsigned bool      // a success needs no X-Response-Signature, as for health checks and reports
 
 	// Permit is called just before the first byte is written; false: the call ends as NotSent. Nil: always permitted.
 	Permit func() bool
 }
 
-const maxCopiedBody = 32 << 10 // bytes of a body that are copied behind the head, so that one plain write does
+const maxCopiedBody = 32 << 10 // bytes of a body that are copied after the head, so that one write sends both
 
-// rewritten reports whether the field is written here rather than as the client sent it, or concerns one connection only.
+// rewritten reports whether a client's field is not forwarded: the gateway handles it or writes its own, or it is hop-by-hop.
 func (request *Request) rewritten(name string) bool {
 	switch len(name) {
 	case 4:
@@ -49,7 +49,7 @@
 	return http1.IsHopByHop(name)
 }
 
-// valid reports whether no part of the request could be read as the end of a line (request smuggling).
+// valid reports whether no part of the request contains characters that an endpoint could read as the end of a line (request smuggling).
 func (request *Request) valid(target Target) bool {
 	if !http1.IsToken(request.Method) || request.Target == "" || !http1.IsFieldValue(request.Host) || !http1.IsFieldValue(request.AttemptID) || !http1.IsFieldValue(target.Instance) {
 		return false
@@ -67,7 +67,7 @@
 	return true
 }
 
-// appendHead appends the head. size is that of the body in bytes.
+// appendHead appends the head. size is the length of the body in bytes.
 func (request *Request) appendHead(b []byte, target Target, size int, now time.Time) []byte {
 	b = append(append(append(append(b, request.Method...), ' '), request.Target...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, request.Host...), "\r\n"...)
@@ -97,7 +97,7 @@
 	return append(b, "\r\n"...)
 }
 
-// write writes a request and returns how many of its bytes the system took, and the buffer of the head, which may have grown.
+// write writes a request. It returns how many bytes the kernel accepted, and the buffer of the head, which may have grown.
 func write(c net.Conn, head []byte, body [][]byte, size int) (int64, []byte, error) {
 	if size <= maxCopiedBody {
 		for _, part := range body {
--- a/internal/tier/upstream/response.go
+++ b/internal/tier/upstream/response.go
@@ -15,23 +15,23 @@
 	maxHeadBytes        = 16 << 10 // bytes of a head
 	maxHeadFields       = 100      // lines of a head
 	maxInterimResponses = 4        // 1xx ahead of a response
-	maxStaleResponses   = 3        // responses to former requests that are skipped
+	maxStaleResponses   = 3        // responses to earlier requests that are skipped
 	maxContentLength    = 1 << 40  // largest Content-Length
 )
 
 // Load is what an endpoint reports in X-Instance-Load.
 type Load struct {
-	Running int // requests that run
+	Running int // requests being executed
 	Waiting int // requests in its queue
-	Slots   int // requests that may run at once
+	Slots   int // requests that may be executed at once
 }
 
 // Response is the head of an endpoint's response.
 type Response struct {
 	Status        int
 	Reason        string
-	Header        http1.Header // without those that concern one connection and the body's framing
-	Length        int64        // of the body, as announced; -1: none was
+	Header        http1.Header // without hop-by-hop and framing fields
+	Length        int64        // Content-Length; -1: there was none
 	AttemptID     string
 	Signature     string // X-Response-Signature
 	NotExecuted   bool   // X-Not-Executed
@@ -42,17 +42,17 @@
 	Versions      string // of the model weights, as reported
 
 	closesConnection bool // no further response follows on the connection
-	explicitClose    bool // by Connection: close
+	explicitClose    bool // closesConnection was set by Connection: close
 	chunked          bool
 	encoded          bool
 	keepAlive        time.Duration
 }
 
-// readHead reads one complete head into scratch, which it returns for reuse. errMalformed: what was read is no head; any other
-// error is the connection's.
+// readHead reads one complete head into scratch, which it returns for reuse. The error is errMalformed if the bytes read are not a
+// valid head; any other error is the connection's.
 func readHead(reader *bufio.Reader, scratch []byte) (*Response, []byte, error) {
 	head := scratch[:0]
-	// The rest of what can't become a status line is not awaited: the connection may stay open and send nothing more.
+	// Bytes that can't begin a status line are rejected without waiting for more: the connection may stay open and send nothing else.
 	if _, err := reader.Peek(1); err != nil {
 		return nil, head, err
 	}
@@ -65,7 +65,7 @@
 			return nil, head, errMalformed
 		}
 		if len(head) == 0 && !mayBeStatusLine(line) {
-			return nil, head, errMalformed // whatever follows on the connection
+			return nil, head, errMalformed // also if the connection has failed
 		}
 		if err != nil {
 			return nil, head, err
@@ -129,32 +129,32 @@
 	return response, !(response.chunked && response.Length >= 0)
 }
 
-// applyConnection applies the options of Connection: close, and the names of fields that are hop-by-hop, which it removes.
-func (answer *Response) applyConnection(connection string) {
+// applyConnection applies the options of Connection fields: close, and names of hop-by-hop fields, which it removes from Header.
+func (response *Response) applyConnection(connection string) {
 	for connection != "" {
 		var option string
 		option, connection, _ = strings.Cut(connection, ",")
 		option = strings.Trim(option, " \t")
 		if strings.EqualFold(option, "close") {
-			answer.closesConnection, answer.explicitClose = true, true
+			response.closesConnection, response.explicitClose = true, true
 		}
-		for i := len(answer.Header) - 1; i >= 0 && option != ""; i-- {
-			if strings.EqualFold(answer.Header[i].Name, option) {
-				answer.Header = append(answer.Header[:i], answer.Header[i+1:]...)
+		for i := len(response.Header) - 1; i >= 0 && option != ""; i-- {
+			if strings.EqualFold(response.Header[i].Name, option) {
+				response.Header = append(response.Header[:i], response.Header[i+1:]...)
 			}
 		}
 	}
 }
 
-// parseField interprets one field. forward: it is forwarded to the client. valid: its value is, and it is no second one of a field
-// that the outcome rests on.
-func (answer *Response) parseField(name, value string, seen *uint16, connection *string) (forward, valid bool) {
+// parseField interprets one field. forward means that the field is forwarded to the client. valid is false if the value is invalid,
+// or if a field that the outcome depends on occurs a second time.
+func (response *Response) parseField(name, value string, seen *uint16, connection *string) (forward, valid bool) {
 	once := func(bit int) bool {
 		was := *seen & (1 << bit)
 		*seen |= 1 << bit
 		return was == 0
 	}
-	var buffer [32]byte // no name below is longer
+	var buffer [32]byte // no name in the switch below is longer
 	if len(name) > len(buffer) {
 		return true, true
 	}
@@ -170,44 +170,44 @@
 		*connection += value + ","
 		return false, true
 	case "keep-alive":
-		answer.keepAlive = parseKeepAlive(value)
+		response.keepAlive = parseKeepAlive(value)
 		return false, true
 	case "proxy-connection", "te", "trailer", "upgrade":
 		return false, true
 	case "content-length":
 		n, ok := parseDigits(value, maxContentLength)
-		answer.Length = n
+		response.Length = n
 		return false, ok && once(0)
 	case "transfer-encoding":
-		answer.chunked = true
+		response.chunked = true
 		return false, strings.EqualFold(value, "chunked") && once(1)
 	case "content-encoding":
-		answer.encoded = true
+		response.encoded = true
 	case "x-attempt-id":
-		answer.AttemptID = value
+		response.AttemptID = value
 		return true, once(2)
 	case "x-response-signature":
-		answer.Signature = value
+		response.Signature = value
 		return true, once(3)
 	case "x-not-executed":
-		answer.NotExecuted = true
+		response.NotExecuted = true
 	case "content-type":
 		kind, _, _ := strings.Cut(value, ";")
-		answer.IsEventStream = strings.EqualFold(strings.TrimSpace(kind), "text/event-stream")
+		response.IsEventStream = strings.EqualFold(strings.TrimSpace(kind), "text/event-stream")
 		return true, once(4)
 	case "retry-after":
 		if s, err := strconv.ParseFloat(value, 64); err == nil && s > 0 && s <= 3600 {
-			answer.RetryAfter = time.Duration(s * float64(time.Second))
+			response.RetryAfter = time.Duration(s * float64(time.Second))
 		}
 	case "x-instance-load":
-		answer.Load, answer.HasLoad = parseLoad(value)
+		response.Load, response.HasLoad = parseLoad(value)
 	case "versions":
-		answer.Versions = value
+		response.Versions = value
 	}
 	return true, true
 }
 
-// parseLoad parses "running,waiting,slots". It is false where one of them is no number.
+// parseLoad parses "running,waiting,slots". ok is false unless there are three numbers.
 func parseLoad(text string) (l Load, ok bool) {
 	for i, to := range []*int{&l.Running, &l.Waiting, &l.Slots} {
 		var part string
@@ -222,7 +222,7 @@
 	return l, true
 }
 
-// parseKeepAlive parses the time-out of "timeout=5, max=100" or "5", in seconds. It is 0 where there is none.
+// parseKeepAlive parses the time-out of "timeout=5, max=100" or "5", in seconds. It returns 0 if there is none.
 func parseKeepAlive(text string) time.Duration {
 	for text != "" {
 		var part string
@@ -238,7 +238,7 @@
 	return 0
 }
 
-// parseDigits parses a number of digits only. It is false for one above limit.
+// parseDigits parses a number of digits only. It returns false for any other text and for a number above limit.
 func parseDigits(digits string, limit int64) (int64, bool) {
 	n := int64(0)
 	for i := range len(digits) {
--- a/internal/tier/upstream/stream.go
+++ b/internal/tier/upstream/stream.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Stream is the body of a response as it is received. It is for one goroutine.
+// Stream is the body of a response as it is received. It may be used by one goroutine only.
 type Stream struct {
 	exchange    *exchange
 	body        body
@@ -19,8 +19,8 @@
 	outcome     Outcome
 }
 
-// Next waits for the next event. The error io.EOF says that the body is complete; after any other it is not, and Outcome tells
-// why.
+// Next waits for the next event. The error io.EOF means that the body is complete; after any other error it is not, and Outcome
+// reports why.
 func (stream *Stream) Next() (Event, error) {
 	for stream.outcome == Streaming {
 		if stream.splitEvents {
@@ -67,12 +67,12 @@
 	stream.raw, stream.err = stream.body.read(stream.raw[:0])
 }
 
-// BodyReceived reports whether the complete body was received: Next gives no event but those that are buffered.
+// BodyReceived reports whether the complete body was received: Next then returns only events that are already buffered.
 func (stream *Stream) BodyReceived() bool {
 	return stream.outcome == Complete || stream.outcome == Streaming && errors.Is(stream.err, io.EOF) && stream.body.framing != byClose
 }
 
-// Ready reports whether Next gives an event, or the end, without waiting. The slices of the last event stay valid.
+// Ready reports whether Next returns an event or the end without waiting. The slices of the last event stay valid.
 func (stream *Stream) Ready() bool {
 	switch {
 	case stream.outcome != Streaming || stream.err != nil:
@@ -95,7 +95,7 @@
 		return
 	}
 	stream.exchange.conn.SetReadDeadline(t)
-	if stream.exchange.ctx.Err() != nil { // its cancellation may have set the deadline just before
+	if stream.exchange.ctx.Err() != nil { // the cancellation may have set its deadline just before this call replaced it
 		stream.exchange.conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
@@ -103,7 +103,7 @@
 // Outcome returns how the stream ended; Streaming while it hasn't.
 func (stream *Stream) Outcome() Outcome { return stream.outcome }
 
-// Close ends a stream that isn't at its end as Canceled, and closes its connection.
+// Close ends a stream as Canceled and closes its connection. It has no effect on a stream that has already ended.
 func (stream *Stream) Close() {
 	if stream.outcome == Streaming {
 		stream.close(Canceled, context.Canceled)
