--- a/internal/tier/upstream/call_test.go
+++ b/internal/tier/upstream/call_test.go
@@ -34,7 +34,7 @@
 		Header: http1.Header{{Name: "X-Model", Value: "m"}, {Name: "x-model", Value: "n"}, {Name: "X-Deadline-Ms", Value: "99999"}, {Name: "x-target-instance", Value: "other"}, {Name: "X-Attempt-Id", Value: "a1"},
 			{Name: "Content-Length", Value: "8"}, {Name: "Host", Value: "H.example"}, {Name: "Priority", Value: "9"}, {Name: "Transfer-Encoding", Value: "chunked"}, {Name: "Expect-Version", Value: "4"}},
 		Body: [][]byte{[]byte("the "), nil, []byte("body")}, Deadline: time.Now().Add(10 * time.Second)}
-	r := p.Call(context.Background(), target, q, long)
+	r := p.Call(context.Background(), target, q, longWait)
 	assert.Equal(t, r.Outcome, Complete, "%v", r.Err)
 	lines := strings.Split(<-got, "\r\n")
 	ms, err := strconv.Atoi(strings.TrimPrefix(lines[6], "X-Deadline-Ms: "))
@@ -46,31 +46,31 @@
 }
 
 func TestCall_LargeBodies(t *testing.T) {
-	sent := strings.Repeat("0123456789abcdef", 1<<16)
-	back := strings.Repeat("fedcba9876543210", 1<<17) // beyond what is held whole
+	requestBody := strings.Repeat("0123456789abcdef", 1<<16)
+	responseBody := strings.Repeat("fedcba9876543210", 1<<17) // more than MaxBufferedBody
 	target := startEndpoint(t, func(_ int, l *serverConn) {
 		for q, body := l.readRequest(); q != nil; q, body = l.readRequest() {
-			assert.Check(t, body == sent)
-			l.writeText(validResponse(q.Header.Get("X-Attempt-Id"), back))
+			assert.Check(t, body == requestBody)
+			l.writeText(validResponse(q.Header.Get("X-Attempt-Id"), responseBody))
 		}
 	})
 	p := newTestPool(t)
 	q := post("a", "")
-	q.Body = [][]byte{[]byte(sent[:40000]), []byte(sent[40000:])}
-	r := p.Call(context.Background(), target, q, long)
+	q.Body = [][]byte{[]byte(requestBody[:40000]), []byte(requestBody[40000:])}
+	r := p.Call(context.Background(), target, q, longWait)
 	assert.Equal(t, r.Outcome, Streaming)
 	got, err := collectEvents(r.Stream)
 	assert.Equal(t, err, io.EOF)
-	assert.Assert(t, strings.Join(got, "") == back)
+	assert.Assert(t, strings.Join(got, "") == responseBody)
 	assert.Equal(t, r.Disposition(true), Disposition{Execution: Executed, Reply: ForwardResponse, Reuse: KeepConnection})
 	_, idle := p.Open(target)
 	assert.Equal(t, idle, 1)
 }
 
 func TestRequest_SmugglingRejected(t *testing.T) {
-	target := startEndpoint(t, func(_ int, l *serverConn) { t.Error("a connection") })
+	target := startEndpoint(t, func(_ int, l *serverConn) { t.Error("a connection was opened for an invalid request") })
 	p := newTestPool(t)
-	for _, spoil := range []func(*Request){
+	for _, corrupt := range []func(*Request){
 		func(q *Request) { q.Target = "/a b" },
 		func(q *Request) { q.Target = "/a\r\nX: y" },
 		func(q *Request) { q.Target = "" },
@@ -82,8 +82,8 @@
 		func(q *Request) { q.Deadline = time.Now().Add(-time.Second) },
 	} {
 		q := post("a", "")
-		spoil(q)
-		r := p.Call(context.Background(), target, q, long)
+		corrupt(q)
+		r := p.Call(context.Background(), target, q, longWait)
 		assert.Assert(t, !r.Written && r.Response == nil && r.Err != nil && !r.NewConnection)
 		assert.Equal(t, r.Disposition(false).Execution, NotExecuted)
 	}
@@ -103,13 +103,13 @@
 		{"interim", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-Attempt-Id: z\r\n\r\n" + head + "Content-Length: 2\r\n\r\nok", false, Complete, 1},
 		{"interim without end", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9), false, Malformed, 0},
 		{"switch", "HTTP/1.1 101 Switching Protocols\r\n\r\n", false, Malformed, 0},
-		{"told to close", head + "Connection: Foo, Close\r\nContent-Length: 2\r\n\r\nok", false, Complete, 0},
+		{"close announced", head + "Connection: Foo, Close\r\nContent-Length: 2\r\n\r\nok", false, Complete, 0},
 		{"old protocol", strings.Replace(head, "1.1", "1.0", 1) + "Content-Length: 2\r\n\r\nok", false, Complete, 0},
 		{"more behind it", head + "Content-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n", false, Complete, 0},
-		{"ended by close as told", head + "Connection: close\r\n\r\nok", true, Complete, 0},
-		{"ended by close untold", head + "\r\nok", true, Malformed, 0},
-		{"without stamp", "HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\nContent-Length: 2\r\n\r\nok", false, Malformed, 0},
-		{"both ways", head + "X-Not-Executed: 1\r\nContent-Length: 2\r\n\r\nok", false, Malformed, 0},
+		{"unframed, close announced", head + "Connection: close\r\n\r\nok", true, Complete, 0},
+		{"unframed, close not announced", head + "\r\nok", true, Malformed, 0},
+		{"without signature", "HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\nContent-Length: 2\r\n\r\nok", false, Malformed, 0},
+		{"success with X-Not-Executed", head + "X-Not-Executed: 1\r\nContent-Length: 2\r\n\r\nok", false, Malformed, 0},
 		{"encoded", head + "Content-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok", false, Malformed, 0},
 		{"short", head + "Content-Length: 3\r\n\r\nok", true, Broken, 0},
 		{"cut before the last chunk", head + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", true, Broken, 0},
@@ -128,10 +128,10 @@
 		{"long line", head + "A: " + strings.Repeat("a", 5000) + "\r\n\r\n", false, Malformed, 0},
 		{"long head", head + strings.Repeat("A: "+strings.Repeat("a", 2000)+"\r\n", 9), false, Malformed, 0},
 		{"many fields", head + strings.Repeat("A: a\r\n", 101) + "\r\n", false, Malformed, 0},
-		{"another's", strings.Replace(head, "Id: a", "Id: b", 1) + "Content-Length: 2\r\n\r\nNO" + head + "Content-Length: 2\r\n\r\nok", false, Complete, 0},
-		{"another's by chunks", strings.Replace(head, "Id: a", "Id: b", 1) + "Transfer-Encoding: chunked\r\n\r\n2\r\nNO\r\n0\r\n\r\n" + head + "Content-Length: 2\r\n\r\nok", false, Complete, 0},
-		{"only another's", strings.Replace(head, "Id: a", "Id: b", 1) + "Content-Length: 2\r\n\r\nNO", true, Broken, 0},
-		{"many others'", strings.Repeat(strings.Replace(head, "Id: a", "Id: b", 1)+"Content-Length: 2\r\n\r\nNO", 5), false, Malformed, 0},
+		{"response to another attempt first", strings.Replace(head, "Id: a", "Id: b", 1) + "Content-Length: 2\r\n\r\nNO" + head + "Content-Length: 2\r\n\r\nok", false, Complete, 0},
+		{"response to another attempt first, by chunks", strings.Replace(head, "Id: a", "Id: b", 1) + "Transfer-Encoding: chunked\r\n\r\n2\r\nNO\r\n0\r\n\r\n" + head + "Content-Length: 2\r\n\r\nok", false, Complete, 0},
+		{"only a response to another attempt", strings.Replace(head, "Id: a", "Id: b", 1) + "Content-Length: 2\r\n\r\nNO", true, Broken, 0},
+		{"many responses to other attempts", strings.Repeat(strings.Replace(head, "Id: a", "Id: b", 1)+"Content-Length: 2\r\n\r\nNO", 5), false, Malformed, 0},
 		{"too long by chunks", head + "Transfer-Encoding: chunked\r\n\r\n200000\r\n" + strings.Repeat("x", 1<<21) + "\r\n0\r\n\r\n", false, Malformed, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -155,7 +155,8 @@
 	}
 }
 
-// TestCall_ResponseTruncatedAtEachByte ends or resets the connection at each byte of a response: none of them may look complete.
+// TestCall_ResponseTruncatedAtEachByte closes or resets the connection at each byte of a response: no truncated response may look
+// complete.
 func TestCall_ResponseTruncatedAtEachByte(t *testing.T) {
 	texts := []string{validResponse("a", "ok"), "HTTP/1.1 503 Full\r\nX-Attempt-Id: a\r\nX-Not-Executed: 1\r\nContent-Length: 4\r\n\r\nfull"}
 	for _, text := range texts {
@@ -223,7 +224,7 @@
 	}
 }
 
-// TestStream_TruncatedAtEachByte: events are complete from the start on, and the end is never taken for complete.
+// TestStream_TruncatedAtEachByte: the events received are the first ones and complete, and a truncated stream never looks complete.
 func TestStream_TruncatedAtEachByte(t *testing.T) {
 	all := []string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n", "id: 3\ndata: c\n\n"}
 	text := streamHead + chunk(all[0]+all[1][:5]) + chunk(all[1][5:]) + chunk(all[2]) + "0\r\n\r\n"
@@ -237,7 +238,7 @@
 	p := newTestPool(t)
 	for n := range len(text) - len(streamHead) {
 		r := call(t, p, target, "a")
-		if n%2 == 1 && r.Outcome == Broken { // the reset took the head with it
+		if n%2 == 1 && r.Outcome == Broken { // the reset discarded the head
 			continue
 		}
 		assert.Equal(t, r.Outcome, Streaming)
@@ -264,26 +265,26 @@
 	go func() { step <- streamHead }()
 	q := post("a", "")
 	q.LastEventID = "4"
-	r := p.Call(context.Background(), target, q, long)
+	r := p.Call(context.Background(), target, q, longWait)
 	s := r.Stream
 	assert.Assert(t, !s.Ready() && !s.BodyReceived())
 	go func() { step <- chunk("id: 5\ndata: x\n\nid: 6\n\nid: 7\n") }()
-	piece, err := s.Next()
+	event, err := s.Next()
 	assert.NilError(t, err)
-	assert.Equal(t, piece.ID+string(piece.Data), "5x")
+	assert.Equal(t, event.ID+string(event.Data), "5x")
 	assert.Assert(t, s.Ready() && !s.BodyReceived())
-	piece, err = s.Next()
+	event, err = s.Next()
 	assert.NilError(t, err)
-	assert.Equal(t, piece.ID, "6")
+	assert.Equal(t, event.ID, "6")
 	assert.Assert(t, !s.Ready())
 	go func() { step <- chunk("\n") + "0\r\n\r\n"; close(step) }()
-	piece, err = s.Next()
+	event, err = s.Next()
 	assert.NilError(t, err)
-	assert.Equal(t, piece.ID, "7")
+	assert.Equal(t, event.ID, "7")
 	_, err = s.Next()
 	assert.Equal(t, err, io.EOF)
 	assert.Assert(t, s.BodyReceived())
-	s.Close() // of no effect any more
+	s.Close() // without effect after the end
 	assert.Equal(t, s.Outcome(), Complete)
 }
 
@@ -291,28 +292,28 @@
 	target := startResponder(t, streamHead+chunk("id: 4\n\n")+"0\r\n\r\n")
 	q := post("a", "")
 	q.LastEventID = "4"
-	r := newTestPool(t).Call(context.Background(), target, q, long)
+	r := newTestPool(t).Call(context.Background(), target, q, longWait)
 	_, err := r.Stream.Next()
 	assert.Equal(t, err, errMalformed)
 }
 
 func TestCall_TimeoutAndCancel(t *testing.T) {
 	for _, text := range []string{"", streamHead, validResponse("a", "whole")[:60]} {
-		come, ended := make(chan bool, 1), make(chan bool, 1)
+		arrived, ended := make(chan bool, 1), make(chan bool, 1)
 		target := startEndpoint(t, func(_ int, l *serverConn) {
 			if q, _ := l.readRequest(); q == nil {
-				return // the time was over before the request was written
+				return // the call timed out before the request was written
 			}
 			l.writeText(text)
-			come <- true
-			l.drain() // until ours ends the connection
+			arrived <- true
+			l.drain() // until the client closes the connection
 			ended <- true
 		})
 		p := newTestPool(t)
 		finish := func(want Outcome, call func(time.Duration) *Result) {
 			t.Helper()
-			for within := 20 * time.Millisecond; ; within *= 2 {
-				r := call(within)
+			for timeout := 20 * time.Millisecond; ; timeout *= 2 {
+				r := call(timeout)
 				if r.Stream != nil {
 					_, err := r.Stream.Next()
 					assert.Assert(t, err != nil)
@@ -321,7 +322,7 @@
 				assert.Equal(t, o.Outcome, want, "%v", r.Err)
 				open, _ := p.Open(target)
 				assert.Equal(t, open, 0)
-				if !o.Written { // a busy machine
+				if !o.Written { // on a busy machine, the time-out may expire before a byte is written
 					assert.Equal(t, r.Disposition(false).Execution, NotExecuted)
 					continue
 				}
@@ -332,22 +333,22 @@
 		finish(TimedOut, func(within time.Duration) *Result {
 			return p.Call(context.Background(), target, post("a", ""), within)
 		})
-		<-come
+		<-arrived
 		finish(TimedOut, func(within time.Duration) *Result {
 			ctx, cancel := context.WithTimeout(context.Background(), within)
 			t.Cleanup(cancel)
-			return p.Call(ctx, target, post("a", ""), long)
+			return p.Call(ctx, target, post("a", ""), longWait)
 		})
-		<-come
+		<-arrived
 		ctx, cancel := context.WithCancel(context.Background())
 		finish(Canceled, func(time.Duration) *Result {
 			go func() {
-				<-come
+				<-arrived
 				cancel()
 			}()
-			return p.Call(ctx, target, post("a", ""), long)
+			return p.Call(ctx, target, post("a", ""), longWait)
 		})
-		r := p.Call(ctx, target, post("a", ""), long)
+		r := p.Call(ctx, target, post("a", ""), longWait)
 		assert.Assert(t, r.Outcome == Canceled && !r.Written)
 	}
 }
@@ -384,8 +385,8 @@
 		l.drain()
 	})
 	q := post("a", strings.Repeat("x", 8<<20))
-	r := newTestPool(t).Call(context.Background(), target, q, long)
-	// The connection may have been seen to be ended before a byte was written.
+	r := newTestPool(t).Call(context.Background(), target, q, longWait)
+	// The call may have detected the close before it wrote a byte.
 	v := r.Disposition(false)
 	assert.Equal(t, v.Execution, NotExecuted, "%v %v", r.Outcome, r.Err)
 	if r.Response != nil {
@@ -417,19 +418,19 @@
 func TestCall_HealthCheck(t *testing.T) {
 	target := startResponder(t, "HTTP/1.1 200 OK\r\nX-Instance-Id: i-1\r\nContent-Length: 0\r\n\r\n")
 	q := &Request{Method: "GET", Target: "/health", Host: "h", AllowUnsigned: true, Priority: -1}
-	r := newTestPool(t).Call(context.Background(), target, q, long)
+	r := newTestPool(t).Call(context.Background(), target, q, longWait)
 	assert.Equal(t, r.Outcome, Complete, "%v", r.Err)
 	assert.Equal(t, r.Response.Header.Get("X-Instance-Id"), "i-1")
 }
 
-// TestCall_PartlyWritten: what an endpoint had a part of may have run, for all that is known.
+// TestCall_PartlyWritten: a request of which the endpoint received a part may have been executed.
 func TestCall_PartlyWritten(t *testing.T) {
 	q := post("a", strings.Repeat("x", 16<<20))
 	target := startEndpoint(t, func(_ int, l *serverConn) {
 		l.r.ReadByte()
 		l.reset()
 	})
-	r := newTestPool(t).Call(context.Background(), target, q, long)
+	r := newTestPool(t).Call(context.Background(), target, q, longWait)
 	assert.Assert(t, r.Outcome == Broken && r.Written, "%v %v", r.Outcome, r.Err)
 	assert.Equal(t, r.Disposition(false), Disposition{Execution: ExecutionUnknown, Reply: BadGateway, RetryIdempotent: true})
 
--- a/internal/tier/upstream/classify_test.go
+++ b/internal/tier/upstream/classify_test.go
@@ -7,12 +7,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// observations calls visit for every observation there is, statuses and surpluses by representatives, until that returns false.
+// observations calls visit for every possible Observation, with representative statuses and surpluses, until visit returns false. It
+// returns the number of calls.
 func observations(visit func(Observation) bool) (n int) {
 	statuses := []int{0, 100, 200, 201, 204, 301, 400, 401, 402, 403, 404, 408, 409, 410, 413, 421, 422, 429, 431, 500, 501, 502, 503, 504, 599, 600}
 	const flags = 11
-	ends := []Outcome{Complete, Broken, TimedOut, Streaming, Malformed, Canceled, NotSent, NoConnection, ConnectFailed} // those with most to get wrong first
-	for _, end := range ends {
+	outcomes := []Outcome{Complete, Broken, TimedOut, Streaming, Malformed, Canceled, NotSent, NoConnection, ConnectFailed} // the most error-prone first
+	for _, end := range outcomes {
 		for _, status := range statuses {
 			for surplus := -1; surplus <= 1; surplus++ {
 				for bits := range 1 << flags {
@@ -27,53 +28,53 @@
 			}
 		}
 	}
-	want := len(statuses) * 3 * 1 << flags * len(ends)
+	want := len(statuses) * 3 * 1 << flags * len(outcomes)
 	if n != want {
 		panic("observations are left out")
 	}
 	return n
 }
 
-// brokenRule names the first rule that a verdict on an observation breaks, "" if there is none. The rules are those of the
-// protocol, stated over what an onlooker knows; nothing here follows the order of the table.
+// brokenRule returns the name of the first rule that the disposition of an observation breaks, or "". The rules are those of the
+// protocol, stated in terms of the observation alone and independently of the order of cases in Classify.
 func brokenRule(o Observation, v Disposition) string {
 	success := o.Status >= 200 && o.Status < 300
 	final := o.Status >= 200 && o.Status < 600
-	// The response is this request's and all of it is here: for a body without framing the endpoint announced the end, and the
-	// error of the connection can't have been taken by a write.
-	provenWhole := o.Outcome == Complete && o.Identified && (!o.Unframed || o.CloseAnnounced && !o.PartlyWritten)
-	saysNotRun := provenWhole && final && !success && (o.NotExecuted || o.Status == 421)
+	// The response belongs to this request and is complete: for a body without framing, the endpoint announced the close, and no
+	// failed write can have consumed the connection's error.
+	provenComplete := o.Outcome == Complete && o.Identified && (!o.Unframed || o.CloseAnnounced && !o.PartlyWritten)
+	provenNotExecuted := provenComplete && final && !success && (o.NotExecuted || o.Status == 421)
 	clean := !o.PartlyWritten && !o.CloseAnnounced && o.SurplusResponses == 0 && !o.UnreadBytes && !o.CancelStarted
 	for _, rule := range []struct {
 		name   string
 		broken bool
 	}{
-		{"TWICE: not idempotent, a byte written, no word that it has not run: sent again", v.MayRetry(false) && o.Written && !saysNotRun},
-		{"TWICE: sent again though it has run", v.MayRetry(false) && v.Execution != NotExecuted},
-		{"what isn't idempotent may go again, what is may not", v.MayRetry(false) && !v.MayRetry(true)},
-		{"sent again after a part of an answer has gone to the client", v.MayRetry(true) && o.ReplyStarted && o.Written && !saysNotRun},
-		{"sent again after a whole success", v.MayRetry(true) && success && v.Reply == ForwardResponse},
-		{"sent again for a client that has left", v.MayRetry(true) && o.Outcome == Canceled},
-		{"not run: no word of the endpoint's and a byte was written", v.Execution == NotExecuted && o.Written && !saysNotRun},
-		{"unsure though no byte was written", v.Execution != NotExecuted && !o.Written},
-		{"REFUSED: a promise for what may have run", v.Reply == ServiceUnavailable && v.Execution != NotExecuted},
-		{"REFUSED: a promise of the endpoint's passed on", v.Reply == ForwardResponse && (o.Status == 402 || o.Status == 408 || o.Status == 421 || o.Status == 429 || o.Status == 503)},
-		{"LOST: 404 or 410 of an endpoint passed on for a turn", v.Reply == ForwardResponse && o.Turn && (o.Status == 404 || o.Status == 410) && !o.NotExecuted},
-		{"MIXED: a success without its stamp, of another request, or one not executed", v.Reply == ForwardResponse && success && !(o.Signed && o.Identified && !o.NotExecuted)},
-		{"MIXED: passed on though it is another's", v.Reply == ForwardResponse && !o.Identified},
-		{"MIXED: passed on though not whole", v.Reply == ForwardResponse && !provenWhole && !(o.Outcome == Streaming && success)},
-		{"MIXED: passed on though its end proves nothing", v.Reply == ForwardResponse && o.Unframed && (!o.CloseAnnounced || o.PartlyWritten)},
-		{"MIXED: a success for a request that was not sent whole", v.Reply == ForwardResponse && success && o.PartlyWritten},
-		{"MIXED: passed on though it is no final answer", v.Reply == ForwardResponse && !final},
-		{"a failure as a stream", v.Reply == ForwardResponse && !success && o.Outcome != Complete},
-		{"a second answer inside an answer", o.ReplyStarted && o.Written && v.Reply != AbortConnection && v.Reply != ForwardResponse && v.Reply != NoReply && !saysNotRun},
-		{"broken off with nothing said", v.Reply == AbortConnection && !o.ReplyStarted},
-		{"an answer for a client that has left, or none for one that is there", (v.Reply == NoReply) != (o.Outcome == Canceled)},
-		{"504 though the time was not over", v.Reply == GatewayTimeout && !(o.Outcome == TimedOut && o.Written)},
-		{"a connection reused that is not clean", v.Reuse == KeepConnection && !clean},
-		{"a connection reused whose answer did not come whole", v.Reuse == KeepConnection && o.Written && !(provenWhole && !o.Unframed)},
-		{"a connection reused that broke", v.Reuse == KeepConnection && (o.Outcome == Broken || o.Outcome == Malformed || o.Outcome == Streaming || o.Outcome == Canceled || o.Outcome == ConnectFailed)},
-		{"a clean connection thrown away", v.Reuse == CloseConnection && clean && (o.Written && provenWhole && !o.Unframed || !o.Written && o.Outcome == NotSent)},
+		{"executed twice: a non-idempotent request with a byte written is retried without proof that it was not executed", v.MayRetry(false) && o.Written && !provenNotExecuted},
+		{"executed twice: a non-idempotent request is retried although it may have been executed", v.MayRetry(false) && v.Execution != NotExecuted},
+		{"a non-idempotent request may be retried, an idempotent one may not", v.MayRetry(false) && !v.MayRetry(true)},
+		{"retried after a part of a response was sent to the client", v.MayRetry(true) && o.ReplyStarted && o.Written && !provenNotExecuted},
+		{"retried after a complete success", v.MayRetry(true) && success && v.Reply == ForwardResponse},
+		{"retried for a client that has closed its connection", v.MayRetry(true) && o.Outcome == Canceled},
+		{"not executed, although a byte was written and the endpoint gave no proof", v.Execution == NotExecuted && o.Written && !provenNotExecuted},
+		{"execution unknown although no byte was written", v.Execution != NotExecuted && !o.Written},
+		{"503: promises that the request was not executed although it may have been", v.Reply == ServiceUnavailable && v.Execution != NotExecuted},
+		{"503: a promise of the endpoint that the request was not executed is forwarded", v.Reply == ForwardResponse && (o.Status == 402 || o.Status == 408 || o.Status == 421 || o.Status == 429 || o.Status == 503)},
+		{"turn: an endpoint's 404 or 410 is forwarded", v.Reply == ForwardResponse && o.Turn && (o.Status == 404 || o.Status == 410) && !o.NotExecuted},
+		{"forwarded: a success that is unsigned, of another request or marked as not executed", v.Reply == ForwardResponse && success && !(o.Signed && o.Identified && !o.NotExecuted)},
+		{"forwarded: a response to another request", v.Reply == ForwardResponse && !o.Identified},
+		{"forwarded: an incomplete response", v.Reply == ForwardResponse && !provenComplete && !(o.Outcome == Streaming && success)},
+		{"forwarded: an unframed response whose end proves nothing", v.Reply == ForwardResponse && o.Unframed && (!o.CloseAnnounced || o.PartlyWritten)},
+		{"forwarded: a success for a request that was not completely sent", v.Reply == ForwardResponse && success && o.PartlyWritten},
+		{"forwarded: a response that is not final", v.Reply == ForwardResponse && !final},
+		{"a failure is streamed", v.Reply == ForwardResponse && !success && o.Outcome != Complete},
+		{"a second response within a response", o.ReplyStarted && o.Written && v.Reply != AbortConnection && v.Reply != ForwardResponse && v.Reply != NoReply && !provenNotExecuted},
+		{"connection aborted although no part of a response was sent", v.Reply == AbortConnection && !o.ReplyStarted},
+		{"a reply to a client that has closed its connection, or none to one that has not", (v.Reply == NoReply) != (o.Outcome == Canceled)},
+		{"504 although the time-out has not expired", v.Reply == GatewayTimeout && !(o.Outcome == TimedOut && o.Written)},
+		{"a connection that is not clean is reused", v.Reuse == KeepConnection && !clean},
+		{"a connection without a complete, framed response is reused", v.Reuse == KeepConnection && o.Written && !(provenComplete && !o.Unframed)},
+		{"a connection of a failed or unfinished call is reused", v.Reuse == KeepConnection && (o.Outcome == Broken || o.Outcome == Malformed || o.Outcome == Streaming || o.Outcome == Canceled || o.Outcome == ConnectFailed)},
+		{"a clean connection is closed", v.Reuse == CloseConnection && clean && (o.Written && provenComplete && !o.Unframed || !o.Written && o.Outcome == NotSent)},
 	} {
 		if rule.broken {
 			return rule.name
@@ -82,7 +83,7 @@
 	return ""
 }
 
-// TestClassify_KeepsRules holds the verdict on every observation against the rules.
+// TestClassify_KeepsRules checks the disposition of every observation against the rules.
 func TestClassify_KeepsRules(t *testing.T) {
 	broken := map[string]bool{}
 	n := observations(func(o Observation) bool {
@@ -96,97 +97,97 @@
 	t.Logf("%d observations", n)
 }
 
-// TestClassify_CoversAllObservations: each rule's verdicts occur, so that the rules above do not hold for want of cases.
+// TestClassify_CoversAllObservations: each reply, reuse and execution occurs, so that the rules above don't hold vacuously.
 func TestClassify_CoversAllObservations(t *testing.T) {
-	replies, reuses, rans := map[ClientReply]int{}, map[Reuse]int{}, map[Execution]int{}
-	once := 0
+	replies, reuses, executions := map[ClientReply]int{}, map[Reuse]int{}, map[Execution]int{}
+	retriedAfterWrite := 0
 	observations(func(o Observation) bool {
 		v := Classify(o)
 		replies[v.Reply]++
 		reuses[v.Reuse]++
-		rans[v.Execution]++
+		executions[v.Execution]++
 		if v.RetryAny && o.Written {
-			once++
+			retriedAfterWrite++
 		}
 		return true
 	})
 	assert.Equal(t, len(replies), 6)
 	assert.Equal(t, len(reuses), 2)
-	assert.Equal(t, len(rans), 3)
-	assert.Assert(t, once > 0)
+	assert.Equal(t, len(executions), 3)
+	assert.Assert(t, retriedAfterWrite > 0)
 }
 
-// TestClassify_Reuse spells out the connection's part of the table.
+// TestClassify_Reuse checks the reuse of a connection case by case.
 func TestClassify_Reuse(t *testing.T) {
-	whole := Observation{Outcome: Complete, Written: true, Status: 200, Signed: true, Identified: true}
+	complete := Observation{Outcome: Complete, Written: true, Status: 200, Signed: true, Identified: true}
 	with := func(o Observation, change func(*Observation)) Observation { change(&o); return o }
 	for _, tc := range []struct {
 		name string
 		o    Observation
 		want Reuse
 	}{
-		{"one request, one answer", whole, KeepConnection},
-		{"a failure, whole", with(whole, func(o *Observation) { o.Status, o.Signed = 500, false }), KeepConnection},
-		{"rejected, whole", with(whole, func(o *Observation) { o.Status, o.NotExecuted = 503, true }), KeepConnection},
-		{"an answer more than requests", with(whole, func(o *Observation) { o.SurplusResponses = 1 }), CloseConnection},
-		{"a request more than answers", with(whole, func(o *Observation) { o.SurplusResponses = -1 }), CloseConnection},
-		{"bytes behind the answer", with(whole, func(o *Observation) { o.UnreadBytes = true }), CloseConnection},
-		{"early answer, body still due", with(whole, func(o *Observation) { o.PartlyWritten = true }), CloseConnection},
-		{"the endpoint closes", with(whole, func(o *Observation) { o.CloseAnnounced = true }), CloseConnection},
-		{"body ends with the connection", with(whole, func(o *Observation) { o.Unframed, o.CloseAnnounced = true, true }), CloseConnection},
-		{"cancelled as it ended", with(whole, func(o *Observation) { o.CancelStarted = true }), CloseConnection},
-		{"another's answer", with(whole, func(o *Observation) { o.Identified = false }), CloseConnection},
-		{"permit refused", Observation{Outcome: NotSent}, KeepConnection},
-		{"permit refused, cancelled", Observation{Outcome: NotSent, CancelStarted: true}, CloseConnection},
-		{"overdue before a byte was written", Observation{Outcome: TimedOut}, KeepConnection},
-		{"silent after the request", Observation{Outcome: TimedOut, Written: true}, CloseConnection},
-		{"reset before an answer", Observation{Outcome: Broken, Written: true}, CloseConnection},
-		{"in use", with(whole, func(o *Observation) { o.Outcome = Streaming }), CloseConnection},
+		{"one request, one response", complete, KeepConnection},
+		{"a failure, complete", with(complete, func(o *Observation) { o.Status, o.Signed = 500, false }), KeepConnection},
+		{"rejected, complete", with(complete, func(o *Observation) { o.Status, o.NotExecuted = 503, true }), KeepConnection},
+		{"one response more than requests", with(complete, func(o *Observation) { o.SurplusResponses = 1 }), CloseConnection},
+		{"one request more than responses", with(complete, func(o *Observation) { o.SurplusResponses = -1 }), CloseConnection},
+		{"bytes after the response", with(complete, func(o *Observation) { o.UnreadBytes = true }), CloseConnection},
+		{"early response, body not completely sent", with(complete, func(o *Observation) { o.PartlyWritten = true }), CloseConnection},
+		{"the endpoint closes", with(complete, func(o *Observation) { o.CloseAnnounced = true }), CloseConnection},
+		{"body ends with the connection", with(complete, func(o *Observation) { o.Unframed, o.CloseAnnounced = true, true }), CloseConnection},
+		{"cancelled as the call ended", with(complete, func(o *Observation) { o.CancelStarted = true }), CloseConnection},
+		{"response to another request", with(complete, func(o *Observation) { o.Identified = false }), CloseConnection},
+		{"permit denied", Observation{Outcome: NotSent}, KeepConnection},
+		{"permit denied, cancelled", Observation{Outcome: NotSent, CancelStarted: true}, CloseConnection},
+		{"timed out before a byte was written", Observation{Outcome: TimedOut}, KeepConnection},
+		{"timed out after the request was written", Observation{Outcome: TimedOut, Written: true}, CloseConnection},
+		{"reset before a response", Observation{Outcome: Broken, Written: true}, CloseConnection},
+		{"in use", with(complete, func(o *Observation) { o.Outcome = Streaming }), CloseConnection},
 	} {
 		assert.Equal(t, Classify(tc.o).Reuse, tc.want, tc.name)
 	}
 }
 
-// TestClassify_MutantsDetected: tables with one fault each break a rule.
+// TestClassify_MutantsDetected: each fault injected into Classify breaks a rule.
 func TestClassify_MutantsDetected(t *testing.T) {
 	for name, fault := range map[string]func(Observation, *Disposition){
-		"sent again on a reset after the first byte": func(o Observation, v *Disposition) { v.RetryAny = v.RetryAny || o.Outcome == Broken && !o.ReplyStarted },
-		"sent again on silence": func(o Observation, v *Disposition) {
+		"retried on a reset after the first byte": func(o Observation, v *Disposition) { v.RetryAny = v.RetryAny || o.Outcome == Broken && !o.ReplyStarted },
+		"retried on a time-out": func(o Observation, v *Disposition) {
 			v.RetryAny = v.RetryAny || o.Outcome == TimedOut && !o.ReplyStarted
 		},
-		"X-Not-Executed believed on half an answer": func(o Observation, v *Disposition) { v.RetryAny = v.RetryAny || o.Outcome == Broken && o.NotExecuted },
-		"a bare 503 believed": func(o Observation, v *Disposition) {
+		"X-Not-Executed trusted on an incomplete response": func(o Observation, v *Disposition) { v.RetryAny = v.RetryAny || o.Outcome == Broken && o.NotExecuted },
+		"a 503 without X-Not-Executed trusted": func(o Observation, v *Disposition) {
 			v.RetryAny = v.RetryAny || o.Outcome == Complete && o.Status == 503 && !o.ReplyStarted
 		},
-		"the id left out": func(o Observation, v *Disposition) {
+		"the attempt id ignored": func(o Observation, v *Disposition) {
 			o.Identified = true
 			*v = Classify(o)
 		},
-		"the stamp left out": func(o Observation, v *Disposition) {
+		"the signature ignored": func(o Observation, v *Disposition) {
 			o.Signed = true
 			*v = Classify(o)
 		},
-		"an unframed body believed": func(o Observation, v *Disposition) {
+		"an unframed body trusted": func(o Observation, v *Disposition) {
 			o.Unframed = false
 			*v = Classify(o)
 		},
-		"the body still due left out": func(o Observation, v *Disposition) {
+		"the unsent part of the body ignored": func(o Observation, v *Disposition) {
 			o.PartlyWritten = false
 			*v = Classify(o)
 		},
-		"the count left out": func(o Observation, v *Disposition) {
+		"the count of responses ignored": func(o Observation, v *Disposition) {
 			o.SurplusResponses = 0
 			*v = Classify(o)
 		},
-		"bytes behind the answer left out": func(o Observation, v *Disposition) {
+		"bytes after the response ignored": func(o Observation, v *Disposition) {
 			o.UnreadBytes = false
 			*v = Classify(o)
 		},
-		"the cancellation left out": func(o Observation, v *Disposition) {
+		"the cancellation ignored": func(o Observation, v *Disposition) {
 			o.CancelStarted = false
 			*v = Classify(o)
 		},
-		"a promise passed on": func(o Observation, v *Disposition) {
+		"a 429 forwarded": func(o Observation, v *Disposition) {
 			if o.Outcome == Complete && o.Status == 429 {
 				v.Reply = ForwardResponse
 			}
@@ -199,14 +200,14 @@
 			found = brokenRule(o, v)
 			return found == ""
 		})
-		assert.Assert(t, found != "", "%s is not found", name)
+		assert.Assert(t, found != "", "%s: not detected", name)
 	}
 }
 
 func TestClassify_Rows(t *testing.T) {
 	for _, tc := range []struct {
 		o    Observation
-		want string // ran, reply, whether again for idempotent ones and for others
+		want string // execution, reply, whether retried if idempotent, whether retried if not
 	}{
 		{Observation{Outcome: NotSent}, "no refuse true true"},
 		{Observation{Outcome: NoConnection}, "no refuse true true"},
--- a/internal/tier/upstream/event_splitter_test.go
+++ b/internal/tier/upstream/event_splitter_test.go
@@ -11,15 +11,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// decode reads a body from text by the framing, with reads as wrap cuts them.
+// decode returns the events of a body that is read from text with the framing. wrap determines how the reads are split.
 func decode(text string, f framing, left int64, wrap func(io.Reader) io.Reader) ([]Event, error) {
 	b := body{reader: bufio.NewReaderSize(wrap(strings.NewReader(text)), 64), framing: f, remaining: left}
 	var e eventSplitter
 	var out []Event
 	for {
-		p, ok, sound := e.next()
+		p, ok, valid := e.next()
 		switch {
-		case !sound:
+		case !valid:
 			return out, errMalformed
 		case ok:
 			p.Raw, p.Data = []byte(string(p.Raw)), []byte(string(p.Data))
@@ -32,8 +32,8 @@
 			continue
 		}
 		for {
-			p, ok, sound := e.next()
-			if !sound {
+			p, ok, valid := e.next()
+			if !valid {
 				return out, errMalformed
 			}
 			if !ok {
@@ -49,7 +49,7 @@
 	}
 }
 
-func plainly(r io.Reader) io.Reader { return r }
+func unsplit(r io.Reader) io.Reader { return r }
 
 const threeEvents = "id: 1\ndata: one\n\nversions: 4\r\nid: 2\r\ndata: two\r\ndata:more\r\n\r\n: idle\n\nid: 10\ndata\n\n"
 
@@ -62,7 +62,7 @@
 			rest = rest[n:]
 		}
 		text.WriteString("0\r\n\r\n")
-		for _, wrap := range []func(io.Reader) io.Reader{plainly, iotest.OneByteReader, iotest.HalfReader, iotest.DataErrReader} {
+		for _, wrap := range []func(io.Reader) io.Reader{unsplit, iotest.OneByteReader, iotest.HalfReader, iotest.DataErrReader} {
 			got, err := decode(text.String(), byChunks, 0, wrap)
 			assert.Equal(t, err, io.EOF)
 			assert.Equal(t, len(got), 4)
@@ -81,39 +81,39 @@
 
 func TestBody_TruncatedChunksIncomplete(t *testing.T) {
 	text := chunk(threeEvents[:20]) + "5;name=value\r\n" + threeEvents[20:25] + "\r\n" + chunk(threeEvents[25:]) + "0;x\r\nTrailer: t\r\n\r\n"
-	got, err := decode(text, byChunks, 0, plainly)
+	got, err := decode(text, byChunks, 0, unsplit)
 	assert.Equal(t, err, io.EOF)
 	assert.Equal(t, len(got), 4)
 	for n := range len(text) {
-		for _, wrap := range []func(io.Reader) io.Reader{plainly, iotest.OneByteReader} {
+		for _, wrap := range []func(io.Reader) io.Reader{unsplit, iotest.OneByteReader} {
 			_, err := decode(text[:n], byChunks, 0, wrap)
 			assert.Equal(t, err, io.ErrUnexpectedEOF, "%d", n)
 		}
 	}
 	for n := range len(threeEvents) {
-		_, err := decode(threeEvents[:n], byLength, int64(len(threeEvents)), plainly)
+		_, err := decode(threeEvents[:n], byLength, int64(len(threeEvents)), unsplit)
 		assert.Equal(t, err, io.ErrUnexpectedEOF, "%d", n)
 	}
-	_, err = decode(threeEvents, byLength, int64(len(threeEvents)), plainly)
+	_, err = decode(threeEvents, byLength, int64(len(threeEvents)), unsplit)
 	assert.Equal(t, err, io.EOF)
 }
 
 func TestBody_MalformedChunks(t *testing.T) {
 	for _, text := range []string{"x\r\n", "\r\n", "-1\r\n", "1\nx\r\n", "1\r\nxy\r\n", "1\r\nx\n0\r\n\r\n", "123456789\r\n", "fffffffff\r\n", "0\r\nno field\r\n\r\n",
 		"1;" + strings.Repeat("x", 2000) + "\r\nx\r\n", " 1\r\nx\r\n"} {
-		_, err := decode(text, byChunks, 0, plainly)
+		_, err := decode(text, byChunks, 0, unsplit)
 		assert.Equal(t, err, errMalformed, "%q", text)
 	}
 }
 
 func TestIDIncreases(t *testing.T) {
 	for _, text := range []string{"id: 1\n\nid: 1\n\n", "id: 2\n\nid: 1\n\n", "id: 10\n\nid: 9\n\n", "id: x\n\nid: x\n\n"} {
-		got, err := decode(chunk(text)+"0\r\n\r\n", byChunks, 0, plainly)
+		got, err := decode(chunk(text)+"0\r\n\r\n", byChunks, 0, unsplit)
 		assert.Equal(t, err, errMalformed)
 		assert.Equal(t, len(got), 1)
 	}
-	_, err := decode(chunk("id: 9\n\ndata: none\n\nid: 10\n\nid: 12\n\n")+"0\r\n\r\n", byChunks, 0, plainly)
+	_, err := decode(chunk("id: 9\n\ndata: none\n\nid: 10\n\nid: 12\n\n")+"0\r\n\r\n", byChunks, 0, unsplit)
 	assert.Equal(t, err, io.EOF)
-	_, err = decode(chunk("id: 9\n\nid: 10\n")+"0\r\n\r\n", byChunks, 0, plainly)
-	assert.Equal(t, err, errMalformed, "an event without its end")
+	_, err = decode(chunk("id: 9\n\nid: 10\n")+"0\r\n\r\n", byChunks, 0, unsplit)
+	assert.Equal(t, err, errMalformed, "an incomplete event")
 }
--- a/internal/tier/upstream/helpers_test.go
+++ b/internal/tier/upstream/helpers_test.go
@@ -23,7 +23,7 @@
 	r *bufio.Reader
 }
 
-// readRequest reads one complete request. It is nil where the connection ended.
+// readRequest reads one complete request. It returns nil if the connection ended.
 func (l *serverConn) readRequest() (*http.Request, string) {
 	q, err := http.ReadRequest(l.r)
 	if err != nil {
@@ -43,10 +43,10 @@
 	l.Close()
 }
 
-// drain waits until the other side has ended the connection.
+// drain reads and discards bytes until the client has closed the connection.
 func (l *serverConn) drain() { io.Copy(io.Discard, l.r) }
 
-// respondWith is a script that answers a request with a text, and then closes or waits for the other side to do so.
+// respondWith returns a script that responds to a request with a text, and then closes the connection or waits for the client to close it.
 func respondWith(text string, closes bool) func(n int, l *serverConn) {
 	return func(_ int, l *serverConn) {
 		l.readRequest()
@@ -83,7 +83,7 @@
 	return Target{Address: listener.Addr().String(), Instance: "i-1"}
 }
 
-// startResponder gives every request the same response, and then waits for the end.
+// startResponder starts an endpoint that gives every request the same response until the client closes the connection.
 func startResponder(t *testing.T, text string) Target {
 	t.Helper()
 	return startEndpoint(t, func(_ int, l *serverConn) {
@@ -105,7 +105,7 @@
 	return p
 }
 
-const long = 20 * time.Second // no test comes near it
+const longWait = 20 * time.Second // a time-out that no test reaches
 
 func post(id, body string) *Request {
 	return &Request{Method: "POST", Target: "/a/b?c=%20d", Host: "h.example", AttemptID: id, Priority: -1, Body: [][]byte{[]byte(body)}}
@@ -113,10 +113,10 @@
 
 func call(t *testing.T, p *Pool, target Target, id string) *Result {
 	t.Helper()
-	return p.Call(context.Background(), target, post(id, "body"), long)
+	return p.Call(context.Background(), target, post(id, "body"), longWait)
 }
 
-// validResponse is a complete response to id.
+// validResponse returns a complete response to the attempt id.
 func validResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Response-Signature: s.%s\r\nContent-Length: %d\r\n\r\n%s", id, id, len(body), body)
 }
@@ -136,8 +136,8 @@
 	}
 }
 
-// waitNoise waits until something, or the end, has come on the idle connection to a target.
-func waitNoise(p *Pool, target Target) {
+// waitUntilStale waits until bytes or a close were received on the idle connection to a target.
+func waitUntilStale(p *Pool, target Target) {
 	p.mu.Lock()
 	c := p.hosts[hostKey{target.Address, target.Instance}].idle[0]
 	p.mu.Unlock()
--- a/internal/tier/upstream/hostile_endpoint_test.go
+++ b/internal/tier/upstream/hostile_endpoint_test.go
@@ -12,7 +12,7 @@
 	"saffronyard.example/saffronyard/internal/tier/http1"
 )
 
-// Fields of trailers say nothing of the response: neither whose it is nor that the request was not executed.
+// Trailers must not change the attempt that a response belongs to, its framing or whether the request was executed.
 func TestBody_TrailersIgnored(t *testing.T) {
 	const trailers = "0\r\nX-Not-Executed: 1\r\nX-Attempt-Id: b\r\nContent-Length: 9\r\n\r\n"
 	for _, tc := range []struct {
@@ -31,7 +31,7 @@
 	}
 }
 
-// A response to HEAD has no body, whatever length it announces, and its connection goes on.
+// A response to HEAD has no body, whatever length it announces, and its connection is reused.
 func TestCall_HEADHasNoBody(t *testing.T) {
 	target := startEndpoint(t, func(_ int, l *serverConn) {
 		for q, _ := l.readRequest(); q != nil; q, _ = l.readRequest() {
@@ -45,15 +45,15 @@
 	p := newTestPool(t)
 	for i, method := range []string{"HEAD", "GET", "HEAD", "HEAD", "GET"} {
 		q := &Request{Method: method, Target: "/a", Host: "h.example", AttemptID: fmt.Sprint(i), Priority: -1}
-		r := p.Call(t.Context(), target, q, long)
+		r := p.Call(t.Context(), target, q, longWait)
 		assert.Equal(t, r.Outcome, Complete, "%v", r.Err)
 		assert.Equal(t, len(r.Body) > 0, method == "GET")
 		assert.Equal(t, r.NewConnection, i == 0)
 	}
 }
 
-// A late second response to HEAD announces a body that doesn't come. Whatever length that is, nothing of it is taken for the
-// answer that follows, and the request behind is not taken for one that has not run.
+// A late second response to HEAD announces a body that is not sent. Whatever the announced length, no part of that response is
+// taken for the response to the next request, and the next request is never retried as not executed.
 func TestCall_LateSecondResponseToHEAD(t *testing.T) {
 	own := validResponse("b", "of b")
 	for announced := range len(own) + 2 {
@@ -66,7 +66,7 @@
 		})
 		p := newTestPool(t)
 		head := &Request{Method: "HEAD", Target: "/a", Host: "h.example", AttemptID: "a", Priority: -1}
-		assert.Equal(t, p.Call(t.Context(), target, head, long).Outcome, Complete)
+		assert.Equal(t, p.Call(t.Context(), target, head, longWait).Outcome, Complete)
 		r := call(t, p, target, "b")
 		assert.Assert(t, !r.NewConnection)
 		if r.Outcome == Complete {
@@ -80,31 +80,31 @@
 	}
 }
 
-// An extra response that is split over reads, its parts before and behind the request it comes in the place of, is found by its
-// id or by its connection.
+// An extra response to an earlier request arrives in two parts, before and after the next request was sent. It is detected by its
+// attempt id, or by the unread bytes on its connection, and never taken for the response to the next request.
 func TestCall_ExtraResponseSplitAtEachByte(t *testing.T) {
 	extra := validResponse("a", "extra")
 	for split := range len(extra) {
-		further := make(chan struct{})
+		release := make(chan struct{})
 		target := startEndpoint(t, func(_ int, l *serverConn) {
-			due := false // the rest of the extra answer, on the connection of the first request
+			pending := false // the rest of the extra response is to be sent on the connection of the first request
 			for q, _ := l.readRequest(); q != nil; q, _ = l.readRequest() {
 				id := q.Header.Get("X-Attempt-Id")
-				if due {
+				if pending {
 					l.writeText(extra[split:])
-					due = false
+					pending = false
 				}
 				l.writeText(validResponse(id, "of "+id))
 				if id == "a" {
-					<-further
+					<-release
 					l.writeText(extra[:split])
-					due = true
+					pending = true
 				}
 			}
 		})
 		p := newTestPool(t)
 		assert.Equal(t, string(call(t, p, target, "a").Body), "of a")
-		close(further)
+		close(release)
 		for _, id := range []string{"b", "c"} {
 			r := call(t, p, target, id)
 			assert.Equal(t, r.Outcome, Complete, "split at %d: %v", split, r.Err)
@@ -113,7 +113,7 @@
 	}
 }
 
-// What an endpoint is told is what is left when the head is made, never more.
+// X-Deadline-Ms is the time left when the head is written, never more.
 func TestCall_DeadlineOfLaterSend(t *testing.T) {
 	began := time.Now()
 	q := post("a", "")
@@ -122,7 +122,7 @@
 	for after, want := range map[time.Duration]int{
 		0:                          2000,
 		500 * time.Millisecond:     1500,
-		1999500 * time.Microsecond: 1, // of a part of a millisecond
+		1999500 * time.Microsecond: 1, // for a fraction of a millisecond
 		1234567 * time.Microsecond: 765,
 		5 * time.Second:            1,
 	} {
--- a/internal/tier/upstream/pool_test.go
+++ b/internal/tier/upstream/pool_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// echoing answers each request with its id, on connections that it counts.
-func echoing(t *testing.T, extra string) Target {
+// startEcho starts an endpoint that responds to each request with its attempt id and, in X-Line, the number of the connection.
+func startEcho(t *testing.T, extra string) Target {
 	t.Helper()
 	return startEndpoint(t, func(n int, l *serverConn) {
 		for q, _ := l.readRequest(); q != nil; q, _ = l.readRequest() {
@@ -23,7 +23,7 @@
 }
 
 func TestPool_Reuse(t *testing.T) {
-	target := echoing(t, "")
+	target := startEcho(t, "")
 	p := newTestPool(t)
 	for i := range 5 {
 		r := call(t, p, target, fmt.Sprint(i))
@@ -40,17 +40,17 @@
 	assert.Assert(t, call(t, p, target, "y").NewConnection)
 }
 
-// TestPool_AvoidsConnectionOfSameAttempt: a late second response to the first send must not be taken for that to the second.
+// TestPool_AvoidsConnectionOfSameAttempt: a late second response to the first send must not be taken for the response to the second.
 func TestPool_AvoidsConnectionOfSameAttempt(t *testing.T) {
-	target := echoing(t, "")
+	target := startEcho(t, "")
 	p := newTestPool(t)
 	assert.Equal(t, call(t, p, target, "a").Response.Header.Get("X-Line"), "0")
 	assert.Equal(t, call(t, p, target, "a").Response.Header.Get("X-Line"), "1")
-	assert.Equal(t, call(t, p, target, "b").Response.Header.Get("X-Line"), "1") // the one used last
+	assert.Equal(t, call(t, p, target, "b").Response.Header.Get("X-Line"), "1") // the most recently used connection
 	target.MaxConnections = 2
 	r := call(t, p, target, "b")
 	assert.Equal(t, r.Response.Header.Get("X-Line"), "0")
-	target.MaxConnections = 1 // as many as there are: it is closed for the new one
+	target.MaxConnections = 1 // the limit is reached: an idle connection is closed for the new one
 	r = call(t, p, target, "b")
 	assert.Equal(t, r.Outcome, Complete)
 }
@@ -83,13 +83,13 @@
 			q, _ := l.readRequest()
 			l.writeText(validResponse(q.Header.Get("X-Attempt-Id"), "ok"))
 			if noise != "" {
-				l.readAndWrite(noise)
+				l.writeAndDrain(noise)
 			}
 		})
 		p := newTestPool(t)
 		assert.Equal(t, call(t, p, target, "a").Outcome, Complete)
 		if _, idle := p.Open(target); idle == 1 {
-			waitNoise(p, target)
+			waitUntilStale(p, target)
 			r := call(t, p, target, "b")
 			assert.Equal(t, r.Outcome, Complete)
 			assert.Assert(t, r.NewConnection)
@@ -98,19 +98,19 @@
 	}
 }
 
-// readAndWrite sends noise and waits for the end.
-func (l *serverConn) readAndWrite(noise string) {
+// writeAndDrain writes noise and waits until the client has closed the connection.
+func (l *serverConn) writeAndDrain(noise string) {
 	l.writeText(noise)
 	l.drain()
 }
 
-// TestPool_CloseRacesWithSend: the endpoint ends an idle connection just as a request is on its way.
+// TestPool_CloseRacesWithSend: the endpoint closes an idle connection just as the next request is being sent on it.
 func TestPool_CloseRacesWithSend(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		target := startEndpoint(t, func(n int, l *serverConn) {
 			q, _ := l.readRequest()
 			l.writeText(validResponse(q.Header.Get("X-Attempt-Id"), "ok"))
-			l.r.ReadByte() // the next one has begun to come
+			l.r.ReadByte() // the next request has begun to arrive
 			if reset {
 				l.reset()
 			}
@@ -124,24 +124,24 @@
 }
 
 func TestCall_PermitAskedLast(t *testing.T) {
-	target := echoing(t, "")
+	target := startEcho(t, "")
 	p := newTestPool(t)
 	q := post("a", "")
 	asked := 0
 	q.Permit = func() bool {
 		asked++
 		open, _ := p.Open(target)
-		assert.Equal(t, open, 1) // the connection stands
+		assert.Equal(t, open, 1) // the connection is established before the permit is checked
 		return asked > 2
 	}
 	for range 2 {
-		r := p.Call(context.Background(), target, q, long)
+		r := p.Call(context.Background(), target, q, longWait)
 		assert.Assert(t, r.Outcome == NotSent && !r.Written && r.Response == nil)
 		assert.Equal(t, r.Disposition(false), Disposition{Execution: NotExecuted, Reply: ServiceUnavailable, RetryIdempotent: true, RetryAny: true, Reuse: KeepConnection})
 		_, idle := p.Open(target)
-		assert.Equal(t, idle, 1) // it is kept
+		assert.Equal(t, idle, 1) // the connection is kept
 	}
-	r := p.Call(context.Background(), target, q, long)
+	r := p.Call(context.Background(), target, q, longWait)
 	assert.Equal(t, r.Outcome, Complete)
 	assert.Equal(t, p.Counts().Opened, uint64(1))
 	assert.Equal(t, asked, 3)
@@ -160,12 +160,12 @@
 }
 
 func TestPool_Limits(t *testing.T) {
-	hold := make(chan bool)
+	release := make(chan bool)
 	slow := func() Target {
 		return startEndpoint(t, func(_ int, l *serverConn) {
 			for q, _ := l.readRequest(); q != nil; q, _ = l.readRequest() {
 				if q.Header.Get("X-Attempt-Id") == "held" {
-					<-hold
+					<-release
 				}
 				l.writeText(validResponse(q.Header.Get("X-Attempt-Id"), ""))
 			}
@@ -180,17 +180,17 @@
 	done.Go(func() {
 		q := post("held", "")
 		q.Permit = func() bool { close(sent); return true }
-		assert.Check(t, p.Call(context.Background(), one, q, long).Outcome == Complete)
+		assert.Check(t, p.Call(context.Background(), one, q, longWait).Outcome == Complete)
 	})
 	<-sent
 	r := call(t, p, one, "b")
 	assert.Assert(t, r.Outcome == NoConnection && !r.Written && r.Disposition(false).Execution == NotExecuted)
 	assert.Equal(t, call(t, p, two, "c").Outcome, Complete)
 	three := slow()
-	assert.Equal(t, call(t, p, three, "d").Outcome, Complete) // the idle one to two gives way
+	assert.Equal(t, call(t, p, three, "d").Outcome, Complete) // the idle connection to two is closed for it
 	open, _ := p.Open(two)
 	assert.Equal(t, open, 0)
-	close(hold)
+	close(release)
 	done.Wait()
 	assert.Equal(t, p.Counts().Open, 2)
 }
@@ -198,29 +198,29 @@
 func TestPool_IdleTimes(t *testing.T) {
 	p := NewPool(Config{IdleTimeout: 10 * time.Second})
 	defer p.Close()
-	span := func(target Target) time.Duration {
+	idleTime := func(target Target) time.Duration {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		c := p.hosts[hostKey{target.Address, target.Instance}].idle[0]
 		return c.expiresAt.Sub(c.idleSince)
 	}
-	plain, announcing := echoing(t, ""), echoing(t, "Keep-Alive: timeout=2\r\n")
+	plain, announcing := startEcho(t, ""), startEcho(t, "Keep-Alive: timeout=2\r\n")
 	assert.Equal(t, call(t, p, plain, "a").Outcome, Complete)
 	assert.Equal(t, call(t, p, announcing, "a").Outcome, Complete)
-	assert.Equal(t, span(plain), 8*time.Second)
-	assert.Equal(t, span(announcing), 1600*time.Millisecond)
+	assert.Equal(t, idleTime(plain), 8*time.Second)
+	assert.Equal(t, idleTime(announcing), 1600*time.Millisecond)
 
-	// One that the endpoint ended first teaches.
+	// A connection that the endpoint closed first lowers the learned idle time.
 	p.mu.Lock()
 	h := p.hosts[hostKey{plain.Address, plain.Instance}]
 	c := h.idle[0]
 	c.idleSince = time.Now().Add(-time.Second)
-	c.CloseRead() // reads as its end
+	c.CloseRead() // looks like a close by the endpoint
 	p.mu.Unlock()
 	assert.Assert(t, call(t, p, plain, "b").NewConnection)
-	assert.Assert(t, span(plain) >= 800*time.Millisecond && span(plain) < 8*time.Second, "%v", span(plain))
+	assert.Assert(t, idleTime(plain) >= 800*time.Millisecond && idleTime(plain) < 8*time.Second, "%v", idleTime(plain))
 
-	// What is over its time is closed by the sweep, and not used before that.
+	// An expired connection is closed by Sweep, and not used before that.
 	for _, target := range []Target{plain, announcing} {
 		p.mu.Lock()
 		c := p.hosts[hostKey{target.Address, target.Instance}].idle[0]
@@ -236,7 +236,7 @@
 }
 
 func TestPool_Concurrent(t *testing.T) {
-	target := echoing(t, "")
+	target := startEcho(t, "")
 	p := newTestPool(t)
 	var done sync.WaitGroup
 	for g := range 8 {
@@ -244,7 +244,7 @@
 			for i := range 50 {
 				id := fmt.Sprintf("%d-%d", g, i)
 				ctx, cancel := context.WithCancel(context.Background())
-				r := p.Call(ctx, target, post(id, "x"), long)
+				r := p.Call(ctx, target, post(id, "x"), longWait)
 				cancel()
 				assert.Check(t, r.Outcome == Complete && r.Response.AttemptID == id)
 			}
@@ -267,12 +267,12 @@
 		}
 		defer c.Close()
 		in := make([]byte, 4096)
-		answer := []byte(validResponse("a", "ok"))
+		response := []byte(validResponse("a", "ok"))
 		for {
 			if _, err := c.Read(in); err != nil {
 				return
 			}
-			c.Write(answer)
+			c.Write(response)
 		}
 	}()
 	p := NewPool(Config{})
@@ -281,7 +281,7 @@
 	q := post("a", "body")
 	b.ReportAllocs()
 	for b.Loop() {
-		r := p.Call(context.Background(), target, q, long)
+		r := p.Call(context.Background(), target, q, longWait)
 		if r.Outcome != Complete {
 			b.Fatal(r.Outcome, r.Err)
 		}
--- a/internal/tier/upstream/random_schedule_test.go
+++ b/internal/tier/upstream/random_schedule_test.go
@@ -12,8 +12,9 @@
 
 const seeds = 200
 
-// seeded plays what a seed draws: a form of response, truncated or complete, early or not, on a new or a reused connection.
-func (w *wireClient) seeded(seed uint64) string {
+// runSeed makes one attempt with random parameters: a format of response, truncated or complete, early or not, on a new or a reused
+// connection. It returns what is wrong, or "".
+func (w *wireClient) runSeed(seed uint64) string {
 	draw := rand.New(rand.NewPCG(seed, 18))
 	forms := responseFormats()
 	f := forms[draw.IntN(len(forms))]
@@ -47,35 +48,35 @@
 func TestCall_RandomSchedules(t *testing.T) {
 	w := newWireClient(t)
 	for seed := range uint64(seeds) {
-		if wrong := w.seeded(seed); wrong != "" {
+		if wrong := w.runSeed(seed); wrong != "" {
 			t.Fatal(wrong)
 		}
 	}
 }
 
-// fault is what a naive call gets wrong.
+// fault selects what a naive call does wrong.
 type fault struct {
 	anyID        bool // the id is not compared
-	keepAnyCount bool // a connection on which another's answer came is kept
-	keepUnread   bool // bytes behind the answer are no reason to close
-	keepEarly    bool // an answer ends the sending, and the connection is kept with the body due
-	anyEnd       bool // a body without framing ends with any error
-	retryBroken  bool // a reset or a close is taken for a word that it has not run
+	keepAnyCount bool // a connection that carried a response to another request is kept
+	keepUnread   bool // a connection with unread bytes after the response is kept
+	keepEarly    bool // sending stops at a response, and the connection is kept although the body is not completely sent
+	anyEnd       bool // any error completes a body without framing
+	retryBroken  bool // a reset or a close is taken as proof that the request was not executed
 }
 
-// naive is a call with a fault, made of the parts of the real one.
+// naive returns a call with the fault, built from the parts of Pool.Call.
 func (f fault) naive(p *Pool) func(context.Context, Target, *Request) *Result {
 	return func(ctx context.Context, target Target, q *Request) *Result {
 		r := &Result{}
-		c, opened, end, err := p.acquire(ctx, target, q.AttemptID, time.Now().Add(long))
+		c, opened, end, err := p.acquire(ctx, target, q.AttemptID, time.Now().Add(longWait))
 		if r.NewConnection = opened; end != Complete {
 			return r.end(end, err)
 		}
-		within := long
+		timeout := longWait
 		if f.keepEarly { // the endpoint waits for a body that never comes
-			within = 100 * time.Millisecond
+			timeout = 100 * time.Millisecond
 		}
-		c.SetDeadline(time.Now().Add(within))
+		c.SetDeadline(time.Now().Add(timeout))
 		stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 		exchange := &exchange{pool: p, conn: c, ctx: ctx, result: r, stopCancel: stop}
 		body, size, sent := q.Body, 0, 0
@@ -96,7 +97,7 @@
 			return exchange.end(outcomeOf(ctx, err), err)
 		}
 		if f.anyID {
-			a, scratch, err := readHead(c.reader, nil) // of whatever comes first
+			a, scratch, err := readHead(c.reader, nil) // of whatever response arrives first
 			for err == nil && a.Status < 200 {
 				a, scratch, err = readHead(c.reader, scratch)
 			}
@@ -143,22 +144,22 @@
 	}
 }
 
-// TestNaiveCall_WithoutFault: the injected faults are found by the fault, not by the rest of the naive call.
+// TestNaiveCall_WithoutFault: the naive call without a fault passes, so that the injected faults alone are what the next test detects.
 func TestNaiveCall_WithoutFault(t *testing.T) {
 	w := newWireClient(t)
 	w.call = fault{}.naive(w.pool)
 	for seed := range uint64(seeds) {
-		if wrong := w.seeded(seed); wrong != "" {
+		if wrong := w.runSeed(seed); wrong != "" {
 			t.Fatal(wrong)
 		}
 	}
 }
 
-// TestNaiveCall_InjectedFaultsDetected: each naive call is found by the same seeds that the real one passes.
+// TestNaiveCall_InjectedFaultsDetected: each fault is detected by the same seeds that Pool.Call passes.
 func TestNaiveCall_InjectedFaultsDetected(t *testing.T) {
 	for name, f := range map[string]fault{
 		"an id check left out":                       {anyID: true},
-		"reused after another's answer":              {keepAnyCount: true},
+		"reused after a response to another request": {keepAnyCount: true},
 		"reused with bytes behind the answer":        {keepUnread: true},
 		"reused after an early answer":               {keepEarly: true},
 		"an unframed answer ends with any error":     {anyEnd: true},
@@ -173,12 +174,12 @@
 				w.call = f.naive(w.pool)
 			}
 			for seed := range uint64(seeds) {
-				if wrong := w.seeded(seed); wrong != "" {
+				if wrong := w.runSeed(seed); wrong != "" {
 					t.Log(wrong)
 					return
 				}
 			}
-			assert.Assert(t, false, "not found within %d seeds", seeds)
+			assert.Assert(t, false, "not detected within %d seeds", seeds)
 		})
 	}
 }
--- a/internal/tier/upstream/response_golden_test.go
+++ b/internal/tier/upstream/response_golden_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/golden"
 )
 
-// goldenHeads are heads of responses at the edges of what is accepted.
+// goldenHeads returns response heads at the edges of what is accepted.
 func goldenHeads() []string {
 	const status = "HTTP/1.1 200 OK\r\n"
 	heads := []string{
@@ -40,12 +40,12 @@
 	return heads
 }
 
-// TestReadHead_Golden compares what is read of many heads with the golden file, each head being read from a connection.
+// TestReadHead_Golden compares the parsed form of many heads with the golden file. Further bytes follow each head.
 func TestReadHead_Golden(t *testing.T) {
 	var out strings.Builder
 	for _, head := range goldenHeads() {
 		reader := bufio.NewReaderSize(strings.NewReader(head+"rest"), readerSize)
-		answer, _, err := readHead(reader, nil)
+		response, _, err := readHead(reader, nil)
 		shown := head
 		if len(shown) > 200 {
 			shown = fmt.Sprintf("%s...%d bytes", shown[:100], len(head))
@@ -56,11 +56,11 @@
 			continue
 		}
 		fmt.Fprintf(&out, "  %d %q length %d id %q signature %q not executed %t events %t retry after %v load %v %t versions %q closes %t named %t chunked %t encoded %t alive %v\n  fields",
-			answer.Status, answer.Reason, answer.Length, answer.AttemptID, answer.Signature, answer.NotExecuted, answer.IsEventStream, answer.RetryAfter, answer.Load, answer.HasLoad,
-			answer.Versions, answer.closesConnection, answer.explicitClose, answer.chunked, answer.encoded, answer.keepAlive)
-		for i, field := range answer.Header {
+			response.Status, response.Reason, response.Length, response.AttemptID, response.Signature, response.NotExecuted, response.IsEventStream, response.RetryAfter, response.Load, response.HasLoad,
+			response.Versions, response.closesConnection, response.explicitClose, response.chunked, response.encoded, response.keepAlive)
+		for i, field := range response.Header {
 			if i == 5 {
-				fmt.Fprintf(&out, " and %d more", len(answer.Header)-i)
+				fmt.Fprintf(&out, " and %d more", len(response.Header)-i)
 				break
 			}
 			value := field.Value
--- a/internal/tier/upstream/wire_test.go
+++ b/internal/tier/upstream/wire_test.go
@@ -16,26 +16,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// closeMode is what a test endpoint does at the byte where its plan ends.
+// closeMode is what a test endpoint does after the last byte of its plan.
 type closeMode int
 
 const (
 	closeByReset closeMode = iota
 	closeByFIN
-	unresponsive // the connection stays open, and the call's time runs out
-	noClose      // the connection stays open and serves what comes next
+	unresponsive // the connection stays open, and the call times out or is cancelled
+	noClose      // the connection stays open and serves further requests
 )
 
 func (e closeMode) String() string { return [...]string{"reset", "close", "silence", "goes on"}[e] }
 
-// responseFormat is one format of an endpoint's response. In its text, _ID__ stands for the request's id, which is as long.
+// responseFormat is one format of an endpoint's response. In its text, _ID__ stands for the request's id, which has the same length.
 type responseFormat struct {
 	name        string
 	text        string
 	complete    func(sent int, how closeMode) bool // whether what was sent is a complete response to the request
-	reusable    bool                               // all of it, with nothing behind, leaves the connection clean
+	reusable    bool                               // after the complete text, the connection may carry another request
 	success     bool
-	notExecuted bool // it says so, once complete
+	notExecuted bool // the complete response says that the request was not executed
 }
 
 const (
@@ -44,13 +44,14 @@
 	lengthText  = ownHead + "Content-Length: 7\r\n\r\n{_ID__}"
 )
 
-// framed is complete from its last byte on, whatever follows.
+// framed returns a complete function for formats that are complete from their last byte on, whatever follows.
 func framed(text string) func(int, closeMode) bool {
 	return func(sent int, _ closeMode) bool { return sent >= len(text) }
 }
 
-// closedBehindHead is complete wherever its body is closed: by the protocol that is its end, and no onlooker could tell.
-func closedBehindHead(text string) func(int, closeMode) bool {
+// completeOnClose returns a complete function for formats whose body ends with the connection: by the protocol, a close anywhere in the
+// body is its end, and a truncation can't be detected.
+func completeOnClose(text string) func(int, closeMode) bool {
 	return func(sent int, how closeMode) bool {
 		return how == closeByFIN && sent >= strings.Index(text, "\r\n\r\n")+4
 	}
@@ -70,30 +71,30 @@
 	return []responseFormat{
 		{name: "length", text: lengthText, complete: framed(lengthText), reusable: true, success: true},
 		{name: "chunked", text: chunked, complete: framed(chunked), reusable: true, success: true},
-		{name: "unframed", text: unframed, complete: closedBehindHead(unframed), success: true},
+		{name: "unframed", text: unframed, complete: completeOnClose(unframed), success: true},
 		{name: "unframed, end not announced", text: strings.Replace(unframed, "Connection: close\r\n", "", 1), complete: never, success: true},
 		{name: "events", text: events, complete: framed(events), reusable: true, success: true},
 		{name: "unframed events", text: unframedEvents, complete: never, success: true},
 		{name: "rejected", text: rejected, complete: framed(rejected), reusable: true, notExecuted: true},
 		{name: "unframed rejection", text: unframedRejected, notExecuted: true,
-			complete: closedBehindHead(unframedRejected)},
+			complete: completeOnClose(unframedRejected)},
 		{name: "failed", text: failed, complete: framed(failed), reusable: true},
 		{name: "interim first", text: interim, complete: framed(interim), reusable: true, success: true},
-		{name: "a second answer at once", text: lengthText + lengthText, complete: framed(lengthText), success: true},
+		{name: "a second response at once", text: lengthText + lengthText, complete: framed(lengthText), success: true},
 		{name: "garbage behind", text: lengthText + "\x00garbage", complete: framed(lengthText), success: true},
-		{name: "another's first", text: foreignText + lengthText, complete: framed(foreignText + lengthText), success: true},
-		{name: "only another's", text: foreignText, complete: never, success: true},
+		{name: "response to another attempt first", text: foreignText + lengthText, complete: framed(foreignText + lengthText), success: true},
+		{name: "only a response to another attempt", text: foreignText, complete: never, success: true},
 		{name: "without an id", text: strings.Replace(lengthText, "X-Attempt-Id: _ID__\r\n", "", 1), complete: never, success: true},
-		{name: "without a stamp", text: strings.Replace(lengthText, "X-Response-Signature: s._ID__\r\n", "", 1), complete: never, success: true},
+		{name: "without a signature", text: strings.Replace(lengthText, "X-Response-Signature: s._ID__\r\n", "", 1), complete: never, success: true},
 	}
 }
 
-// plan is what the endpoint does with one request: it reads so many bytes of it (all: -1), writes a text and closes.
+// plan is what the endpoint does with one request: it reads a number of its bytes (-1: all), writes a text and ends as how says.
 type plan struct {
 	read  int
 	text  string
 	sent  int  // bytes of the text
-	early bool // it writes them before it reads the body
+	early bool // the text is written before the body is read
 	how   closeMode
 	clean bool // the connection may carry another request afterwards
 }
@@ -101,11 +102,11 @@
 // recordingEndpoint is an endpoint that follows a plan for each attempt id, responds to others, and records what it receives.
 type recordingEndpoint struct {
 	target   Target
-	timedOut chan string // the ids of those whose plan ended without closing
+	timedOut chan string // ids of the requests whose plan ended without closing the connection
 
 	mu       sync.Mutex
 	plans    map[string]plan
-	arrivals map[string]int // by attempt id, of which a byte came
+	arrivals map[string]int // by attempt id: requests of which a byte was received
 	faults   []string
 	conns    []*net.TCPConn
 }
@@ -147,43 +148,43 @@
 	s.mu.Unlock()
 }
 
-// serve reads requests whose id is the first thing in their path, so that a part of one is known, too.
+// serve reads requests. The id is the first segment of the path, so that a partly received request can be identified, too.
 func (s *recordingEndpoint) serve(c *net.TCPConn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
-	spent := "" // the id after which nothing may come on this connection
+	uncleanAfter := "" // id of the request after which nothing more may arrive on this connection
 	for {
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		if spent != "" {
-			s.fault("a request on the connection that %s left unclean", spent)
+		if uncleanAfter != "" {
+			s.fault("a request on the connection that %s left unclean", uncleanAfter)
 			return
 		}
-		id, seen, ok := s.head(r)
+		id, seen, ok := s.readRequestHead(r)
 		if id == "" {
-			s.fault("no request where one is due: %q", seen)
+			s.fault("bytes that are not a request: %q", seen)
 			return
 		}
 		s.mu.Lock()
 		s.arrivals[id]++
 		p, planned := s.plans[id]
 		s.mu.Unlock()
-		if !ok { // the request was cut by its sender
+		if !ok { // the client closed the connection within the request
 			return
 		}
 		if !planned {
 			p = plan{read: -1, text: lengthText, sent: len(lengthText), how: noClose, clean: true}
 		}
-		say := strings.ReplaceAll(p.text, "_ID__", id)[:p.sent]
+		response := strings.ReplaceAll(p.text, "_ID__", id)[:p.sent]
 		if p.early {
-			io.WriteString(c, say)
+			io.WriteString(c, response)
 		}
-		if p.read < 0 && !s.rest(r, id, seen) {
+		if p.read < 0 && !s.readBody(r, id, seen) {
 			return
 		}
 		if !p.early {
-			io.WriteString(c, say)
+			io.WriteString(c, response)
 		}
 		switch p.how {
 		case closeByReset:
@@ -193,22 +194,22 @@
 			return
 		case unresponsive:
 			s.timedOut <- id
-			if p.read >= 0 { // the rest of its own request may come, and nothing else
+			if p.read >= 0 { // the rest of this request may arrive, and nothing else
 				if rest, _ := io.ReadAll(r); strings.Contains(string(rest), "PUT /") {
-					s.fault("a request on the connection where the rest of %s is due", id)
+					s.fault("a request on the connection where the rest of %s is expected", id)
 				}
 				return
 			}
 		case noClose:
 		}
 		if !p.clean {
-			spent = id
+			uncleanAfter = id
 		}
 	}
 }
 
-// head reads up to the bytes that a plan names or the end of the head.
-func (s *recordingEndpoint) head(r *bufio.Reader) (id, seen string, ok bool) {
+// readRequestHead reads as many bytes as the request's plan says, or up to the end of the head.
+func (s *recordingEndpoint) readRequestHead(r *bufio.Reader) (id, seen string, ok bool) {
 	var head strings.Builder
 	for {
 		b, err := r.ReadByte()
@@ -239,8 +240,8 @@
 	}
 }
 
-// rest reads the body, which holds nothing but the id's first byte.
-func (s *recordingEndpoint) rest(r *bufio.Reader, id, head string) bool {
+// readBody reads the body, which must consist of the first byte of the id only.
+func (s *recordingEndpoint) readBody(r *bufio.Reader, id, head string) bool {
 	_, length, _ := strings.Cut(head, "Content-Length: ")
 	n := 0
 	fmt.Sscanf(length, "%d", &n)
@@ -249,18 +250,18 @@
 		return false
 	}
 	if strings.Trim(string(body), id[:1]) != "" {
-		s.fault("%s: other bytes where its body is due", id)
+		s.fault("%s: the body has bytes of another request", id)
 	}
 	return true
 }
 
-// overContext is a context whose deadline is over when the test says so.
-type overContext struct {
+// causeContext is a context whose error is cause once the embedded context is cancelled, so that a test can trigger a deadline.
+type causeContext struct {
 	context.Context
 	cause error
 }
 
-func (c *overContext) Err() error {
+func (c *causeContext) Err() error {
 	if c.Context.Err() != nil {
 		return c.cause
 	}
@@ -274,7 +275,7 @@
 	complete bool
 }
 
-// wireClient sends as a gateway does: it retries only where Classify allows it.
+// wireClient sends requests as the gateway does: it retries only if Classify allows it.
 type wireClient struct {
 	t        *testing.T
 	pool     *Pool
@@ -283,10 +284,10 @@
 	call     func(context.Context, Target, *Request) *Result
 }
 
-// bodyPart is part of a long body.
+// bodyPart is a part of a long body.
 var bodyPart = bytes.Repeat([]byte("v"), 64<<10)
 
-// wireRequest has a body of its id's first byte; a long one is made of parts.
+// wireRequest returns a request whose body repeats the first byte of its id; a long body consists of parts.
 func wireRequest(id string, size int) *Request {
 	q := &Request{Method: "PUT", Target: "/" + id + "/x", Host: "h", AttemptID: id, Priority: -1}
 	for ; id[0] == bodyPart[0] && size >= len(bodyPart); size -= len(bodyPart) {
@@ -298,14 +299,14 @@
 
 func (w *wireClient) send(id string, size int, cause error) (observed, *Result) {
 	for tries := 1; ; tries++ {
-		got, r := w.once(id, size, cause)
+		got, r := w.sendOnce(id, size, cause)
 		if !w.retry(r) || got.body != "" || tries == 3 {
 			return got, r
 		}
 	}
 }
 
-func (w *wireClient) once(id string, size int, cause error) (observed, *Result) {
+func (w *wireClient) sendOnce(id string, size int, cause error) (observed, *Result) {
 	inner, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	done := make(chan struct{})
@@ -319,7 +320,7 @@
 			}
 		}()
 	}
-	r := w.call(&overContext{inner, cause}, w.endpoint.target, wireRequest(id, size))
+	r := w.call(&causeContext{inner, cause}, w.endpoint.target, wireRequest(id, size))
 	got := observed{body: string(r.Body), complete: r.Outcome == Complete}
 	if r.Stream != nil {
 		pieces, err := collectEvents(r.Stream)
@@ -335,7 +336,7 @@
 	return got, r
 }
 
-// check judges, from outside, what the client of one request has.
+// check returns what is wrong with what the client of one request received, or "".
 func (got observed) check(id string, f *responseFormat, sent int, how closeMode, arrivals int) string {
 	own := "{" + id + "}"
 	if strings.Contains(f.text, "id: 1") {
@@ -343,20 +344,20 @@
 	}
 	switch {
 	case !strings.HasPrefix(own, got.body):
-		return fmt.Sprintf("bytes that are not its own answer's: %q", got.body)
+		return fmt.Sprintf("bytes that are not of its own response: %q", got.body)
 	case got.complete && !f.complete(sent, how):
-		return "an answer that was not whole looks whole"
+		return "an incomplete response looks complete"
 	case got.reply == ServiceUnavailable && !(f.notExecuted && f.complete(sent, how)) && arrivals > 0:
-		return "a promise that it has not run"
+		return "a 503 promises that the request was not executed"
 	case arrivals > 1 && !(f.notExecuted && f.complete(sent, how)):
 		return fmt.Sprintf("reached endpoints %d times", arrivals)
 	case got.reply == ForwardResponse && !got.complete:
-		return "passed on though not whole"
+		return "forwarded although incomplete"
 	}
 	return ""
 }
 
-// attempt plays one request to its end and the next one behind it, and names what is wrong.
+// attempt makes one request to its end and then a next one, and returns what is wrong, or "".
 func (w *wireClient) attempt(name string, reused bool, f *responseFormat, p plan, sent, size int, cause error) string {
 	victim, next := "v"+name, "n"+name
 	w.endpoint.mu.Lock()
@@ -365,15 +366,15 @@
 	w.endpoint.mu.Unlock()
 	if reused {
 		if got, _ := w.send("w"+name, 4, nil); got.body != "{w"+name+"}" {
-			return "the request before is not served"
+			return "the previous request was not served"
 		}
 	} else {
 		w.pool.Forget(w.endpoint.target.Address, w.endpoint.target.Instance)
 	}
 	got, _ := w.send(victim, size, cause)
 	after, r := w.send(next, 4, nil)
-	// The endpoint may have ended a connection just as the next request was sent: that one may have run, for all its sender
-	// knows. Such connections come to an end.
+	// The endpoint may have closed a connection just as the next request was sent. The client can't tell whether that request was
+	// executed and doesn't retry it. Further requests use up such connections.
 	for n := 0; r.Written && !r.NewConnection && r.Outcome == Broken && n < 10; n++ {
 		next = fmt.Sprintf("%c%s", 'a'+n, name)
 		after, r = w.send(next, 4, nil)
@@ -384,7 +385,7 @@
 		return w.endpoint.faults[0]
 	}
 	if after.body != "{"+next+"}" {
-		return fmt.Sprintf("the request behind got %+v", after)
+		return fmt.Sprintf("the next request got %+v", after)
 	}
 	return got.check(victim, f, sent, p.how, w.endpoint.arrivals[victim])
 }
@@ -393,7 +394,7 @@
 	t.Helper()
 	p := newTestPool(t)
 	return &wireClient{t: t, pool: p, endpoint: newRecordingEndpoint(t), retry: func(r *Result) bool { return r.Disposition(false).MayRetry(false) },
-		call: func(ctx context.Context, target Target, q *Request) *Result { return p.Call(ctx, target, q, long) }}
+		call: func(ctx context.Context, target Target, q *Request) *Result { return p.Call(ctx, target, q, longWait) }}
 }
 
 func unresponsiveCauses(how closeMode) []error {
@@ -403,8 +404,8 @@
 	return []error{nil}
 }
 
-// TestWire_ResponsesTruncatedAtEachByte: each form of response ends by a reset, a close or without closing at each of its bytes, on a new and on
-// a reused connection, with a request behind it.
+// TestWire_ResponsesTruncatedAtEachByte: each format of response ends by a reset, a close or without closing at each of its bytes, on a
+// new and on a reused connection, and a next request follows.
 func TestWire_ResponsesTruncatedAtEachByte(t *testing.T) {
 	for _, f := range responseFormats() {
 		t.Run(f.name, func(t *testing.T) {
@@ -431,7 +432,8 @@
 	}
 }
 
-// TestWire_CompleteResponses: each form is complete and its connection stays open. It carries the next request only if it is clean.
+// TestWire_CompleteResponses: each format is complete and its connection stays open. A connection carries the next request only if it is
+// clean.
 func TestWire_CompleteResponses(t *testing.T) {
 	for _, f := range responseFormats() {
 		if f.complete(len(f.text), noClose) {
@@ -448,7 +450,7 @@
 	}
 }
 
-// TestWire_RequestsTruncatedAtEachByte: the endpoint ends the connection after each byte of a request, having said nothing.
+// TestWire_RequestsTruncatedAtEachByte: the endpoint ends the connection after each byte of a request, without a response.
 func TestWire_RequestsTruncatedAtEachByte(t *testing.T) {
 	form := responseFormat{name: "nothing", complete: never}
 	w := newWireClient(t)
@@ -468,10 +470,10 @@
 	}
 }
 
-// TestWire_EarlyResponsesTruncatedAtEachByte: the endpoint has read only the head of a long request when it answers, and then resets or
-// closes: the rest of the body is due.
+// TestWire_EarlyResponsesTruncatedAtEachByte: the endpoint responds when it has read only the head of a long request, then resets or
+// closes the connection before the rest of the body was sent.
 func TestWire_EarlyResponsesTruncatedAtEachByte(t *testing.T) {
-	const large = 6 << 20 // more than sockets take
+	const large = 6 << 20 // more than socket buffers take
 	for _, f := range responseFormats() {
 		if f.name == "rejected" || f.name == "unframed rejection" || f.name == "failed" || f.name == "length" || f.name == "unframed" {
 			w := newWireClient(t)
