--- a/client/client.go
+++ b/client/client.go
@@ -13,34 +13,34 @@
 	"time"
 )
 
-// Defaults and bounds of Config.
+// Defaults and limits.
 const (
 	defaultAttemptTimeout = time.Second
 	minBackoff            = 20 * time.Millisecond
 	maxBackoff            = 500 * time.Millisecond
-	maxRedirects          = 2       // that one attempt follows
-	maxResponseBytes      = 4 << 20 // of a body
+	maxRedirects          = 2       // of one attempt
+	maxResponseBytes      = 4 << 20 // of one response body
 )
 
-// Errors that callers tell apart.
+// Errors that callers can distinguish.
 var (
-	// ErrNoAddress is returned by New without an address.
+	// ErrNoAddress is returned by New for a Config without an address.
 	ErrNoAddress = errors.New("client: no control-plane address is given")
-	// ErrLocked says that another holds the lock.
-	ErrLocked = errors.New("client: another holds the lock")
-	// ErrLockLost says that the lock is held no more.
-	ErrLockLost = errors.New("client: the lock is lost")
+	// ErrLocked says that another owner holds the lock.
+	ErrLocked = errors.New("client: another owner holds the lock")
+	// ErrLockLost says that the lock is no longer held.
+	ErrLockLost = errors.New("client: the lock is no longer held")
 	// ErrKeyMissing says that the key was never put.
-	ErrKeyMissing = errors.New("client: there is no such key")
-	// ErrHistoryGone says that the history of the group begins after the revision of a watch: read the keys again, then watch from the
-	// present revision.
-	ErrHistoryGone = errors.New("client: the history begins after this revision")
+	ErrKeyMissing = errors.New("client: the key does not exist")
+	// ErrHistoryGone says that the history of the group begins after the revision of a watch: read the keys again, then watch from
+	// the current revision.
+	ErrHistoryGone = errors.New("client: the history of the group begins after the revision")
 )
 
-// errTooManyRedirects ends an attempt; the next goes to another address.
+// errTooManyRedirects ends an attempt; the next attempt is made at another address.
 var errTooManyRedirects = errors.New("client: too many redirects in a row")
 
-// StatusError is a response that says that the call itself is wrong.
+// StatusError is a response with a status that the call does not expect, such as 400 for an invalid call.
 type StatusError struct {
 	Status  int
 	Message string
@@ -51,10 +51,10 @@
 	return fmt.Sprintf("client: status %d: %s", err.Status, err.Message)
 }
 
-// Config is what New needs.
+// Config is the configuration of a Client.
 type Config struct {
 	Addresses      []string      // host:port of control-plane processes
-	HTTP           *http.Client  // default: one of its own; redirects are followed by this package
+	HTTP           *http.Client  // default: a new client; this package follows redirects itself
 	AttemptTimeout time.Duration // of one attempt at one address; default: one second
 }
 
@@ -62,10 +62,10 @@
 type Client struct {
 	config Config
 	http   http.Client
-	next   atomic.Uint64 // number of the address that the next attempt goes to
+	next   atomic.Uint64 // counts failed attempts; selects the address of the next attempt
 }
 
-// New returns a client. The error is ErrNoAddress.
+// New returns a client. The only error is ErrNoAddress.
 func New(config Config) (*Client, error) {
 	if len(config.Addresses) == 0 {
 		return nil, ErrNoAddress
@@ -81,7 +81,7 @@
 	return c, nil
 }
 
-// reply is a response with its whole body.
+// reply is a response with its complete body.
 type reply struct {
 	status int
 	body   []byte
@@ -90,28 +90,28 @@
 // decode reads the JSON body.
 func (r reply) decode(into any) error {
 	if err := json.Unmarshal(r.body, into); err != nil {
-		return fmt.Errorf("client: a response that is no JSON: %w", err)
+		return fmt.Errorf("client: the response is not valid JSON: %w", err)
 	}
 	return nil
 }
 
-// statusError is the error of a status that the call does not expect.
+// statusError returns the error for a status that the call does not expect.
 func (r reply) statusError() error {
 	var body struct {
 		Message string `json:"error_message"`
 	}
-	_ = json.Unmarshal(r.body, &body) // without a message the status tells enough
+	_ = json.Unmarshal(r.body, &body) // the message is optional
 	return &StatusError{r.status, body.Message}
 }
 
-// call makes attempts until one gets a clear answer: any status but 429 and 5xx. timeout bounds one attempt. The error is that of ctx,
-// with the last failure.
+// call makes attempts until one gets a definitive response: any status except 429 and 5xx. timeout bounds one attempt. The error
+// wraps that of ctx and the last failure.
 func (c *Client) call(ctx context.Context, method, path string, body any, timeout time.Duration) (reply, error) {
 	var raw []byte
 	if body != nil {
 		var err error
 		if raw, err = json.Marshal(body); err != nil {
-			return reply{}, fmt.Errorf("client: the body of the call: %w", err)
+			return reply{}, fmt.Errorf("client: failed to encode the request body: %w", err)
 		}
 	}
 	backoff := minBackoff
@@ -129,13 +129,13 @@
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
-			return reply{}, fmt.Errorf("client: no clear answer: %w, last: %w", ctx.Err(), err)
+			return reply{}, fmt.Errorf("client: no definitive response: %w, last failure: %w", ctx.Err(), err)
 		}
 		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// attempt makes one attempt at the present address, and follows redirects from there.
+// attempt makes one attempt at the current address, and follows its redirects.
 func (c *Client) attempt(ctx context.Context, method, path string, body []byte, timeout time.Duration) (reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -153,7 +153,7 @@
 	}
 }
 
-// send sends one request and reads its response, with the target of a redirect.
+// send sends one request, and returns its response and the target of a redirect.
 func (c *Client) send(ctx context.Context, method, target string, body []byte) (r reply, location string, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
@@ -167,7 +167,7 @@
 	defer response.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return reply{}, "", fmt.Errorf("client: the body of a response: %w", err)
+		return reply{}, "", fmt.Errorf("client: failed to read the response body: %w", err)
 	}
 	return reply{response.StatusCode, raw}, response.Header.Get("Location"), nil
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -45,7 +45,7 @@
 	assert.ErrorIs(t, err, client.ErrNoAddress)
 }
 
-// A call moves on after whatever gives no clear answer, and follows redirects.
+// A call is retried at the next address after an attempt without a definitive response, and follows redirects.
 func TestCall_MovesOn(t *testing.T) {
 	good := serve(t, respond(200, `{"value":7}`))
 	for _, c := range []struct {
@@ -56,7 +56,7 @@
 		{"too many requests", respond(429, `{}`)},
 		{"outcome unknown", respond(504, `{}`)},
 		{"no answer in time", func(_ http.ResponseWriter, r *http.Request) {
-			_, _ = io.Copy(io.Discard, r.Body) // only then does the server notice that the client leaves
+			_, _ = io.Copy(io.Discard, r.Body) // the server detects a closed connection only after the body has been read
 			<-r.Context().Done()
 		}},
 		{"a connection that breaks", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }},
@@ -76,7 +76,7 @@
 	}
 }
 
-// A call without a clear answer ends with its context, and tells the last failure.
+// A call without a definitive response ends with its context, and its error contains the last failure.
 func TestCall_CancelledByContext(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
@@ -126,7 +126,7 @@
 	}
 }
 
-// A renewal that is answered 409, or too late, ends the hold.
+// A renewal that gets a 409, or no answer in time, ends the hold.
 func TestLock_ExpiresWithoutRenewal(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -154,7 +154,8 @@
 	}
 }
 
-// The hold counts from before the call: an answer that took longer than the hold is no lock, and it is asked for again.
+// The hold is measured from before the call: a grant that arrives after the hold time is discarded, and the lock is requested
+// again.
 func TestAcquire_AnswerAfterHold(t *testing.T) {
 	var calls atomic.Int64
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -13,7 +13,8 @@
 	"saffronyard.example/saffronyard/client"
 )
 
-// exampleServer plays a control plane: it grants each lock with fence 41, and has a group of keys at revision 930 with one put to come.
+// exampleServer is a fake control plane: it grants each lock with fence 41, and has a group of keys at revision 930 with one put to
+// follow.
 func exampleServer() (address string, closeServer func()) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -31,7 +32,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), server.Close
 }
 
-// One batch at a time: the ledger refuses a fencing token that is lower than the highest it has seen.
+// Only one worker at a time runs a batch. The ledger rejects a fencing token that is lower than the highest it has seen.
 func ExampleClient_Acquire() {
 	address, closeServer := exampleServer()
 	defer closeServer()
@@ -54,7 +55,7 @@
 	// released: true
 }
 
-// One of several processes leads; the others wait until it has gone.
+// One of several processes is the leader; the others wait until it releases the lock or the lock expires.
 func ExampleClient_Lead() {
 	address, closeServer := exampleServer()
 	defer closeServer()
@@ -73,7 +74,7 @@
 	// ended: true
 }
 
-// All changes of a group of keys from now on, up to the first.
+// Watches all changes of a group of keys from now on, and stops after the first.
 func ExampleClient_Watch() {
 	address, closeServer := exampleServer()
 	defer closeServer()
--- a/client/key.go
+++ b/client/key.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// watchWait is for how long the control plane holds one call of a watch.
+// watchWait is how long the control plane waits for a put in one call of a watch.
 const watchWait = 2 * time.Second
 
 // Event is a put of a key.
@@ -18,8 +18,8 @@
 	Revision uint64 `json:"etag"`
 }
 
-// ConflictError says that a key has another revision than a put asked for, 0 if it does not exist. The put has not taken effect and never
-// will.
+// ConflictError says that a key has another revision than a put requires: Revision, or 0 if the key does not exist. The put has not
+// taken effect and never will.
 type ConflictError struct{ Revision uint64 }
 
 // Error implements error.
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("client: the key has revision %d", err.Revision)
 }
 
-// NextNumber returns a number that is above all that were given out before under the name.
+// NextNumber returns a number greater than all that were returned before for the name.
 func (c *Client) NextNumber(ctx context.Context, name string) (uint64, error) {
 	r, err := c.post(ctx, "numbers", name, struct{}{})
 	if err != nil {
@@ -44,16 +44,17 @@
 
 // putBody is the body of a put.
 type putBody struct {
-	Value   string  `json:"value"`
-	Enabled *uint64 `json:"enabled,omitempty"`
+	Value      string  `json:"value"`
+	IfRevision *uint64 `json:"enabled,omitempty"`
 }
 
-// Put sets a key, whatever its revision, and returns the new one.
+// Put sets a key regardless of its revision, and returns the new revision.
 func (c *Client) Put(ctx context.Context, name, value string) (revision uint64, err error) {
 	return c.put(ctx, name, putBody{Value: value})
 }
 
-// PutIf sets a key if it has a revision; 0: if it does not exist. The error is a ConflictError, a StatusError, or that of ctx.
+// PutIf sets a key if it has the given revision; with revision 0, if it does not exist. The error is a ConflictError, a
+// StatusError, or that of ctx.
 func (c *Client) PutIf(ctx context.Context, name, value string, revision uint64) (newRevision uint64, err error) {
 	return c.put(ctx, name, putBody{value, &revision})
 }
@@ -99,17 +100,18 @@
 	Revision uint64  `json:"etag"`
 }
 
-// Revision returns the present revision of a group: the part of names up to the first dot, which belongs to it.
+// Revision returns the current revision of a group. The name of a group is the part of its keys' names up to and including the
+// first dot.
 func (c *Client) Revision(ctx context.Context, group string) (uint64, error) {
 	r, err := c.watchOnce(ctx, group, 0)
 	return r.Revision, err
 }
 
-// emptyGroupInterval is how often Watch asks for the revision of a group without a put, which no call is held for.
+// emptyGroupInterval is how often Watch polls the revision of a group without a put, for which the control plane answers at once.
 const emptyGroupInterval = 200 * time.Millisecond
 
-// Watch calls onEvent with each put of a group above a revision, in their order, until ctx ends, onEvent returns an error, or the history
-// does not reach back that far (ErrHistoryGone). With revision 0 it begins with the puts that come after the call.
+// Watch calls onEvent with each put of a group above the revision after, in order, until ctx ends, onEvent returns an error, or the
+// history of the group begins after that revision (ErrHistoryGone). With revision 0 it begins with the puts made after the call.
 func (c *Client) Watch(ctx context.Context, group string, after uint64, onEvent func(Event) error) error {
 	for {
 		r, err := c.watchOnce(ctx, group, after)
--- a/client/lock.go
+++ b/client/lock.go
@@ -11,10 +11,10 @@
 // renewalsPerHold is how often KeepAlive renews within a hold time.
 const renewalsPerHold = 3
 
-// acquireRetryInterval is how long AcquireWait waits before it asks again for a lock that another holds.
+// acquireRetryInterval is the pause of AcquireWait before it retries while another owner holds the lock.
 const acquireRetryInterval = 200 * time.Millisecond
 
-// Lock is a lock that was acquired. It is safe for concurrent use.
+// Lock is an acquired lock. It is safe for concurrent use.
 type Lock struct {
 	client *Client
 	name   string
@@ -22,23 +22,23 @@
 	hold   time.Duration
 	fence  uint64
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards expiresAt
 	expiresAt time.Time  // by this process's monotonic clock
 }
 
-// lockBody is the body of a call of locks.
+// lockBody is the request body of the lock calls.
 type lockBody struct {
 	Owner      string `json:"holder"`
 	Fence      uint64 `json:"fence,omitempty"`
 	HoldTimeMS int64  `json:"hold_time_ms,omitempty"`
 }
 
-// Acquire asks once for a lock, for a hold time of a millisecond at least. The owner's name should be unique to this process. The error
-// is ErrLocked, a StatusError, or that of ctx.
+// Acquire tries once to acquire a lock, for a hold time of at least one millisecond. The owner's name should be unique to this
+// process. The error is ErrLocked, a StatusError, or that of ctx.
 func (c *Client) Acquire(ctx context.Context, name, owner string, hold time.Duration) (*Lock, error) {
 	lock := &Lock{client: c, name: name, owner: owner, hold: hold}
 	var r reply
-	for { // an answer that comes after the hold time is of no use
+	for { // a response that arrives after the hold time is discarded: the lock may have expired
 		sent := time.Now()
 		var err error
 		if r, err = c.post(ctx, "Locks.Create", name, lockBody{Owner: owner, HoldTimeMS: hold.Milliseconds()}); err != nil {
@@ -65,7 +65,7 @@
 	return lock, nil
 }
 
-// AcquireWait asks for a lock until it gets it or ctx ends.
+// AcquireWait acquires a lock. While another owner holds the lock, it retries until ctx ends.
 func (c *Client) AcquireWait(ctx context.Context, name, owner string, hold time.Duration) (*Lock, error) {
 	for {
 		lock, err := c.Acquire(ctx, name, owner, hold)
@@ -82,21 +82,21 @@
 	}
 }
 
-// Fence is the fencing token: higher than that of each owner before.
+// Fence returns the fencing token. It is higher than the tokens of all previous owners.
 func (lock *Lock) Fence() uint64 { return lock.fence }
 
 // Valid reports whether the lock is held at this moment.
 func (lock *Lock) Valid() bool { return time.Now().Before(lock.ExpiresAt()) }
 
-// ExpiresAt is when the lock is held no more unless it is renewed.
+// ExpiresAt returns when the lock expires unless it is renewed.
 func (lock *Lock) ExpiresAt() time.Time {
 	lock.mu.Lock()
 	defer lock.mu.Unlock()
 	return lock.expiresAt
 }
 
-// Renew extends the hold by the hold time from now. The error is ErrLockLost, a StatusError, or that of ctx. It gives up at the end of
-// the hold: an answer that comes later counts for nothing.
+// Renew extends the hold: the lock then expires one hold time after this call. The error is ErrLockLost, a StatusError, or that of
+// ctx. Renew gives up at the end of the current hold: a response that arrives later is ignored.
 func (lock *Lock) Renew(ctx context.Context) error {
 	ctx, cancel := context.WithDeadline(ctx, lock.ExpiresAt())
 	defer cancel()
@@ -119,14 +119,14 @@
 	return nil
 }
 
-// expire ends the hold at this process.
+// expire marks the lock as no longer held by this process.
 func (lock *Lock) expire() {
 	lock.mu.Lock()
 	defer lock.mu.Unlock()
 	lock.expiresAt = time.Time{}
 }
 
-// Release gives the lock back. It is held no more from the call on, whatever the result.
+// Release releases the lock. From the start of the call the lock counts as no longer held, whatever the result.
 func (lock *Lock) Release(ctx context.Context) error {
 	lock.expire()
 	r, err := lock.client.post(ctx, "Locks.Delete", lock.name, lockBody{Owner: lock.owner, Fence: lock.fence})
@@ -136,8 +136,8 @@
 	return err
 }
 
-// KeepAlive renews the lock until ctx ends or the lock is lost, and returns ErrLockLost or the error of ctx. Whoever acts under the lock
-// asks Valid right before each act.
+// KeepAlive renews the lock until ctx ends or the lock is lost, and returns ErrLockLost or the error of ctx. Callers should check
+// Valid immediately before each operation that the lock protects.
 func (lock *Lock) KeepAlive(ctx context.Context) error {
 	ticker := time.NewTicker(max(time.Millisecond, lock.hold/renewalsPerHold))
 	defer ticker.Stop()
@@ -153,8 +153,8 @@
 	}
 }
 
-// Lead takes part in an election: it waits for the lock, runs lead while the lock is kept alive, and releases it when lead returns. The
-// context of lead ends as soon as the lock is lost. It returns lead's error, ErrLockLost, or that of ctx.
+// Lead takes part in an election: it waits for the lock, calls lead while it keeps the lock alive, and releases the lock when lead
+// returns. The context of lead ends as soon as the lock is lost. It returns the error of lead, ErrLockLost, or that of ctx.
 func (c *Client) Lead(ctx context.Context, name, owner string, hold time.Duration, lead func(ctx context.Context, lock *Lock) error) error {
 	lock, err := c.AcquireWait(ctx, name, owner, hold)
 	if err != nil {
@@ -170,7 +170,7 @@
 	if lost {
 		return errors.Join(ErrLockLost, err)
 	}
-	releasing, cancel := context.WithTimeout(context.WithoutCancel(ctx), hold) // after that it is free anyway
+	releasing, cancel := context.WithTimeout(context.WithoutCancel(ctx), hold) // after the hold time the lock expires anyway
 	defer cancel()
 	return errors.Join(err, lock.Release(releasing))
 }
--- a/internal/tier/coordination/calls.go
+++ b/internal/tier/coordination/calls.go
@@ -27,20 +27,20 @@
 	Fence uint64
 }
 
-// NextNumber asks for a number above all that were given out under the counter's name.
+// NextNumber requests a number greater than all that were returned before for the counter.
 type NextNumber struct{ ID string }
 
 // PutKey sets a key.
 type PutKey struct {
 	Name, Value string
-	IfRevision  *uint64 // the revision that the key must have, 0: it must not exist; nil: any
+	IfRevision  *uint64 // the revision that the key must have; 0: the key must not exist; nil: any
 }
 
 // ReadKey reads a key.
 type ReadKey struct{ Name string }
 
-// WatchGroup asks for the puts of a group above a revision. It is held until there is one, or for Wait. With After 0 only the present
-// revision is asked for.
+// WatchGroup requests the puts of a group above the revision After. It waits until there is one, for at most Wait. With After 0 it
+// returns only the current revision, without waiting.
 type WatchGroup struct {
 	Group string // ends with a dot
 	After uint64
@@ -55,7 +55,7 @@
 func (ReadKey) isCall()     {}
 func (WatchGroup) isCall()  {}
 
-// Result is what becomes of a call. It is one of the types below.
+// Result is the result of a call. It is one of the types below.
 type Result interface{ isResult() }
 
 type (
@@ -65,15 +65,15 @@
 	LockRenewed struct{}
 	// LockReleased says that the caller does not hold the lock (any more).
 	LockReleased struct{}
-	// LockUnavailable says that another holds the lock, or may.
+	// LockUnavailable says that another owner holds the lock, or may still hold it.
 	LockUnavailable struct{}
 	// LockLost says that the caller does not hold the lock.
 	LockLost struct{}
-	// Number is a value that is above all before it.
+	// Number is a value greater than all that were returned before for the counter.
 	Number struct{ Value uint64 }
-	// KeyWritten says that the put is in force at this revision.
+	// KeyWritten says that the put took effect at this revision.
 	KeyWritten struct{ Revision uint64 }
-	// KeyConflict says that the key has another revision than the put asked for; 0: it does not exist.
+	// KeyConflict says that the key has another revision than the put requires; 0: the key does not exist.
 	KeyConflict struct{ Revision uint64 }
 	// KeyFound is the newest put of a key.
 	KeyFound struct {
@@ -82,7 +82,7 @@
 	}
 	// KeyMissing says that the key was never put.
 	KeyMissing struct{}
-	// GroupPuts are all puts of a group above the watch's revision, up to Revision, in rising order.
+	// GroupPuts are all puts of a group above the watch's revision, up to Revision, in ascending order.
 	GroupPuts struct {
 		Puts     []Put
 		Revision uint64
--- a/internal/tier/coordination/key.go
+++ b/internal/tier/coordination/key.go
@@ -8,7 +8,7 @@
 // maxTrimmedPuts bounds the puts that one step removes from the history of a group.
 const maxTrimmedPuts = 64
 
-// group is the keys whose names are alike up to the first dot.
+// group is the set of keys whose names are equal up to the first dot.
 type group struct {
 	name     string
 	revision uint64 // of its newest put
@@ -25,7 +25,7 @@
 // putID identifies a put: the values of a key are unique.
 type putID struct{ name, value string }
 
-// GroupOf is the group of a key: its name up to the first dot, which belongs to it, or the whole name if it has none.
+// GroupOf returns the group of a key: its name up to and including the first dot, or the complete name if it has none.
 func GroupOf(name string) string {
 	if i := strings.IndexByte(name, '.'); i >= 0 {
 		return name[:i+1]
@@ -33,7 +33,7 @@
 	return name
 }
 
-// group returns a group by its name, made on demand.
+// group returns the group with a name, and creates it if needed.
 func (m *Machine) group(name string) *group {
 	g := m.groups[name]
 	if g == nil {
@@ -43,7 +43,7 @@
 	return g
 }
 
-// put sets a key, unless the put is a repeat of one that is in force or in the history, or asks for another revision.
+// put sets a key, unless the put repeats the current one or one in the history, or requires another revision than the key has.
 func (m *Machine) put(call PutKey) Result {
 	before, exists := m.keys[call.Name]
 	if exists && before.Value == call.Value {
@@ -81,7 +81,7 @@
 	return KeyFound{put.Value, put.Revision}
 }
 
-// trimHistories removes the puts that are older than the retention, some in each step.
+// trimHistories removes puts that are older than the retention, at most maxTrimmedPuts of each group in one step.
 func (m *Machine) trimHistories() {
 	for _, g := range m.groups {
 		trimmed := 0
--- a/internal/tier/coordination/lock.go
+++ b/internal/tier/coordination/lock.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// maxClockDrift is by how much the clock of an owner may run slower than this one's, as a fraction: forty times what NTP
-	// steers a clock by at most.
+	// maxClockDrift is the fraction by which the clock of an owner may run slower than that of this process: forty times the
+	// maximum rate at which NTP slews a clock.
 	maxClockDrift = 0.02
-	// maxRemovedLocks bounds the expired locks that one step looks at.
+	// maxRemovedLocks bounds the locks that one step checks for expiry.
 	maxRemovedLocks = 16
 )
 
-// lock is one that is held, or was held until expiresAt.
+// lock is a lock that is held until expiresAt, or was held until then.
 type lock struct {
 	owner      string
 	fence      uint64        // the newest of this hold
@@ -19,12 +19,12 @@
 	expiresAt  time.Duration
 }
 
-// holdEnd is when a hold that begins or is extended now is over for sure at its owner.
+// holdEnd returns the time at which a hold that is granted or extended now has certainly expired at its owner.
 func (m *Machine) holdEnd(hold time.Duration) time.Duration {
 	return m.now + hold + time.Duration(float64(hold)*maxClockDrift)
 }
 
-// current is a lock that is held at this moment, or nil.
+// current returns a lock if it is held now, else nil.
 func (m *Machine) current(id string) *lock {
 	if l := m.locks[id]; l != nil && m.now < l.expiresAt {
 		return l
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// acquire grants a lock that nobody else holds, with a new fence.
+// acquire grants a lock that no other owner holds, with a new fence.
 func (m *Machine) acquire(call AcquireLock) Result {
 	before := m.current(call.ID)
 	if before != nil && before.owner != call.Owner {
@@ -51,8 +51,8 @@
 	return LockGranted{next.fence}
 }
 
-// renew extends a hold. It writes only where the hold gets longer than recorded, as whoever loads the records counts the recorded
-// time from then on.
+// renew extends a hold. It writes only if the hold becomes longer than recorded, because a Machine that is loaded later measures
+// the recorded hold time from its loading.
 func (m *Machine) renew(call RenewLock) Result {
 	l := m.current(call.ID)
 	if l == nil || l.owner != call.Owner || call.Fence < l.firstFence || call.Fence > l.fence {
@@ -66,7 +66,7 @@
 	return LockRenewed{}
 }
 
-// release ends a hold under its newest fence.
+// release ends a hold if the call has its newest fence.
 func (m *Machine) release(call ReleaseLock) Result {
 	if l := m.locks[call.ID]; l != nil && l.owner == call.Owner && l.fence == call.Fence {
 		delete(m.locks, call.ID)
@@ -75,11 +75,11 @@
 	return LockReleased{}
 }
 
-// removeExpiredLocks removes the records of some locks whose hold is over, so that a Machine that is loaded does not hold them back.
+// removeExpiredLocks removes the records of some expired locks, so that a Machine that is loaded later does not count them as held.
 func (m *Machine) removeExpiredLocks() {
-	looked := 0
+	examined := 0
 	for id, l := range m.locks {
-		if looked++; looked > maxRemovedLocks {
+		if examined++; examined > maxRemovedLocks {
 			return
 		}
 		if m.now >= l.expiresAt {
--- a/internal/tier/coordination/machine.go
+++ b/internal/tier/coordination/machine.go
@@ -4,22 +4,22 @@
 	"time"
 )
 
-// Config is what a Machine goes by.
+// Config is the configuration of a Machine.
 type Config struct {
-	// HistoryRetention is how long a watch may go on from a revision that it was given (guarantees.history_retention_s).
+	// HistoryRetention is how long a watch can continue from a revision after it was returned (guarantees.history_retention_s).
 	HistoryRetention time.Duration
 }
 
-// Event is one that Step takes in: Request or WatchCancelled.
+// Event is an input of Step: Request or WatchCancelled.
 type Event interface{ isEvent() }
 
-// Request is a call with a token of the caller's, under which its response comes.
+// Request is a call with a token, chosen by the caller, that identifies the response.
 type Request struct {
 	Token uint64
 	Call  Call
 }
 
-// WatchCancelled drops a watch that is held, without a response.
+// WatchCancelled removes a pending watch without a response.
 type WatchCancelled struct{ Token uint64 }
 
 func (Request) isEvent()        {}
@@ -31,30 +31,31 @@
 	Result Result
 }
 
-// Actions are what a Step asks for; see the package's comment for their order.
+// Actions are the output of a Step; see the package comment for their order.
 type Actions struct {
 	Writes    map[string][]byte // records by key; an empty value removes the record
-	Confirm   bool              // some response states what is in force
+	Confirm   bool              // there are responses: without writes, a round trip must confirm them first
 	Responses []Response
 }
 
-// Machine is the state machine. It is not safe for concurrent use. Make one with Load.
+// Machine is the state machine. It is not safe for concurrent use. Load creates one.
 type Machine struct {
-	retention time.Duration // of puts in the history, with an allowance
+	retention time.Duration // of puts in the history, with the slack
 
 	locks     map[string]*lock
 	lastFence uint64
 	counters  map[string]uint64
 	keys      map[string]Put
 	groups    map[string]*group
-	watches   map[uint64]*watch // that are held, by token
+	watches   map[uint64]*watch // pending, by token
 
-	// Of the step that is under way.
+	// State of the current step.
 	now     time.Duration
 	actions Actions
 }
 
-// Step applies events in their order at a time, which never goes back, and then answers the watches that can be answered.
+// Step applies events in order, and then answers the watches that have a result. Time never goes back: an earlier now is replaced
+// by that of the previous step.
 func (m *Machine) Step(now time.Duration, events ...Event) Actions {
 	m.now, m.actions = max(now, m.now), Actions{Writes: map[string][]byte{}}
 	for _, e := range events {
@@ -66,14 +67,13 @@
 		}
 	}
 	m.answerWatches()
-	if len(m.actions.Writes) > 0 { // removals go along with writes, and cause none
+	if len(m.actions.Writes) > 0 { // removals are added to necessary writes, and never cause one
 		m.removeExpiredLocks()
 		m.trimHistories()
 	}
 	return m.actions
 }
 
-// apply applies one call.
 func (m *Machine) apply(r Request) {
 	switch call := r.Call.(type) {
 	case AcquireLock:
@@ -93,16 +93,16 @@
 	}
 }
 
-// respond adds a response that states what is in force.
+// respond adds a response, which must be confirmed.
 func (m *Machine) respond(token uint64, result Result) {
 	m.actions.Confirm = true
 	m.actions.Responses = append(m.actions.Responses, Response{token, result})
 }
 
-// write adds a record to the writes of the step; nil removes it.
+// write adds a record to the writes of the step; a nil record removes the key.
 func (m *Machine) write(key string, record []byte) { m.actions.Writes[key] = record }
 
-// nextNumber raises a counter.
+// nextNumber increments a counter.
 func (m *Machine) nextNumber(call NextNumber) Result {
 	value := m.counters[call.ID] + 1
 	m.counters[call.ID] = value
@@ -110,7 +110,7 @@
 	return Number{value}
 }
 
-// NextDeadline is the time at which the first watch that is held is due, and whether any is.
+// NextDeadline returns the earliest deadline of the pending watches; ok is false if there are none.
 func (m *Machine) NextDeadline() (at time.Duration, ok bool) {
 	for _, w := range m.watches {
 		if !ok || w.deadline < at {
@@ -125,7 +125,7 @@
 	Locks, Counters, Keys, HistoryPuts, Watches int
 }
 
-// Figures counts what the Machine keeps. Locks include those whose hold has expired and was not removed yet.
+// Figures counts the records and the pending watches. Locks include expired ones that were not removed yet.
 func (m *Machine) Figures() Figures {
 	f := Figures{Locks: len(m.locks), Counters: len(m.counters), Keys: len(m.keys), Watches: len(m.watches)}
 	for _, g := range m.groups {
--- a/internal/tier/coordination/machine_test.go
+++ b/internal/tier/coordination/machine_test.go
@@ -9,8 +9,8 @@
 
 const second = time.Second
 
-// rig drives a Machine by hand, and keeps its records as a store would.
-type rig struct {
+// machineHarness drives a Machine without a Runtime, and stores its records as a store would.
+type machineHarness struct {
 	t       *testing.T
 	machine *Machine
 	now     time.Duration
@@ -18,23 +18,23 @@
 	token   uint64
 }
 
-func newRig(t *testing.T) *rig {
+func newMachineHarness(t *testing.T) *machineHarness {
 	t.Helper()
-	r := &rig{t: t, now: 100 * second, records: map[string][]byte{}}
+	r := &machineHarness{t: t, now: 100 * second, records: map[string][]byte{}}
 	r.reload()
 	return r
 }
 
 // reload replaces the machine by one that is loaded from the records, as a takeover does.
-func (r *rig) reload() {
+func (r *machineHarness) reload() {
 	r.t.Helper()
 	machine, err := Load(Config{HistoryRetention: 20 * second}, r.now, r.records)
 	assert.NilError(r.t, err)
 	r.machine = machine
 }
 
-// step has events applied, keeps what is written and returns the results by token.
-func (r *rig) step(events ...Event) map[uint64]Result {
+// step applies events, stores the writes and returns the results by token.
+func (r *machineHarness) step(events ...Event) map[uint64]Result {
 	actions := r.machine.Step(r.now, events...)
 	for key, record := range actions.Writes {
 		if len(record) == 0 {
@@ -50,8 +50,8 @@
 	return results
 }
 
-// do applies one call and returns its result; nil: it is held.
-func (r *rig) do(call Call) Result {
+// do applies one call and returns its result; nil: the call is pending.
+func (r *machineHarness) do(call Call) Result {
 	r.token++
 	return r.step(Request{r.token, call})[r.token]
 }
@@ -59,7 +59,7 @@
 func revision(v uint64) *uint64 { return &v }
 
 func TestLock_States(t *testing.T) {
-	r := newRig(t)
+	r := newMachineHarness(t)
 	assert.Equal(t, r.do(AcquireLock{"l", "a", 3 * second}), LockGranted{1})
 	assert.Equal(t, r.do(AcquireLock{"l", "b", 3 * second}), LockUnavailable{})
 	assert.Equal(t, r.do(AcquireLock{"other", "b", 3 * second}), LockGranted{2}, "another lock is free")
@@ -73,15 +73,16 @@
 	r.now += 2 * second
 	assert.Equal(t, r.do(RenewLock{"l", "a", 1, 3 * second}), LockLost{}, "the hold is over")
 	assert.Equal(t, r.do(AcquireLock{"l", "b", 3 * second}), LockGranted{3})
-	assert.Equal(t, r.do(ReleaseLock{"l", "a", 1}), LockReleased{}, "whether it is held or not")
+	assert.Equal(t, r.do(ReleaseLock{"l", "a", 1}), LockReleased{}, "a release succeeds whether or not the lock is held")
 	assert.Equal(t, r.do(AcquireLock{"l", "c", second}), LockUnavailable{}, "a late release by the former owner ends nothing")
 	assert.Equal(t, r.do(ReleaseLock{"l", "b", 3}), LockReleased{})
 	assert.Equal(t, r.do(AcquireLock{"l", "c", second}), LockGranted{4})
 }
 
-// The owner's clock may run slower by maxClockDrift: the lock is free only when that clock says so, too.
+// The owner's clock may run slower by maxClockDrift: the lock must not be granted to another owner before the hold has expired by
+// that clock, too.
 func TestLock_HoldOutlastsSlowClock(t *testing.T) {
-	r := newRig(t)
+	r := newMachineHarness(t)
 	r.do(AcquireLock{"l", "a", 10 * second})
 	r.now += 10*second + 199*time.Millisecond
 	assert.Equal(t, r.do(AcquireLock{"l", "b", second}), LockUnavailable{})
@@ -89,26 +90,26 @@
 	assert.Equal(t, r.do(AcquireLock{"l", "b", second}), LockGranted{2})
 }
 
-// An owner that acquires again holds the lock under a new fence; a release of the time before that comes late does not end it, and a
-// renewal under the fence before does no harm.
+// An owner that acquires again holds the lock under a new fence. A late release with the previous fence must not end the hold, and
+// a renewal with the previous fence must not shorten it.
 func TestLock_ReacquiredByItsOwner(t *testing.T) {
-	r := newRig(t)
+	r := newMachineHarness(t)
 	assert.Equal(t, r.do(AcquireLock{"l", "a", 5 * second}), LockGranted{1})
 	assert.Equal(t, r.do(AcquireLock{"l", "a", second}), LockGranted{2})
 	assert.Equal(t, r.do(ReleaseLock{"l", "a", 1}), LockReleased{})
 	assert.Equal(t, r.do(AcquireLock{"l", "b", second}), LockUnavailable{})
 	assert.Equal(t, r.do(RenewLock{"l", "a", 1, second}), LockRenewed{})
 	r.now += 4 * second
-	assert.Equal(t, r.do(AcquireLock{"l", "b", second}), LockUnavailable{}, "the longer hold of the time before counts on")
+	assert.Equal(t, r.do(AcquireLock{"l", "b", second}), LockUnavailable{}, "the longer previous hold still counts")
 	r.now += 2 * second
 	assert.Equal(t, r.do(AcquireLock{"l", "a", second}), LockGranted{3})
-	assert.Equal(t, r.do(RenewLock{"l", "a", 2, second}), LockLost{}, "a fence from before the hold was over")
+	assert.Equal(t, r.do(RenewLock{"l", "a", 2, second}), LockLost{}, "a fence of the expired hold")
 }
 
-// Whoever takes over does not know when holds were last extended: each lock is held for its whole time from then, in its longest
-// extension, and fences go on rising.
+// A new primary cannot determine when holds were last extended: each lock must stay held for its longest granted hold time from the
+// takeover on, and fences must keep increasing.
 func TestLock_AfterTakeover(t *testing.T) {
-	r := newRig(t)
+	r := newMachineHarness(t)
 	r.do(AcquireLock{"l", "a", 3 * second})
 	r.do(RenewLock{"l", "a", 1, 6 * second})
 	r.do(AcquireLock{"released", "a", 3 * second})
@@ -123,9 +124,9 @@
 	assert.Equal(t, r.do(AcquireLock{"l", "b", second}), LockGranted{4})
 }
 
-// An expired hold leaves the records with the next writes, so that a takeover does not hold the lock back for nothing.
+// The record of an expired lock is removed with the next writes, so that the lock does not count as held after a takeover.
 func TestLock_ExpiredRecordsRemoved(t *testing.T) {
-	r := newRig(t)
+	r := newMachineHarness(t)
 	r.do(AcquireLock{"l", "a", second})
 	r.now += 2 * second
 	r.do(NextNumber{"n"})
@@ -133,9 +134,9 @@
 	assert.Equal(t, r.do(AcquireLock{"l", "b", second}), LockGranted{2})
 }
 
-// A renewal that makes a hold no longer than recorded is no write: only a round trip.
+// A renewal that does not make the hold longer than recorded writes nothing and needs only a round trip.
 func TestLock_RenewalWritesNothing(t *testing.T) {
-	r := newRig(t)
+	r := newMachineHarness(t)
 	r.do(AcquireLock{"l", "a", 3 * second})
 	for _, c := range []struct {
 		name   string
@@ -151,7 +152,7 @@
 }
 
 func TestNumbers_RiseThroughTakeovers(t *testing.T) {
-	r := newRig(t)
+	r := newMachineHarness(t)
 	assert.Equal(t, r.do(NextNumber{"n"}), Number{1})
 	assert.Equal(t, r.do(NextNumber{"n"}), Number{2})
 	assert.Equal(t, r.do(NextNumber{"m"}), Number{1})
@@ -160,7 +161,7 @@
 }
 
 func TestKeys_Put(t *testing.T) {
-	r := newRig(t)
+	r := newMachineHarness(t)
 	assert.Equal(t, r.do(ReadKey{"g.a"}), KeyMissing{})
 	for _, c := range []struct {
 		name string
@@ -189,7 +190,7 @@
 }
 
 func TestWatch_TellsAllPutsInOrder(t *testing.T) {
-	r := newRig(t)
+	r := newMachineHarness(t)
 	assert.DeepEqual(t, r.do(WatchGroup{"g.", 0, second}), GroupPuts{})
 	r.do(PutKey{"g.a", "1", nil})
 	r.do(PutKey{"g.a", "2", nil})
@@ -197,29 +198,29 @@
 	r.do(PutKey{"g.b", "3", nil})
 	want := GroupPuts{Puts: []Put{{"g.a", "2", 2}, {"g.b", "3", 3}}, Revision: 3}
 	assert.DeepEqual(t, r.do(WatchGroup{"g.", 1, second}), want)
-	assert.DeepEqual(t, r.do(WatchGroup{"g.", 0, second}), GroupPuts{Revision: 3}) // only the revision is asked for
+	assert.DeepEqual(t, r.do(WatchGroup{"g.", 0, second}), GroupPuts{Revision: 3}) // returns only the revision
 	assert.DeepEqual(t, r.do(WatchGroup{"g.", 4, second}), RevisionUnknown{})
 	r.reload()
 	assert.DeepEqual(t, r.do(WatchGroup{"g.", 1, second}), want)
 }
 
 func TestWatch_WaitsForPutOrDeadline(t *testing.T) {
-	r := newRig(t)
+	r := newMachineHarness(t)
 	r.do(PutKey{"g.a", "1", nil})
 	assert.Equal(t, r.do(WatchGroup{"g.", 1, 2 * second}), nil)
-	held := r.token
+	watchToken := r.token
 	at, holds := r.machine.NextDeadline()
 	assert.Assert(t, holds)
 	assert.Equal(t, at, r.now+2*second)
 	results := r.step(Request{90, PutKey{"h.a", "x", nil}})
-	assert.Equal(t, len(results), 1, "a put of another group wakes nobody")
+	assert.Equal(t, len(results), 1, "a put of another group must not answer the watch")
 	results = r.step(Request{91, PutKey{"g.a", "2", nil}})
-	assert.DeepEqual(t, results[held], GroupPuts{Puts: []Put{{"g.a", "2", 2}}, Revision: 2})
+	assert.DeepEqual(t, results[watchToken], GroupPuts{Puts: []Put{{"g.a", "2", 2}}, Revision: 2})
 
 	assert.Equal(t, r.do(WatchGroup{"g.", 2, 2 * second}), nil)
-	held = r.token
+	watchToken = r.token
 	r.now += 2 * second
-	assert.DeepEqual(t, r.step()[held], GroupPuts{Revision: 2})
+	assert.DeepEqual(t, r.step()[watchToken], GroupPuts{Revision: 2})
 
 	assert.Equal(t, r.do(WatchGroup{"g.", 2, 2 * second}), nil)
 	r.step(WatchCancelled{r.token})
@@ -227,10 +228,11 @@
 	assert.Assert(t, !holds)
 }
 
-// A revision may be gone on from for the whole retention after it was given, also after a takeover; then it is gone.
+// A watch can continue from a revision for the full retention after it was returned, also after a takeover. Later it gets
+// HistoryGone.
 func TestWatch_HistoryRetention(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
-		r := newRig(t)
+		r := newMachineHarness(t)
 		r.do(PutKey{"g.a", "1", nil})
 		r.do(PutKey{"g.a", "2", nil})
 		r.now += 20 * second
@@ -249,32 +251,32 @@
 	}
 }
 
-// A response to a watch is bounded, and the next goes on from its revision.
+// A response to a watch is bounded, and the next watch continues from its revision.
 func TestWatch_LongHistoryInParts(t *testing.T) {
-	r := newRig(t)
+	r := newMachineHarness(t)
 	long := make([]byte, 16<<10)
 	for i := range 40 {
 		long[0] = byte('A' + i)
 		r.do(PutKey{"g.a", string(long), nil})
 	}
-	told, after, parts := 1, uint64(1), 0
+	lastRevision, after, responses := 1, uint64(1), 0
 	for after < 40 {
 		part := r.do(WatchGroup{"g.", after, second}).(GroupPuts)
 		for _, put := range part.Puts {
-			told++
-			assert.Equal(t, put.Revision, uint64(told))
+			lastRevision++
+			assert.Equal(t, put.Revision, uint64(lastRevision))
 		}
 		assert.Assert(t, part.Revision > after)
 		after = part.Revision
-		parts++
+		responses++
 	}
-	assert.Equal(t, told, 40)
-	assert.Assert(t, parts > 1)
+	assert.Equal(t, lastRevision, 40)
+	assert.Assert(t, responses > 1)
 }
 
 func TestLoad_CorruptRecords(t *testing.T) {
-	good := func() *rig {
-		r := newRig(t)
+	good := func() *machineHarness {
+		r := newMachineHarness(t)
 		r.do(AcquireLock{"l", "a", second})
 		r.do(PutKey{"g.a", "1", nil})
 		r.do(PutKey{"g.a", "2", nil})
@@ -298,7 +300,7 @@
 	}
 	r := good()
 	r.records[KeyPrefix+"later/x"] = []byte{1}
-	r.reload() // a record of a later version is left alone
+	r.reload() // a record of a later version is ignored
 }
 
 func TestGroupOf(t *testing.T) {
--- a/internal/tier/coordination/records.go
+++ b/internal/tier/coordination/records.go
@@ -14,9 +14,9 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Keys of the records in the control state. Stored data has them: they never change.
+// Keys of the records in the control state. They are part of the stored data and must never change.
 const (
-	// KeyPrefix is what the keys of all records begin with.
+	// KeyPrefix is the prefix of the keys of all records.
 	KeyPrefix = "coordination/"
 
 	lockPrefix    = KeyPrefix + "lock/"    // the lock's name follows
@@ -28,10 +28,10 @@
 
 var errorTypes = errorx.NewNamespace("coordination")
 
-// CorruptRecord is the type of the error of Load for a record that this program cannot read.
+// CorruptRecord is the type of the error of Load for records that this program cannot read.
 var CorruptRecord = errorTypes.NewType("corrupt_record")
 
-// historySlackDivisor divides the retention of a put in the history: it is kept so much longer.
+// historySlackDivisor divides the retention of a put in the history; the put is retained longer by the quotient.
 const historySlackDivisor = 4
 
 func lockKey(id string) string    { return lockPrefix + id }
@@ -44,8 +44,8 @@
 
 func encode(record proto.Message) []byte {
 	raw, err := proto.Marshal(record)
-	if err != nil { // only for text that is not UTF-8, which calls are checked for
-		panic(fmt.Sprintf("coordination: a record that cannot be encoded: %v", err))
+	if err != nil { // only for text that is not UTF-8, which the checks of calls exclude
+		panic(fmt.Sprintf("coordination: failed to encode a record: %v", err))
 	}
 	return raw
 }
@@ -60,8 +60,8 @@
 	return encode(&tierv1.KeyRecord{Name: put.Name, Value: put.Value, Revision: put.Revision})
 }
 
-// Load makes a Machine from all records whose keys begin with KeyPrefix. Each lock counts as held for its whole hold time from now, as
-// nothing tells when it was last extended. The error is of type CorruptRecord.
+// Load returns a Machine with the state of all records whose keys begin with KeyPrefix. Each lock counts as held for its full hold
+// time from now, because the records do not contain when it was last extended. The error is of type CorruptRecord.
 func Load(config Config, now time.Duration, records map[string][]byte) (*Machine, error) {
 	m := &Machine{
 		retention: config.HistoryRetention + config.HistoryRetention/historySlackDivisor,
@@ -85,7 +85,7 @@
 	return m, m.loadHistory(history)
 }
 
-// loadRecord adds a record. A put of the history is returned, as these have to be added in their order.
+// loadRecord adds a record. A put of the history is returned instead, because the puts must be added in order.
 func (m *Machine) loadRecord(key string, raw []byte) (*Put, error) {
 	switch {
 	case key == fenceKey:
@@ -107,7 +107,7 @@
 		put, err := decodeKey(raw)
 		return &put, err
 	}
-	return nil, nil // of a later version
+	return nil, nil // a record of a later version
 }
 
 func (m *Machine) loadLock(id string, raw []byte) error {
@@ -120,7 +120,8 @@
 	return nil
 }
 
-// loadHistory adds the puts of the histories. The newest put of a group is also that of its key, so that both have to agree.
+// loadHistory adds the puts of the histories. The newest put of a group is also the newest put of its key, so their revisions must
+// be equal.
 func (m *Machine) loadHistory(puts []Put) error {
 	slices.SortFunc(puts, func(a, b Put) int {
 		return cmp.Or(cmp.Compare(GroupOf(a.Name), GroupOf(b.Name)), cmp.Compare(a.Revision, b.Revision))
--- a/internal/tier/coordination/runtime.go
+++ b/internal/tier/coordination/runtime.go
@@ -15,23 +15,24 @@
 
 // Errors of Runtime.Do.
 var (
-	// ErrNotPrimary: this process may not answer; nothing was done.
+	// ErrNotPrimary: this process must not answer; the call had no effect.
 	ErrNotPrimary = errors.New("coordination: not the primary")
-	// ErrBusy: nothing was done, as the call was not begun in time, or its state was dropped with a write that failed.
-	ErrBusy = errors.New("coordination: nothing was done")
-	// ErrTooLarge: nothing was done, as the control state would be too large.
+	// ErrBusy: the call had no effect, because it was not started in time, or because the machine was discarded after a failed
+	// write.
+	ErrBusy = errors.New("coordination: busy, the call had no effect")
+	// ErrTooLarge: the call had no effect, because the control state would become too large.
 	ErrTooLarge = errors.New("coordination: the control state would be too large")
 	// ErrOutcomeUnknown: the call may or may not have taken effect.
 	ErrOutcomeUnknown = errors.New("coordination: the outcome is unknown")
 )
 
-// primaryCheckInterval is how often the runtime looks whether it may still hold watches.
+// primaryCheckInterval is how often the runtime checks, while watches are pending, that it is still the primary.
 const primaryCheckInterval = 100 * time.Millisecond
 
-// Store is the replicated control state, as package consensus keeps it.
+// Store is the replicated control state, as implemented by package consensus.
 type Store interface {
-	// Put writes records, and returns nil only when they are synced at all replicas; consensus.ErrNotPrimary, or an error of
-	// type consensus.StateTooLarge, where nothing was written.
+	// Put writes records and returns nil only when they are synced at all replicas. If the error is consensus.ErrNotPrimary, or of
+	// type consensus.StateTooLarge, nothing was written.
 	Put(ctx context.Context, epoch uint64, sets map[string][]byte) (sequence uint64, err error)
 	// Confirm returns nil after a round trip to all replicas that began after the call.
 	Confirm(ctx context.Context, epoch uint64) error
@@ -39,46 +40,46 @@
 	Scan(prefix string) map[string][]byte
 }
 
-// RuntimeConfig is what NewRuntime needs.
+// RuntimeConfig is the configuration of a Runtime.
 type RuntimeConfig struct {
 	Config
 	Store Store
-	// Primary returns the epoch in which this process may write and answer, and whether it may: not before what earlier epochs wrote
-	// is either committed or gone for good.
+	// Primary returns the epoch in which this process may write and answer, and whether it may. It must return false until each
+	// write of earlier epochs is either committed or discarded for good.
 	Primary      func() (epoch uint64, ok bool)
 	Now          func() time.Duration // monotonic
 	WriteTimeout time.Duration        // of one write or round trip
 	Log          *log.Logger
 }
 
-// Runtime runs a Machine on a Store while this process is the primary: it orders all calls, a batch at a time. Its methods are safe
-// for concurrent use; Run is called once.
+// Runtime runs a Machine on a Store while this process is the primary: it orders all calls into batches. Its methods are safe for
+// concurrent use; Run is called once.
 type Runtime struct {
 	config RuntimeConfig
-	wake   chan struct{} // has an element while there is something in the queue
+	wake   chan struct{} // has an element while Run has to check the queue and the primary
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields from queue to figures
 	queue     []*pendingCall
-	cancelled []uint64 // tokens of watches that nobody waits for any more
+	cancelled []uint64 // tokens of watches whose callers have given up
 	lastToken uint64
 	stopped   bool
 	figures   Figures
 
-	// Of Run alone.
+	// Used only by Run.
 	machine *Machine // nil: to be loaded
 	epoch   uint64   // in which machine was loaded
 	waiting map[uint64]*pendingCall
 
-	unresolved bool // a write of this process may be under way
+	unresolved bool // a write of this process may be in flight
 
-	onLoad func(*Machine) // called with each machine that was loaded; nil but in tests that inject faults
+	onLoad func(*Machine) // called with each loaded machine; set only by tests that inject faults
 }
 
 // pendingCall is a call that waits for its outcome.
 type pendingCall struct {
 	token   uint64
 	call    Call
-	begun   atomic.Bool // Run has taken it, or its caller has given it up
+	begun   atomic.Bool // Run has started it, or its caller has given up
 	outcome chan callOutcome
 }
 
@@ -92,7 +93,8 @@
 	return &Runtime{config: config, wake: make(chan struct{}, 1), waiting: map[uint64]*pendingCall{}}
 }
 
-// Do has a call applied and waits for its result. If ctx ends before the call was begun, the error is ErrBusy, and it never will be.
+// Do applies a call and waits for its result. If ctx ends before the call was started, the error is ErrBusy and the call is never
+// applied.
 func (r *Runtime) Do(ctx context.Context, call Call) (Result, error) {
 	pending := &pendingCall{call: call, outcome: make(chan callOutcome, 1)}
 	if !r.enqueue(pending) {
@@ -127,7 +129,7 @@
 	return true
 }
 
-// cancel drops a watch.
+// cancel removes a watch whose caller has given up.
 func (r *Runtime) cancel(token uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,7 +137,8 @@
 	r.Wake()
 }
 
-// Wake has Run look whether this process is the primary, and load the records if it is: holds of locks are counted from then on.
+// Wake makes Run check whether this process is the primary, and load the records if it is: from that moment on, the recorded holds
+// of locks are measured.
 func (r *Runtime) Wake() {
 	select {
 	case r.wake <- struct{}{}:
@@ -143,7 +146,7 @@
 	}
 }
 
-// Figures returns the counts of the last batch.
+// Figures returns the counts as of the last batch.
 func (r *Runtime) Figures() Figures {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,15 +172,15 @@
 	}
 }
 
-// stop fails all calls that wait, and those that are still to come.
+// stop fails all waiting calls, and makes all later ones fail.
 func (r *Runtime) stop() {
 	r.mu.Lock()
 	r.stopped = true
 	r.mu.Unlock()
-	r.drop(ErrNotPrimary)
+	r.failAll(ErrNotPrimary)
 }
 
-// untilNextCheck is the pause until the watches that are held have to be looked at again, and whether there are any.
+// untilNextCheck returns the time until the pending watches must be checked again, and whether there are any.
 func (r *Runtime) untilNextCheck() (time.Duration, bool) {
 	if r.machine == nil {
 		return 0, false
@@ -186,15 +189,15 @@
 	return max(0, min(at-r.config.Now(), primaryCheckInterval)), holds
 }
 
-// runBatch applies all calls that wait as one batch, and answers them when it is committed.
+// runBatch applies all queued calls as one batch, and answers them when it is committed.
 func (r *Runtime) runBatch(ctx context.Context) {
 	epoch, ok := r.config.Primary()
 	if !ok {
-		r.drop(ErrNotPrimary)
+		r.failAll(ErrNotPrimary)
 		return
 	}
 	if err := r.ensureLoaded(ctx, epoch); err != nil {
-		r.drop(ErrBusy)
+		r.failAll(ErrBusy)
 		return
 	}
 	begun, events := r.take()
@@ -206,7 +209,7 @@
 	r.deliver(actions.Responses)
 }
 
-// ensureLoaded has a machine for an epoch.
+// ensureLoaded loads the machine for an epoch, unless it is loaded already.
 func (r *Runtime) ensureLoaded(ctx context.Context, epoch uint64) error {
 	if r.machine != nil && r.epoch == epoch {
 		return nil
@@ -219,7 +222,7 @@
 	records := r.config.Store.Scan(KeyPrefix)
 	machine, err := Load(r.config.Config, r.config.Now(), records)
 	if err != nil {
-		r.config.Log.Error().Str("event", "coordination_unreadable").Err(err).Msg("records of locks, counters and keys cannot be read")
+		r.config.Log.Error().Str("event", "coordination_unreadable").Err(err).Msg("failed to read the records of locks, counters and keys")
 		return err
 	}
 	if r.onLoad != nil {
@@ -232,8 +235,9 @@
 	return nil
 }
 
-// resolveWrites makes a round trip that ends whatever write of this process may still be under way: what comes after it finds that
-// write either committed or gone for good. Where none is, nothing is sent: each call of a new primary counts while messages are lost.
+// resolveWrites makes a round trip after which any write of this process that was in flight is either committed or discarded for
+// good. If no write may be in flight, it sends nothing: while messages are lost, each additional round trip can delay a new
+// primary.
 func (r *Runtime) resolveWrites(ctx context.Context, epoch uint64) error {
 	if !r.unresolved {
 		return nil
@@ -247,7 +251,7 @@
 	return nil
 }
 
-// take takes what is queued, but for what its callers have given up, as events of the next step.
+// take returns the queued calls and cancellations as events of the next step, without the calls whose callers have given up.
 func (r *Runtime) take() (begun []*pendingCall, events []Event) {
 	r.mu.Lock()
 	queue, cancelled := r.queue, r.cancelled
@@ -268,7 +272,7 @@
 	return begun, events
 }
 
-// commit writes what a step asks for, or confirms it by a round trip.
+// commit writes the records of a step, or confirms its responses by a round trip if there are none.
 func (r *Runtime) commit(ctx context.Context, actions Actions) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.config.WriteTimeout)
 	defer cancel()
@@ -282,7 +286,7 @@
 	return nil
 }
 
-// failBatch answers the calls of a batch that was not committed, and drops the machine, which is ahead of the records.
+// failBatch fails the calls of a batch whose commit failed, and discards the machine, whose state is ahead of the records.
 func (r *Runtime) failBatch(begun []*pendingCall, cause error) {
 	for _, pending := range begun {
 		err := ErrOutcomeUnknown
@@ -299,7 +303,7 @@
 	r.machine, r.unresolved = nil, true
 	r.failWaiting(ErrBusy)
 	r.config.Log.Warn().Str("event", "coordination_unclear").Uint64("epoch", r.epoch).Str("error", cause.Error()).
-		Msg("a batch of locks, counters and keys was not committed for sure: loading the records again")
+		Msg("failed to confirm a batch of locks, counters and keys; reloading the records")
 }
 
 // mayWrite reports whether a call may change a record.
@@ -311,7 +315,7 @@
 	return true
 }
 
-// deliver hands responses to their callers.
+// deliver passes responses to their callers, and updates the figures.
 func (r *Runtime) deliver(responses []Response) {
 	for _, response := range responses {
 		if pending := r.waiting[response.Token]; pending != nil {
@@ -324,21 +328,21 @@
 	r.mu.Unlock()
 }
 
-// end gives a call its outcome.
+// end completes a call with its outcome.
 func (r *Runtime) end(pending *pendingCall, o callOutcome) {
 	delete(r.waiting, pending.token)
 	pending.outcome <- o
 }
 
-// failWaiting ends the watches that are held.
+// failWaiting fails all calls that were started and have no outcome yet.
 func (r *Runtime) failWaiting(err error) {
 	for _, pending := range r.waiting {
 		r.end(pending, callOutcome{err: err})
 	}
 }
 
-// drop ends all calls and forgets the machine.
-func (r *Runtime) drop(err error) {
+// failAll fails all calls, and discards the machine.
+func (r *Runtime) failAll(err error) {
 	r.machine = nil
 	r.take()
 	r.failWaiting(err)
--- a/internal/tier/coordination/runtime_test.go
+++ b/internal/tier/coordination/runtime_test.go
@@ -14,11 +14,11 @@
 	"saffronyard.example/saffronyard/internal/tier/consensus"
 )
 
-// scriptedStore is a store whose next outcome the test sets.
+// scriptedStore is a store whose outcomes are set by the test.
 type scriptedStore struct {
 	mu       sync.Mutex
 	records  map[string][]byte
-	putErr   error         // of the next Put, which is not stored
+	putErr   error         // of the next Put, which then stores nothing
 	delay    time.Duration // of each Put and Confirm
 	confirms int
 }
@@ -88,7 +88,7 @@
 	})
 }
 
-// A call whose caller gives up before it was begun is never begun.
+// A call whose caller gives up before it is started must never be applied.
 func TestRuntime_CallGivenUpBeforeItWasBegun(t *testing.T) {
 	withRuntime(t, func(ctx context.Context, _ func(), r *Runtime, store *scriptedStore) {
 		store.set(func() { store.delay = 300 * time.Millisecond })
@@ -97,7 +97,7 @@
 			_, err := r.Do(ctx, NextNumber{"n"})
 			first <- err
 		}()
-		synctest.Wait() // its write is under way
+		synctest.Wait() // the write of the first call is in flight
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
 		_, err := r.Do(short, NextNumber{"n"})
@@ -109,7 +109,7 @@
 	})
 }
 
-// A call whose caller gives up while its write is under way has an unknown outcome.
+// A call whose caller gives up while its write is in flight has an unknown outcome.
 func TestRuntime_CallGivenUpWhileItIsWritten(t *testing.T) {
 	withRuntime(t, func(ctx context.Context, _ func(), r *Runtime, store *scriptedStore) {
 		store.set(func() { store.delay = 300 * time.Millisecond })
@@ -120,14 +120,14 @@
 	})
 }
 
-// What the calls of a batch hear when its write fails, and what holds afterwards.
+// The errors of the calls in a batch whose write fails, and the state afterwards.
 func TestRuntime_FailedWrite(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		failure  error
-		write    error // what a call that writes hears
-		read     error
-		confirms int // round trips before the records are loaded anew
+		write    error // error of a call that writes
+		read     error // error of a call that only reads
+		confirms int   // round trips before the records are reloaded
 	}{
 		{"not the primary", consensus.ErrNotPrimary, ErrNotPrimary, ErrNotPrimary, 1},
 		{"the state would be too large", consensus.StateTooLarge.New("injected"), ErrTooLarge, ErrTooLarge, 1},
@@ -137,10 +137,10 @@
 			withRuntime(t, func(ctx context.Context, _ func(), r *Runtime, store *scriptedStore) {
 				_, err := r.Do(ctx, NextNumber{"n"})
 				assert.NilError(t, err)
-				assert.Equal(t, store.confirms, 0, "nothing is under way at the start")
+				assert.Equal(t, store.confirms, 0, "no write is in flight at the start")
 				store.set(func() { store.putErr, store.delay = c.failure, 10*time.Millisecond })
 				blocker := make(chan error, 1)
-				go func() { // while this one is confirmed, the others come together
+				go func() { // while this call is confirmed, the other two queue up for one batch
 					_, err := r.Do(ctx, ReadKey{"g.k"})
 					blocker <- err
 				}()
@@ -167,7 +167,7 @@
 	}
 }
 
-// When Run ends, calls that wait and those that come later are told that this process may not answer.
+// When Run ends, waiting calls and later ones fail with ErrNotPrimary.
 func TestRuntime_Stopped(t *testing.T) {
 	withRuntime(t, func(ctx context.Context, stop func(), r *Runtime, _ *scriptedStore) {
 		_, err := r.Do(ctx, PutKey{Name: "g.k", Value: "v"})
@@ -186,7 +186,7 @@
 	})
 }
 
-// A watch whose caller leaves is dropped.
+// A watch whose caller gives up is removed.
 func TestRuntime_WatchGivenUp(t *testing.T) {
 	withRuntime(t, func(ctx context.Context, _ func(), r *Runtime, _ *scriptedStore) {
 		_, err := r.Do(ctx, PutKey{Name: "g.k", Value: "v"})
--- a/internal/tier/coordination/watch.go
+++ b/internal/tier/coordination/watch.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// maxWatchBytes bounds the names and values of one response to a watch. A response has one put at least; the watch goes on from its
-// revision.
+// maxWatchBytes bounds the total size of names and values in one response to a watch. A response has at least one put; the watch
+// continues from its revision.
 const maxWatchBytes = 256 << 10
 
-// watch is a call that is held until its group has a put above its revision.
+// watch is a pending call that waits for a put of its group above its revision.
 type watch struct {
 	WatchGroup
 	deadline time.Duration
 }
 
-// watch holds a call; answerWatches answers it at once where it can be.
+// watch adds a pending watch; answerWatches answers it in the same step if possible.
 func (m *Machine) watch(token uint64, call WatchGroup) {
 	m.watches[token] = &watch{WatchGroup: call, deadline: m.now + call.Wait}
 }
 
-// answerWatches answers the watches for which there is something to tell, and those whose time is over.
+// answerWatches answers the watches that have a result, among them those whose deadline has passed.
 func (m *Machine) answerWatches() {
 	var due []uint64
 	for token, w := range m.watches {
@@ -28,7 +28,7 @@
 			due = append(due, token)
 		}
 	}
-	slices.Sort(due) // maps have no order, and a step must be a function of what it is given
+	slices.Sort(due) // the iteration order of maps is random, and a step must be deterministic
 	for _, token := range due {
 		w := m.watches[token]
 		delete(m.watches, token)
@@ -36,7 +36,7 @@
 	}
 }
 
-// watchResult is the result of a watch at this moment; nil: it is held on.
+// watchResult returns the result of a watch at this time; nil: it stays pending.
 func (m *Machine) watchResult(w *watch) Result {
 	g := m.groups[w.Group]
 	if g == nil {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// historyStart is the least revision that a watch may go on from.
+// historyStart returns the lowest revision from which a watch can continue.
 func (g *group) historyStart() uint64 {
 	if len(g.history) == 0 {
 		return g.revision
@@ -65,7 +65,7 @@
 	return g.history[0].Revision - 1
 }
 
-// putsAfter are the puts above a revision that is in the history, as many as one response takes.
+// putsAfter returns the puts above a revision that is not before historyStart, as many as fit into one response.
 func (g *group) putsAfter(revision uint64) GroupPuts {
 	result := GroupPuts{Revision: revision}
 	size := 0
--- a/internal/tier/coordination/world_test.go
+++ b/internal/tier/coordination/world_test.go
@@ -17,49 +17,51 @@
 	"saffronyard.example/saffronyard/internal/tier/consensus"
 )
 
-// faults are what a world injects beyond what it always does (takeovers, unclear outcomes, slow calls); each breaks a rule.
+// faults are the faults that a simulation injects in addition to takeovers, unknown outcomes and slow calls. Each must violate a
+// rule.
 type faults struct {
 	staleConfirm bool // a deposed primary's round trip succeeds
-	lostWrite    bool // a write is acknowledged and not stored, now and then
-	freeOnLoad   bool // a machine that is loaded takes all locks for free
-	fencesReset  bool // a machine that is loaded begins its fences anew
-	noRepeats    bool // puts are not recognized when they are repeated
+	lostWrite    bool // some writes are acknowledged but not stored
+	freeOnLoad   bool // a loaded machine counts all locks as free
+	fencesReset  bool // a loaded machine restarts its fences
+	noRepeats    bool // repeated puts are not recognized
 }
 
-// world is several processes on one replicated state of which one at a time may write, and callers who check the rules.
-type world struct {
+// simulation is a number of processes on one replicated state, of which one at a time may write, with callers whose results are
+// checked.
+type simulation struct {
 	rng    *rand.Rand
 	faults faults
 	check  *checker
 
-	mu       sync.Mutex // guards the state and rng
-	epoch    uint64
-	records  map[string][]byte
-	runtimes []*Runtime
-	believes []uint64 // the epoch in which each process takes itself for the primary; 0: it does not
+	mu            sync.Mutex // guards the state and rng
+	epoch         uint64
+	records       map[string][]byte
+	runtimes      []*Runtime
+	assumedEpochs []uint64 // the epoch in which each process assumes that it is the primary; 0: it does not
 }
 
-// worldStore is the state as one process sees it.
-type worldStore struct {
-	world *world
-	self  int
+// simulationStore is the replicated state as accessed by one process.
+type simulationStore struct {
+	simulation *simulation
+	self       int
 }
 
-// between draws a duration.
-func (w *world) between(least, most time.Duration) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return least + time.Duration(w.rng.Int64N(int64(most-least)))
+// randomBetween returns a random duration between least and most.
+func (sim *simulation) randomBetween(least, most time.Duration) time.Duration {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return least + time.Duration(sim.rng.Int64N(int64(most-least)))
 }
 
-func (w *world) chance(p float64) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.rng.Float64() < p
+func (sim *simulation) randomBool(p float64) bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.rng.Float64() < p
 }
 
-// pause lets time pass; it returns an error if ctx ends first.
-func waitFor(ctx context.Context, d time.Duration) error {
+// sleep waits for d, or returns an error if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -68,138 +70,138 @@
 	}
 }
 
-func (s worldStore) Put(ctx context.Context, epoch uint64, sets map[string][]byte) (uint64, error) {
-	w := s.world
-	if w.chance(0.02) { // it stays in a queue until its caller has gone, and is written or not
+func (s simulationStore) Put(ctx context.Context, epoch uint64, sets map[string][]byte) (uint64, error) {
+	sim := s.simulation
+	if sim.randomBool(0.02) { // the write stays in a queue until its caller has given up, and may still be applied then
 		<-ctx.Done()
-		if w.chance(0.5) {
-			_ = w.store(epoch, sets)
+		if sim.randomBool(0.5) {
+			_ = sim.store(epoch, sets)
 		}
 		return 0, consensus.ErrOutcomeUnknown
 	}
-	time.Sleep(w.between(time.Millisecond, 12*time.Millisecond))
-	if w.faults.lostWrite && w.chance(0.05) {
+	time.Sleep(sim.randomBetween(time.Millisecond, 12*time.Millisecond))
+	if sim.faults.lostWrite && sim.randomBool(0.05) {
 		return 1, nil
 	}
-	if err := w.store(epoch, sets); err != nil {
+	if err := sim.store(epoch, sets); err != nil {
 		return 0, err
 	}
-	if w.chance(0.02) {
+	if sim.randomBool(0.02) {
 		return 0, consensus.ErrOutcomeUnknown
 	}
-	time.Sleep(w.between(time.Millisecond, 12*time.Millisecond))
+	time.Sleep(sim.randomBetween(time.Millisecond, 12*time.Millisecond))
 	return 1, nil
 }
 
-// store applies a write in one step, if its epoch is still the newest.
-func (w *world) store(epoch uint64, sets map[string][]byte) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.epoch != epoch {
+// store applies a write atomically, if its epoch is still the newest.
+func (sim *simulation) store(epoch uint64, sets map[string][]byte) error {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if sim.epoch != epoch {
 		return consensus.ErrNotPrimary
 	}
 	for key, value := range sets {
 		if len(value) == 0 {
-			delete(w.records, key)
+			delete(sim.records, key)
 		} else {
-			w.records[key] = value
+			sim.records[key] = value
 		}
 	}
 	return nil
 }
 
-func (s worldStore) Confirm(ctx context.Context, epoch uint64) error {
-	w := s.world
-	if err := waitFor(ctx, w.between(time.Millisecond, 6*time.Millisecond)); err != nil {
+func (s simulationStore) Confirm(ctx context.Context, epoch uint64) error {
+	sim := s.simulation
+	if err := sleep(ctx, sim.randomBetween(time.Millisecond, 6*time.Millisecond)); err != nil {
 		return consensus.ErrOutcomeUnknown
 	}
-	w.mu.Lock()
-	current := w.epoch == epoch || w.faults.staleConfirm
-	w.mu.Unlock()
-	time.Sleep(w.between(time.Millisecond, 6*time.Millisecond))
+	sim.mu.Lock()
+	current := sim.epoch == epoch || sim.faults.staleConfirm
+	sim.mu.Unlock()
+	time.Sleep(sim.randomBetween(time.Millisecond, 6*time.Millisecond))
 	if !current {
 		return consensus.ErrNotPrimary
 	}
 	return nil
 }
 
-func (s worldStore) Scan(prefix string) map[string][]byte {
-	s.world.mu.Lock()
-	defer s.world.mu.Unlock()
-	found := maps.Clone(s.world.records)
+func (s simulationStore) Scan(prefix string) map[string][]byte {
+	s.simulation.mu.Lock()
+	defer s.simulation.mu.Unlock()
+	found := maps.Clone(s.simulation.records)
 	maps.DeleteFunc(found, func(key string, _ []byte) bool { return !strings.HasPrefix(key, prefix) })
 	return found
 }
 
-// takeOver makes a process the primary. Who was it learns of that later.
-func (w *world) takeOver() {
-	w.mu.Lock()
-	next := w.rng.IntN(len(w.runtimes))
-	w.epoch++
-	w.believes[next] = w.epoch
-	epoch := w.epoch
-	w.mu.Unlock()
-	time.Sleep(w.between(time.Millisecond, time.Second))
-	w.mu.Lock()
-	for i, believed := range w.believes {
-		if believed < epoch {
-			w.believes[i] = 0
+// takeOver makes a process the primary. The previous primary detects that only after a delay.
+func (sim *simulation) takeOver() {
+	sim.mu.Lock()
+	next := sim.rng.IntN(len(sim.runtimes))
+	sim.epoch++
+	sim.assumedEpochs[next] = sim.epoch
+	epoch := sim.epoch
+	sim.mu.Unlock()
+	time.Sleep(sim.randomBetween(time.Millisecond, time.Second))
+	sim.mu.Lock()
+	for i, assumed := range sim.assumedEpochs {
+		if assumed < epoch {
+			sim.assumedEpochs[i] = 0
 		}
 	}
-	w.mu.Unlock()
+	sim.mu.Unlock()
 }
 
-// newWorld starts the processes; they end with ctx.
-func newWorld(ctx context.Context, seed uint64, injected faults, running *sync.WaitGroup) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), faults: injected, epoch: 1, records: map[string][]byte{},
-		runtimes: make([]*Runtime, 3), believes: []uint64{1, 0, 0}}
-	w.check = newChecker()
+// newSimulation starts the processes; they end with ctx.
+func newSimulation(ctx context.Context, seed uint64, injected faults, running *sync.WaitGroup) *simulation {
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), faults: injected, epoch: 1, records: map[string][]byte{},
+		runtimes: make([]*Runtime, 3), assumedEpochs: []uint64{1, 0, 0}}
+	sim.check = newChecker()
 	start := time.Now()
-	for i := range w.runtimes {
-		w.runtimes[i] = NewRuntime(RuntimeConfig{
-			Config: Config{HistoryRetention: 20 * time.Second}, Store: worldStore{w, i},
+	for i := range sim.runtimes {
+		sim.runtimes[i] = NewRuntime(RuntimeConfig{
+			Config: Config{HistoryRetention: 20 * time.Second}, Store: simulationStore{sim, i},
 			Primary: func() (uint64, bool) {
-				w.mu.Lock()
-				defer w.mu.Unlock()
-				return w.believes[i], w.believes[i] != 0
+				sim.mu.Lock()
+				defer sim.mu.Unlock()
+				return sim.assumedEpochs[i], sim.assumedEpochs[i] != 0
 			},
 			Now: func() time.Duration { return time.Since(start) }, WriteTimeout: 450 * time.Millisecond,
 			Log: &log.Logger{Level: log.PanicLevel},
 		})
-		w.runtimes[i].onLoad = w.spoil
-		running.Go(func() { w.runtimes[i].Run(ctx) })
+		sim.runtimes[i].onLoad = sim.injectLoadFaults
+		running.Go(func() { sim.runtimes[i].Run(ctx) })
 	}
-	return w
+	return sim
 }
 
-// spoil injects the faults of a machine that was loaded.
-func (w *world) spoil(m *Machine) {
+// injectLoadFaults injects the faults of a loaded machine.
+func (sim *simulation) injectLoadFaults(m *Machine) {
 	for _, l := range m.locks {
-		if w.faults.freeOnLoad {
+		if sim.faults.freeOnLoad {
 			l.expiresAt = m.now
 		}
 	}
-	if w.faults.fencesReset {
+	if sim.faults.fencesReset {
 		m.lastFence = 0
 	}
-	if w.faults.noRepeats {
+	if sim.faults.noRepeats {
 		for _, g := range m.groups {
 			clear(g.repeats)
 		}
 	}
 }
 
-// call asks processes, one after the other as callers do, until one answers. attempts is how often it is asked again after it did
-// not get a clear answer: 0 where the caller has to know what it sent last.
-func (w *world) call(ctx context.Context, call Call, attempts int) (Result, error) {
+// call calls random processes, one after the other, until one answers. attempts is how often the call is repeated after an unknown
+// outcome: 0 if the caller needs the unknown outcome as a result.
+func (sim *simulation) call(ctx context.Context, call Call, attempts int) (Result, error) {
 	for {
-		at := w.between(0, time.Duration(len(w.runtimes)))
+		at := sim.randomBetween(0, time.Duration(len(sim.runtimes)))
 		limit := 800 * time.Millisecond
-		if watch, held := call.(WatchGroup); held {
+		if watch, isWatch := call.(WatchGroup); isWatch {
 			limit += watch.Wait
 		}
-		one, cancel := context.WithTimeout(ctx, limit)
-		result, err := w.runtimes[at].Do(one, call)
+		attemptCtx, cancel := context.WithTimeout(ctx, limit)
+		result, err := sim.runtimes[at].Do(attemptCtx, call)
 		cancel()
 		unclear := errors.Is(err, ErrOutcomeUnknown)
 		switch {
@@ -208,49 +210,49 @@
 		case unclear:
 			attempts--
 		}
-		time.Sleep(w.between(5*time.Millisecond, 60*time.Millisecond))
+		time.Sleep(sim.randomBetween(5*time.Millisecond, 60*time.Millisecond))
 	}
 }
 
-// playWorld plays a minute of callers and takeovers, and returns the rules that were broken.
-func playWorld(t *testing.T, seed uint64, injected faults) (broken []string, w *world) {
+// runSimulation simulates a minute of calls and takeovers, and returns the violated rules.
+func runSimulation(t *testing.T, seed uint64, injected faults) (violations []string, sim *simulation) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
-		w = newWorld(ctx, seed, injected, &running)
+		sim = newSimulation(ctx, seed, injected, &running)
 		for i := range 4 {
-			running.Go(func() { w.lockCaller(ctx, fmt.Sprintf("owner-%d", i), "l") })
+			running.Go(func() { sim.lockCaller(ctx, fmt.Sprintf("owner-%d", i), "l") })
 		}
 		for range 2 {
-			running.Go(func() { w.numberCaller(ctx, "n") })
+			running.Go(func() { sim.numberCaller(ctx, "n") })
 		}
 		for i := range 3 {
-			running.Go(func() { w.keyCaller(ctx, i) })
+			running.Go(func() { sim.keyCaller(ctx, i) })
 		}
 		for range 2 {
-			running.Go(func() { w.watcher(ctx) })
+			running.Go(func() { sim.watcher(ctx) })
 		}
 		for began := time.Now(); time.Since(began) < time.Minute; {
-			time.Sleep(w.between(200*time.Millisecond, 5*time.Second))
-			w.takeOver()
+			time.Sleep(sim.randomBetween(200*time.Millisecond, 5*time.Second))
+			sim.takeOver()
 		}
 		cancel()
 		running.Wait()
-		broken = w.check.broken
+		violations = sim.check.violations
 	})
-	return broken, w
+	return violations, sim
 }
 
 func TestRuntime_KeepsRulesThroughTakeovers(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			broken, w := playWorld(t, seed, faults{})
-			for _, rule := range broken {
+			violations, sim := runSimulation(t, seed, faults{})
+			for _, rule := range violations {
 				t.Error(rule)
 			}
-			w.check.assertBusy(t)
+			sim.check.assertActivity(t)
 		})
 	}
 }
@@ -270,8 +272,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(30) {
-				broken, _ := playWorld(t, seed, c.injected)
-				for _, rule := range broken {
+				violations, _ := runSimulation(t, seed, c.injected)
+				for _, rule := range violations {
 					if strings.HasPrefix(rule, c.rule) {
 						return
 					}
