--- a/internal/tier/rpc/client.go
+++ b/internal/tier/rpc/client.go
@@ -42,11 +42,11 @@
 	}
 }
 
-// dial connects by once, and retries where an attempt timed out while the context has not.
+// dial connects with the function connect, and retries if an attempt timed out but the context has not ended.
 func dial(ctx context.Context, network, addr string,
-	once func(context.Context, string, string) (net.Conn, error)) (conn net.Conn, err error) {
+	connect func(context.Context, string, string) (net.Conn, error)) (conn net.Conn, err error) {
 	for range dialAttempts {
-		conn, err = once(ctx, network, addr)
+		conn, err = connect(ctx, network, addr)
 		var netError net.Error
 		if err == nil || ctx.Err() != nil || !errors.As(err, &netError) || !netError.Timeout() {
 			return conn, err
--- a/internal/tier/rpc/client_test.go
+++ b/internal/tier/rpc/client_test.go
@@ -26,9 +26,9 @@
 	}{
 		{"fine", context.Background(), []error{nil}, 1, nil},
 		{"lost packet", context.Background(), []error{timeout, nil}, 2, nil},
-		{"no one there", context.Background(), []error{timeout, timeout, nil}, 2, timeout},
-		{"dead port", context.Background(), []error{refused, nil}, 1, refused},
-		{"context over", ended, []error{timeout, nil}, 1, timeout},
+		{"two lost packets", context.Background(), []error{timeout, timeout, nil}, 2, timeout},
+		{"connection refused", context.Background(), []error{refused, nil}, 1, refused},
+		{"context ended", ended, []error{timeout, nil}, 1, timeout},
 	} {
 		t.Run(c.label, func(t *testing.T) {
 			tries := 0
--- a/internal/tier/rpc/listen.go
+++ b/internal/tier/rpc/listen.go
@@ -40,5 +40,5 @@
 	}
 }
 
-// portInUse reports whether an error of Listen is that of a port that a former process may still hold.
+// portInUse reports whether an error of Listen says that the port is in use, as it is while a former process still holds it.
 func portInUse(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
--- a/internal/tier/rpc/listen_test.go
+++ b/internal/tier/rpc/listen_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Listen asks its caller about each error, and returns those that are not transient at once.
+// Listen passes each error to its caller's function, and returns errors that are not transient at once.
 func TestListen_RetriesTransientErrorsOnly(t *testing.T) {
 	busy, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/internal/tier/rpc/server.go
+++ b/internal/tier/rpc/server.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	serverIdleTimeout = 3 * clientIdleTimeout // so that it is the client that closes, never under a request
+	serverIdleTimeout = 3 * clientIdleTimeout // the client closes idle connections first, so that the server never closes one during a request
 	headerTimeout     = 5 * time.Second
 	maxHeaderBytes    = 16 << 10
 )
@@ -38,12 +38,12 @@
 	}
 	stop := context.AfterFunc(ctx, func() {
 		_ = server.Close()
-		_ = listener.Close() // also if Serve has not taken it yet
+		_ = listener.Close() // in case server.Serve has not started yet
 	})
 	go func() {
 		defer stop()
 		if err := server.Serve(userTimeoutListener{listener}); !errors.Is(err, http.ErrServerClosed) && ctx.Err() == nil {
-			log.Error().Str("event", "rpc_server_ended").Str("address", server.Addr).Err(err).Msg("listener between processes ended")
+			log.Error().Str("event", "rpc_server_ended").Str("address", server.Addr).Err(err).Msg("internal server ended unexpectedly")
 		}
 	}()
 	return server, nil
--- a/internal/tier/rpc/tcp.go
+++ b/internal/tier/rpc/tcp.go
@@ -8,14 +8,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// peerTimeout is after how long a peer that acknowledges nothing counts as gone (TCP_USER_TIMEOUT, and keep-alive probes on idle
-// connections).
+// peerTimeout is the time after which a peer that acknowledges nothing counts as unreachable (TCP_USER_TIMEOUT, and keep-alive
+// probes on idle connections).
 const peerTimeout = time.Second
 
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: peerTimeout, Interval: peerTimeout, Count: 2}
 
-// setUserTimeout bounds how long a peer may acknowledge nothing. If the system has no such option, keep-alive probes
-// alone detect a peer that is gone.
+// setUserTimeout sets how long a peer may acknowledge nothing. If the system has no such option, only keep-alive probes detect an
+// unreachable peer.
 func setUserTimeout(conn syscall.RawConn) {
 	_ = conn.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(peerTimeout/time.Millisecond))
--- a/internal/tier/session/compression.go
+++ b/internal/tier/session/compression.go
@@ -12,7 +12,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// maxDecompressed is the largest size, in bytes, of what came compressed.
+// maxDecompressed is the maximum size of decompressed data, in bytes.
 const maxDecompressed = 64 << 20
 
 // errTooLarge says that decompressed data has more than maxDecompressed bytes.
@@ -41,7 +41,7 @@
 	return full, nil
 }
 
-// decompress returns data that came in gzip's format (RFC 1952). The error is errTooLarge or that of the decoder.
+// decompress decompresses data in gzip format (RFC 1952). The error is errTooLarge or that of the decoder.
 func decompress(packed []byte) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/internal/tier/session/lease.go
+++ b/internal/tier/session/lease.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// leaseTenths is the length of a lease in tenths of the contact window: a session that loses one call and finds the primary
-// at once renews it in good time.
+// leaseTenths is the length of a lease in tenths of the contact window: a session that loses one call and finds the primary at
+// once still renews the lease before it expires.
 const leaseTenths = 6
 
-// lease bounds for how long the updates that a session has brought may be acted on. It counts from the begin of the last call
-// that was answered, as all that the primary had published by then is in force here. It ends by the clock alone: also in a
+// lease bounds how long the updates of a session may be acted on. It is measured from the start of the last call that was
+// answered, because all that the primary had published by then is in force here. It expires by the clock alone, so also in a
 // process that was paused, or so overloaded that the session makes no progress.
 //
-// A process that is partitioned from the primary goes on with what it has, since it can't have anything newer. A search for
-// the primary that used its whole time and found none shows that it is.
+// A process that is partitioned from the primary continues to act on its updates, since it can't have anything newer. A search
+// for the primary that used its full time-out without success shows that the process is partitioned.
 type lease struct {
 	length      time.Duration
 	since       time.Time // zero: no answer has come yet
 	partitioned bool
 }
 
-// renew takes an answer to a call that began at a time.
+// renew extends the lease after an answer to a call that started at begun.
 func (l *lease) renew(begun time.Time) {
 	if begun.After(l.since) {
 		l.since = begun
@@ -26,43 +26,44 @@
 	l.partitioned = false
 }
 
-// searchFailed takes a search for the primary that found none. One that took much longer than its limit was held up in this
-// process, and shows nothing.
+// searchFailed records a search that did not find the primary. A search that took much longer than its limit was delayed in
+// this process, and is no evidence of a partition.
 func (l *lease) searchFailed(took, limit time.Duration) {
 	if took <= 2*limit {
 		l.partitioned = true
 	}
 }
 
-// searchSucceeded takes a search that found the primary. A process that was partitioned has the length of a lease to hear from it.
+// searchSucceeded records a search that found the primary. A process that was partitioned gets one lease length to receive an
+// answer to a long poll.
 func (l *lease) searchSucceeded(now time.Time) {
 	if l.partitioned {
 		l.since, l.partitioned = now, false
 	}
 }
 
-// holds tells whether the updates may be acted on.
-func (l *lease) holds(now time.Time) bool {
+// valid reports whether the updates may be acted on.
+func (l *lease) valid(now time.Time) bool {
 	return l.partitioned || l.since.IsZero() || now.Sub(l.since) < l.length
 }
 
-// Current tells whether the updates that were brought may be acted on at this moment: they are as the primary had them within
-// the last six tenths of the contact window, or this process is partitioned. Before the first answer there are none to act on.
+// Current reports whether the delivered updates may be acted on now: the primary had them within the last six tenths of the
+// contact window, or this process is partitioned. It is true before the first answer, when there are no updates yet.
 func (client *Client) Current() bool {
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	return client.lease.holds(time.Now())
+	return client.lease.valid(time.Now())
 }
 
-// renewLease records that all is in force here that was published when a call began.
+// renewLease records that all updates that were published when a call began are in force here.
 func (client *Client) renewLease(begun time.Time) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	client.lease.renew(begun)
 }
 
-// recordSearch records the result of a search for the primary that took a time, of limit at most. One that would not have
-// found the primary at its last known distance shows nothing.
+// recordSearch records the result of a search for the primary that took the time took, with the time-out limit. A failed
+// search is no evidence of a partition if it could not have found the primary at its last known distance.
 func (client *Client) recordSearch(took, limit time.Duration, primary searchAnswer) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
@@ -77,7 +78,7 @@
 	client.roundTrip.decay()
 }
 
-// recordLateAnswer records that the primary answered a call of a search that was over by then: this process is not
+// recordLateAnswer records that the primary answered a call of a search that had already ended: this process is not
 // partitioned, the primary is distant or busy.
 func (client *Client) recordLateAnswer(at string, took time.Duration) {
 	client.mu.Lock()
@@ -88,5 +89,5 @@
 	client.hint = at
 	client.lease.partitioned = false
 	client.roundTrip.observe(took)
-	client.config.Log.Warn().Str("event", "primary_distant").Str("primary", at).Dur("took", took).Msg("the primary answered after the search was over")
+	client.config.Log.Warn().Str("event", "primary_distant").Str("primary", at).Dur("took", took).Msg("the primary answered after the search had ended")
 }
--- a/internal/tier/session/lease_test.go
+++ b/internal/tier/session/lease_test.go
@@ -13,11 +13,11 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// leaseLength is of a session with the settings of tiertest, whose contact window is 4 s.
+// leaseLength is the lease length of a session with the settings of tiertest, whose contact window is 4 s.
 const leaseLength = 2400 * time.Millisecond
 
-// currentUntil samples for a time whether the session's updates are current, and returns when they were first found not to be;
-// the whole time if they always were.
+// currentUntil samples during span whether the session's updates are current. It returns the time until they were not, or span if
+// they always were.
 func (h *harness) currentUntil(span time.Duration) time.Duration {
 	const every = 20 * time.Millisecond
 	for began := time.Now(); time.Since(began) < span; {
@@ -29,7 +29,7 @@
 	return span
 }
 
-// withActiveSession is a session in virtual time that has delivered a list; from then on, its calls go through via.
+// withActiveSession calls f, in virtual time, with a session that has delivered an endpoint list.
 func withActiveSession(t *testing.T, f func(h *harness, c *tiertest.ControlPlane)) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 1)
@@ -48,7 +48,7 @@
 	})
 }
 
-// A session that loses single calls is current all the time.
+// A session that loses single calls stays current.
 func TestCurrent_SingleLostCalls(t *testing.T) {
 	withActiveSession(t, func(h *harness, c *tiertest.ControlPlane) {
 		var calls atomic.Int64
@@ -63,8 +63,8 @@
 	})
 }
 
-// A process whose session makes no progress, as it is paused or overloaded, does not act on its updates beyond the lease. It does
-// again once it has heard from the primary.
+// A process whose session makes no progress, because the process is paused or overloaded, must not act on its updates beyond the
+// lease. It may do so again after an answer of the primary.
 func TestCurrent_PausedProcess(t *testing.T) {
 	withActiveSession(t, func(h *harness, c *tiertest.ControlPlane) {
 		const pause = 10 * time.Second
@@ -72,20 +72,20 @@
 		resumed := make(chan struct{})
 		c.SetInterceptor(func(_ context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 			if isLongPoll(q) && !paused.Swap(true) {
-				<-time.After(pause) // the process does not even see that its call is over
+				<-time.After(pause) // a paused process does not detect the time-out of its call either
 				close(resumed)
 			}
 			return serve()
 		})
 		lasted := h.currentUntil(pause)
-		assert.Assert(t, lasted <= leaseLength+time.Second, "current for %v", lasted) // a call may have begun before
+		assert.Assert(t, lasted <= leaseLength+time.Second, "current for %v", lasted) // a call may have begun before the pause
 		<-resumed
 		<-time.After(100 * time.Millisecond)
-		assert.Assert(t, h.client.Current(), "it has heard from the primary, and is not current")
+		assert.Assert(t, h.client.Current(), "not current after an answer of the primary")
 	})
 }
 
-// A process that is partitioned goes on with what it has, however long that lasts.
+// A partitioned process continues to act on its updates, however long the partition lasts.
 func TestCurrent_PartitionedProcess(t *testing.T) {
 	withActiveSession(t, func(h *harness, c *tiertest.ControlPlane) {
 		c.SetInterceptor(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
@@ -96,28 +96,29 @@
 	})
 }
 
-// A process that reaches the primary, but does not get what is new from it, is not current beyond its lease; also if it was
+// A process that reaches the primary but receives no updates from it must not be current beyond its lease, also if it was
 // partitioned before.
 func TestCurrent_PrimaryReachableWithoutUpdates(t *testing.T) {
-	for name, cut := range map[string]time.Duration{"from the first": 0, "after a cut": 10 * time.Second} {
+	for name, partition := range map[string]time.Duration{"without a partition": 0, "after a partition": 10 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			withActiveSession(t, func(h *harness, c *tiertest.ControlPlane) {
-				cutUntil := time.Now().Add(cut)
+				partitionedUntil := time.Now().Add(partition)
 				c.SetInterceptor(func(ctx context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
-					if isLongPoll(q) || time.Now().Before(cutUntil) {
+					if isLongPoll(q) || time.Now().Before(partitionedUntil) {
 						<-ctx.Done()
 						return nil, ctx.Err()
 					}
 					return serve()
 				})
-				lasted := h.currentUntil(cut + 20*time.Second)
-				assert.Assert(t, lasted >= cut && lasted <= cut+leaseLength+2*time.Second, "current for %v", lasted)
+				lasted := h.currentUntil(partition + 20*time.Second)
+				assert.Assert(t, lasted >= partition && lasted <= partition+leaseLength+2*time.Second, "current for %v", lasted)
 			})
 		})
 	}
 }
 
-// The first call after a loss brings most, as to all sessions after a takeover: its answer is waited for as long as others.
+// The first call after a loss has the largest answer, as the first calls of all sessions after a takeover. Its time-out must be
+// as long as that of other calls.
 func TestSession_SlowFirstAnswerAfterLoss(t *testing.T) {
 	const took = time.Second // within a sixth and a tenth of the contact window
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/tier/session/search.go
+++ b/internal/tier/session/search.go
@@ -8,7 +8,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// candidates returns the addresses of all that may be or know the primary, the hint first.
+// candidates returns the addresses of all processes that may be the primary or may name it, the hint first.
 func (client *Client) candidates() []string {
 	client.mu.Lock()
 	defer client.mu.Unlock()
@@ -27,10 +27,10 @@
 
 // search is one attempt to find the primary.
 type search struct {
-	client         *Client
-	calls          context.Context // of the calls, which may outlast the search
-	answers        chan searchAnswer
-	askedAddresses map[string]bool
+	client           *Client
+	calls            context.Context // of the calls, which may outlast the search
+	answers          chan searchAnswer
+	queriedAddresses map[string]bool
 }
 
 // searchAnswer is the answer of one candidate; reply is nil where the call failed.
@@ -40,17 +40,16 @@
 	took    time.Duration
 }
 
-// findPrimary asks all candidates at once who is the primary, and returns the answer of the first that says that it is; an
-// empty one if none does within limit. Calls without an answer by then go on for a while (lateAnswerDivisor): a connection
-// that is established meanwhile is of use to the next search, and a late answer shows that the primary is distant and this
-// process not partitioned.
+// findPrimary queries all candidates concurrently and returns the first answer of a primary, or an empty one if there is none
+// within limit. Calls without an answer by then continue for a while (lateAnswerDivisor): the next search can use a connection
+// that is established meanwhile, and a late answer shows that the primary is distant and this process not partitioned.
 func (client *Client) findPrimary(ctx context.Context, limit time.Duration) searchAnswer {
 	all := client.candidates()
 	calls, cancelCalls := context.WithTimeout(ctx, client.config.Settings.ContactWindow/lateAnswerDivisor)
 	ctx, cancel := context.WithTimeout(calls, limit)
 	defer cancel()
-	round := &search{client: client, calls: calls, answers: make(chan searchAnswer, 2*len(all)+8), askedAddresses: map[string]bool{}}
-	primary := round.run(ctx, all)
+	attempt := &search{client: client, calls: calls, answers: make(chan searchAnswer, 2*len(all)+8), queriedAddresses: map[string]bool{}}
+	primary := attempt.run(ctx, all)
 	if primary.address != "" {
 		cancelCalls()
 	} else {
@@ -59,12 +58,12 @@
 	return primary
 }
 
-// run asks until one candidate says that it is the primary, and returns its answer; an empty one if ctx ends before.
+// run queries the candidates until one is the primary, and returns its answer; an empty one if ctx ends before.
 func (s *search) run(ctx context.Context, all []string) searchAnswer {
 	for _, address := range all {
-		s.ask(ctx, address)
+		s.query(ctx, address)
 	}
-	for len(s.askedAddresses) > 0 {
+	for len(s.queriedAddresses) > 0 {
 		var got searchAnswer
 		select {
 		case got = <-s.answers:
@@ -77,27 +76,27 @@
 		if got.reply.IsPrimary {
 			return got
 		}
-		s.ask(ctx, got.reply.PrimaryHint)
+		s.query(ctx, got.reply.PrimaryHint)
 	}
 	return searchAnswer{}
 }
 
-// ask begins to ask one candidate, unless it is being asked already or too many are.
-func (s *search) ask(ctx context.Context, at string) {
-	if s.askedAddresses[at] || at == "" || len(s.askedAddresses) >= cap(s.answers) {
+// query starts to query one candidate, unless it is being queried already or too many are.
+func (s *search) query(ctx context.Context, at string) {
+	if s.queriedAddresses[at] || at == "" || len(s.queriedAddresses) >= cap(s.answers) {
 		return
 	}
-	s.askedAddresses[at] = true
-	go s.askUntilPrimary(ctx, at)
+	s.queriedAddresses[at] = true
+	go s.queryUntilPrimary(ctx, at)
 }
 
-// askUntilPrimary asks one candidate until it is the primary or ctx ends: one that is not may be so in a moment, whoever else
-// has not answered yet.
-func (s *search) askUntilPrimary(ctx context.Context, at string) {
+// queryUntilPrimary queries one candidate until it is the primary or ctx ends. It repeats the query, even while other
+// candidates have not answered, because the candidate may become the primary at any moment.
+func (s *search) queryUntilPrimary(ctx context.Context, at string) {
 	config := &s.client.config
 	for {
 		begun := time.Now()
-		// It claims the newest version of all there is: updates are for the long poll.
+		// The request claims the newest versions, so that the reply has no updates: these are for the long poll.
 		reply, err := config.Dial(at).Watch(s.calls, &tierv1.WatchRequest{Node: config.Settings.Node, Incarnation: s.client.incarnation,
 			ConfigurationVersion: math.MaxUint64, EndpointsVersion: math.MaxUint64, PartitionMapVersion: math.MaxUint64, MembersVersion: math.MaxUint64})
 		if err != nil {
--- a/internal/tier/session/session.go
+++ b/internal/tier/session/session.go
@@ -13,7 +13,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Config is what New needs.
+// Config is the configuration of a Client.
 type Config struct {
 	Settings    settings.Settings
 	Role        string // gateway or turnstore
@@ -33,7 +33,7 @@
 	Configuration func(*tierv1.Configuration)
 	Endpoints     func(*tierv1.Endpoints)
 	PartitionMap  func(*tierv1.PartitionMap)
-	Ejections     func(*tierv1.Ejections) // endpoints that several gateways have ejected; the same one may come again
+	Ejections     func(*tierv1.Ejections) // endpoints that several gateways have ejected; an endpoint may be delivered again
 }
 
 // Client is a session. Its methods may be called from any goroutine; Run is called once.
@@ -60,7 +60,8 @@
 	return client
 }
 
-// Active tells whether the session is active: the primary answered the last call; and how long ago it answered last.
+// Active reports whether the session is active, that is, the primary answered the last call, and how long ago it last
+// answered.
 func (client *Client) Active() (bool, time.Duration) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
@@ -70,7 +71,7 @@
 	return client.active, time.Since(client.lastReply)
 }
 
-// Remaining returns how much longer the session is active if the primary answers no more; 0 where it is not active.
+// Remaining returns how much longer the session is active if the primary answers no further call; 0 if it is not active.
 func (client *Client) Remaining() time.Duration {
 	active, since := client.Active()
 	if !active {
@@ -79,15 +80,15 @@
 	return max(0, client.callTimeout()-since)
 }
 
-// Primary returns the internal address of the primary as last known, empty if none is.
+// Primary returns the last known internal address of the primary, empty if it is unknown.
 func (client *Client) Primary() string {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	return client.hint
 }
 
-// ReportHealth reports endpoints that were ejected here, and ejected ones that have answered, to the primary. The report is a
-// hint: it is sent once, and may be lost.
+// ReportHealth reports to the primary which endpoints were ejected here, and which ejected ones have answered since. The
+// report is a hint: it is sent once, and may be lost.
 func (client *Client) ReportHealth(ctx context.Context, ejected, restored []string) {
 	at := client.Primary()
 	if active, _ := client.Active(); !active || at == "" {
@@ -101,14 +102,14 @@
 	}
 }
 
-// Drain has the session tell the primary, from the next call on, that the process is draining.
+// Drain makes the session report, from the next call on, that the process is draining.
 func (client *Client) Drain() {
 	client.mu.Lock()
 	client.draining = true
 	client.mu.Unlock()
 }
 
-// Run keeps the session until ctx ends: it finds the primary and makes one long poll after the other.
+// Run maintains the session until ctx ends: it finds the primary and makes consecutive long polls.
 func (client *Client) Run(ctx context.Context) {
 	window := client.config.Settings.ContactWindow
 	failures := 0 // searches in a row without success
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -24,14 +24,14 @@
 	controls  map[string]*tiertest.ControlPlane
 	client    *session.Client
 	mu        sync.Mutex
-	taken     []string
+	delivered []string
 	cancelRun context.CancelFunc
 	ended     chan struct{}
 }
 
 func address(n int) string { return fmt.Sprintf("control-%d:9000", n) }
 
-// newHarness makes one of n control-plane processes, none of which is the primary.
+// newHarness returns a harness with n control-plane processes, none of which is the primary.
 func newHarness(t *testing.T, n int) *harness {
 	h := &harness{t: t, controls: map[string]*tiertest.ControlPlane{}}
 	for i := range n {
@@ -45,16 +45,16 @@
 func (h *harness) record(text string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.taken = append(h.taken, text)
+	h.delivered = append(h.delivered, text)
 }
 
 func (h *harness) recorded() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]string(nil), h.taken...)
+	return append([]string(nil), h.delivered...)
 }
 
-var errNoProcess = errors.New("nobody is there")
+var errNoProcess = errors.New("no process at this address")
 
 type absentControlPlane struct{ tierv1.ControlPlane }
 
@@ -101,7 +101,7 @@
 	h.at(n).Update(func(v *tierv1.WatchReply) { v.IsPrimary, v.PrimaryHint = false, address(to) })
 }
 
-// isLongPoll tells a call of a session from one that only observes.
+// isLongPoll distinguishes the long polls of a session from the calls of a search.
 func isLongPoll(q *tierv1.WatchRequest) bool { return q.Role != "" }
 
 func TestSession_PrimaryFoundByHint(t *testing.T) {
@@ -118,11 +118,11 @@
 	c.SetConfiguration("1")
 	c.AwaitAcknowledged(t)
 	assert.Equal(t, h.client.Primary(), address(3))
-	stands, _ := h.client.Active()
-	assert.Assert(t, stands)
+	active, _ := h.client.Active()
+	assert.Assert(t, active)
 	for _, n := range []int{1, 2} {
 		for _, q := range h.at(n).Calls() {
-			assert.Assert(t, !isLongPoll(q), "a session with one that is no primary")
+			assert.Assert(t, !isLongPoll(q), "a session with a process that is not the primary")
 		}
 	}
 }
@@ -132,48 +132,48 @@
 	c := h.primary(1)
 	c.SetConfiguration("1")
 	c.SetEndpoints()
-	lives := map[string]bool{}
-	for life := range 3 {
+	incarnations := map[string]bool{}
+	for run := range 3 {
 		seen := len(c.Calls())
 		h.run()
-		c.Await(t, "views are acknowledged", func(q *tierv1.WatchRequest) bool {
-			return isLongPoll(q) && q.ConfigurationVersion == 1 && q.EndpointsVersion == 1 && !lives[q.Incarnation]
+		c.Await(t, "updates are acknowledged", func(q *tierv1.WatchRequest) bool {
+			return isLongPoll(q) && q.ConfigurationVersion == 1 && q.EndpointsVersion == 1 && !incarnations[q.Incarnation]
 		})
 		h.cancelRun()
 		tiertest.WaitFor(t, "the session ends", h.ended)
 		first := true
 		for _, q := range c.Calls()[seen:] {
 			if !isLongPoll(q) {
-				assert.Equal(t, q.ConfigurationVersion, uint64(math.MaxUint64), "one that only looks acknowledges nothing")
+				assert.Equal(t, q.ConfigurationVersion, uint64(math.MaxUint64), "a search acknowledges nothing")
 				continue
 			}
 			if first {
-				assert.Equal(t, q.ConfigurationVersion+q.EndpointsVersion+q.PartitionMapVersion+q.MembersVersion, uint64(0), "life %d", life)
+				assert.Equal(t, q.ConfigurationVersion+q.EndpointsVersion+q.PartitionMapVersion+q.MembersVersion, uint64(0), "run %d", run)
 				first = false
 			}
-			lives[q.Incarnation] = true
+			incarnations[q.Incarnation] = true
 		}
-		assert.Equal(t, len(lives), life+1)
+		assert.Equal(t, len(incarnations), run+1)
 	}
 }
 
 func TestSession_VersionsAcknowledgedOnceDelivered(t *testing.T) {
 	h := newHarness(t, 1)
 	c := h.primary(1)
-	asked, release := make(chan struct{}), make(chan struct{})
+	delivering, release := make(chan struct{}), make(chan struct{})
 	h.run(func(s *session.Config) {
 		s.Endpoints = func(v *tierv1.Endpoints) {
 			if v.Version == 1 {
-				close(asked)
+				close(delivering)
 				<-release
 			}
 			h.record("endpoints")
 		}
 	})
 	c.SetEndpoints()
-	tiertest.WaitFor(t, "the list is brought", asked)
+	tiertest.WaitFor(t, "the list is delivered", delivering)
 	for _, q := range c.Calls() {
-		assert.Assert(t, !isLongPoll(q) || q.EndpointsVersion == 0, "acknowledged before it was taken")
+		assert.Assert(t, !isLongPoll(q) || q.EndpointsVersion == 0, "acknowledged before its delivery")
 	}
 	close(release)
 	c.AwaitAcknowledged(t)
@@ -183,7 +183,7 @@
 func TestSession_OlderVersionsIgnored(t *testing.T) {
 	h := newHarness(t, 1)
 	c := h.primary(1)
-	news := func(n uint64) *tierv1.WatchReply {
+	updateOf := func(n uint64) *tierv1.WatchReply {
 		return &tierv1.WatchReply{IsPrimary: true, Configuration: &tierv1.Configuration{Version: n}, Endpoints: &tierv1.Endpoints{Version: n},
 			PartitionMap: &tierv1.PartitionMap{Version: n}, Members: &tierv1.Members{Version: n}}
 	}
@@ -197,7 +197,7 @@
 			return serve()
 		}
 		n++
-		return news(versions[n-1]), nil
+		return updateOf(versions[n-1]), nil
 	})
 	h.run()
 	c.Await(t, "the newest is acknowledged", func(q *tierv1.WatchRequest) bool { return isLongPoll(q) && q.PartitionMapVersion == 8 })
@@ -212,7 +212,7 @@
 	}
 }
 
-// makeUnresponsive lets calls from now on wait without an answer.
+// makeUnresponsive leaves calls from now on without an answer.
 func makeUnresponsive(c *tiertest.ControlPlane) {
 	c.SetInterceptor(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 		<-ctx.Done()
@@ -222,14 +222,14 @@
 
 func TestSession_MovesToNextPrimary(t *testing.T) {
 	for name, ends := range map[string]func(h *harness){
-		"silent": func(h *harness) { makeUnresponsive(h.at(1)) },
-		"dead": func(h *harness) {
+		"unresponsive": func(h *harness) { makeUnresponsive(h.at(1)) },
+		"process gone": func(h *harness) {
 			h.at(1).SetInterceptor(func(context.Context, *tierv1.WatchRequest, func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 				return nil, errNoProcess
 			})
 		},
-		"deposed, knows":     func(h *harness) { h.hint(1, 2) },
-		"deposed, knows not": func(h *harness) { h.at(1).Update(func(v *tierv1.WatchReply) { v.IsPrimary = false }) },
+		"deposed, with hint":    func(h *harness) { h.hint(1, 2) },
+		"deposed, without hint": func(h *harness) { h.at(1).Update(func(v *tierv1.WatchReply) { v.IsPrimary = false }) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 2)
@@ -241,10 +241,10 @@
 			c.SetEndpoints()
 			h.run()
 			c.AwaitAcknowledged(t)
-			next := h.primary(2) // known from the members alone
+			next := h.primary(2) // its address is only in the members
 			ends(h)
 			got := next.Await(t, "a session with the next", isLongPoll)
-			assert.Equal(t, got.EndpointsVersion, uint64(2), "what was taken stays taken")
+			assert.Equal(t, got.EndpointsVersion, uint64(2), "delivered versions stay acknowledged")
 			next.Update(func(v *tierv1.WatchReply) { v.Endpoints = &tierv1.Endpoints{Version: 3} })
 			next.AwaitAcknowledged(t)
 			assert.DeepEqual(t, h.recorded(), []string{"endpoints 2", "endpoints 3"})
@@ -253,15 +253,15 @@
 	}
 }
 
-// An answer that was held up on its way, as by a process that was paused, may come from one that is the primary no more.
+// An answer that was delayed, for example by a paused process, must be ignored: its sender may no longer be the primary.
 func TestSession_LateAnswerIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 1)
 		c := h.primary(1)
 		c.SetConfiguration("1")
-		var heldUp atomic.Bool
+		var delayed atomic.Bool
 		c.SetInterceptor(func(_ context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
-			if !isLongPoll(q) || heldUp.Swap(true) {
+			if !isLongPoll(q) || delayed.Swap(true) {
 				return serve()
 			}
 			<-time.After(10 * time.Second)
@@ -278,14 +278,14 @@
 	h := newHarness(t, 1)
 	c := h.at(1)
 	h.run()
-	c.Await(t, "it looks", func(*tierv1.WatchRequest) bool { return len(c.Calls()) > 2 })
-	stands, _ := h.client.Active()
-	assert.Assert(t, !stands)
+	c.Await(t, "a search", func(*tierv1.WatchRequest) bool { return len(c.Calls()) > 2 })
+	active, _ := h.client.Active()
+	assert.Assert(t, !active)
 	h.primary(1)
 	c.Await(t, "a session", isLongPoll)
 }
 
-// Among several that do not answer, the one that does is found: all are asked at once.
+// Among several candidates that do not answer, the one that answers is found, because all are queried concurrently.
 func TestSession_OneOfManyCandidatesAnswers(t *testing.T) {
 	h := newHarness(t, 5)
 	for n := 1; n <= 4; n++ {
@@ -309,7 +309,7 @@
 	changed := make(chan struct{})
 	h.run(func(s *session.Config) {
 		s.Role, s.Folder, s.Address, s.EmptyFolder = "turnstore", "f-1", "10.0.0.1:9001", true
-		s.Settings.ContactWindow *= 100 // a call is held for longer than the test has patience
+		s.Settings.ContactWindow *= 100 // the poll time-out is longer than the time-out of the test
 		s.Synced = func() ([]*tierv1.SyncedReplica, <-chan struct{}) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -332,7 +332,7 @@
 	}
 }
 
-// A change of the disk's state is reported at once, as Synced's channel closes with it.
+// A change of the disk's state is reported at once, because it closes the channel of Synced.
 func TestSession_DiskStateReportedAtOnce(t *testing.T) {
 	h := newHarness(t, 1)
 	c := h.primary(1)
@@ -341,7 +341,7 @@
 	changed := make(chan struct{})
 	h.run(func(s *session.Config) {
 		s.Role, s.Folder = "turnstore", "f-1"
-		s.Settings.ContactWindow *= 100 // a call is held for longer than the test has patience
+		s.Settings.ContactWindow *= 100 // the poll time-out is longer than the time-out of the test
 		s.Synced = func() ([]*tierv1.SyncedReplica, <-chan struct{}) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -372,13 +372,13 @@
 	first := c.Await(t, "a session", isLongPoll)
 	assert.Equal(t, first.Draining, false)
 	h.client.Drain()
-	c.Await(t, "it is leaving", func(q *tierv1.WatchRequest) bool { return isLongPoll(q) && q.Draining })
+	c.Await(t, "draining is reported", func(q *tierv1.WatchRequest) bool { return isLongPoll(q) && q.Draining })
 }
 
-// What remains of a session falls from the last answer on, and is nothing once it is lost.
+// The remaining time of a session decreases from the last answer on, and is 0 once the session is lost.
 func TestRemaining_AfterLastAnswer(t *testing.T) {
-	for role, patience := range map[string]time.Duration{
-		"gateway":   4*time.Second/6 + 4*time.Second/10, // a held call, and the grace of its answer
+	for role, timeout := range map[string]time.Duration{
+		"gateway":   4*time.Second/6 + 4*time.Second/10, // the poll time-out, and the grace for the answer
 		"turnstore": 4*time.Second/12 + 4*time.Second/10,
 	} {
 		t.Run(role, func(t *testing.T) {
@@ -393,32 +393,32 @@
 				})
 				c.AwaitAcknowledged(t)
 				synctest.Wait()
-				assert.Equal(t, h.client.Remaining(), patience)
+				assert.Equal(t, h.client.Remaining(), timeout)
 				<-time.After(100 * time.Millisecond)
-				assert.Equal(t, h.client.Remaining(), patience-100*time.Millisecond)
-				h.hint(1, 2) // nobody is the primary any more
-				<-time.After(patience)
+				assert.Equal(t, h.client.Remaining(), timeout-100*time.Millisecond)
+				h.hint(1, 2) // there is no primary any more
+				<-time.After(timeout)
 				assert.Equal(t, h.client.Remaining(), time.Duration(0))
 			})
 		})
 	}
 }
 
-// A session that has never been active has nothing left.
+// A session that was never active has no remaining time.
 func TestRemaining_NeverActive(t *testing.T) {
 	client := session.New(session.Config{Settings: tiertest.Settings("edge-1"), Role: "gateway", Log: tiertest.DiscardLogger()})
 	assert.Equal(t, client.Remaining(), time.Duration(0))
 }
 
-// Where a new connection and a call together take longer than the first search, the primary is found all the same.
+// The primary is found even if a new connection and a call together take longer than the first search.
 func TestSession_DistantPrimaryFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const roundTrips = 520 * time.Millisecond // of a connection and a call; a search takes 500 ms, the next 1 s
+		const roundTrips = 520 * time.Millisecond // of a connection and a call; the time-out of the first search is 500 ms, of the next one 1 s
 		h := newHarness(t, 1)
 		c := h.primary(1)
 		c.SetConfiguration("1")
 		c.SetInterceptor(func(ctx context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
-			if isLongPoll(q) { // by the connection that the search has made
+			if isLongPoll(q) { // on the connection that the search has established
 				return serve()
 			}
 			select {
@@ -430,7 +430,7 @@
 		})
 		h.run()
 		<-time.After(4 * time.Second)
-		stands, _ := h.client.Active()
-		assert.Assert(t, stands)
+		active, _ := h.client.Active()
+		assert.Assert(t, active)
 	})
 }
--- a/internal/tier/session/timing.go
+++ b/internal/tier/session/timing.go
@@ -6,24 +6,24 @@
 )
 
 // Durations that are a fraction of the contact window (guarantees.contact_window_ms): the window divided by these numbers. A
-// session that was lost must be found again well within the window.
+// lost session must be re-established well within the window.
 const (
-	// longPollDivisor is for the longest time that a call is held,
+	// longPollDivisor is for the maximum poll time-out of a call.
 	longPollDivisor = 6
-	// and turnStoreLongPollDivisor for that of a turn store, whose loss holds up all turns of its partitions.
+	// turnStoreLongPollDivisor is for that of a turn store, whose loss holds up all turns of its partitions.
 	turnStoreLongPollDivisor = 12
-	// answerGraceDivisor is for the least time that an answer is waited for after that. Where a distant primary needs more,
-	// the call is held for less.
+	// answerGraceDivisor is for the minimum time to wait for an answer after the poll time-out. If a distant primary needs
+	// longer, the poll time-out is reduced.
 	answerGraceDivisor = 10
 	// searchDivisor is for the time-out of a search for the primary.
 	searchDivisor = 8
-	// lateAnswerDivisor is for the time after which the calls of a search that is over are cancelled.
+	// lateAnswerDivisor is for the time-out of the calls of a search, which continue after the search has ended.
 	lateAnswerDivisor = 1
 	// searchPauseDivisor is for the pause between two attempts to find the primary.
 	searchPauseDivisor = 60
 )
 
-// maxLongPoll returns how long the primary may hold a call where its answer takes no longer than a tenth of the contact window.
+// maxLongPoll returns the poll time-out of a call whose answer takes no longer than a tenth of the contact window.
 func (client *Client) maxLongPoll() time.Duration {
 	window := client.config.Settings.ContactWindow
 	if client.config.Folder != "" {
@@ -32,25 +32,25 @@
 	return window / longPollDivisor
 }
 
-// callTimeout returns how long a long poll is waited for in all. It bounds the age of what an answer brings, so it does not
-// depend on how distant the primary is.
+// callTimeout returns the time-out of a long poll with its answer. It bounds the age of the updates in an answer, so it does
+// not depend on how distant the primary is.
 func (client *Client) callTimeout() time.Duration {
 	return client.maxLongPoll() + client.config.Settings.ContactWindow/answerGraceDivisor
 }
 
-// longPoll returns how long the primary may hold the next call: what callTimeout leaves beside the time that the answer
-// takes. The control plane reckons with the same sum: a session that asks to be held for less gets as much longer a TTL.
+// longPoll returns the poll time-out of the next call: callTimeout without the time that the answer takes. The control plane
+// computes with the same sum: a session with a shorter poll time-out gets a TTL that is longer by the difference.
 func (client *Client) longPoll() time.Duration {
 	window := client.config.Settings.ContactWindow
-	patience := client.callTimeout()
+	timeout := client.callTimeout()
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	return patience - client.roundTrip.answerWait(window/answerGraceDivisor, patience-window/searchPauseDivisor)
+	return timeout - client.roundTrip.answerWait(window/answerGraceDivisor, timeout-window/searchPauseDivisor)
 }
 
-// searchLimit returns the time-out of a search after so many in a row without success. Every second one has twice the time: a
-// call that is cancelled takes its connection with it, so where a new connection and a call together take longer than a
-// search, as between distant regions, none would ever succeed.
+// searchLimit returns the time-out of a search after a number of failed searches in a row. Every second search has twice the
+// time-out: cancelling a call closes its connection, so if a new connection and a call together took longer than a search, as
+// between distant regions, no search would ever succeed.
 func searchLimit(window time.Duration, failures int) time.Duration {
 	limit := window / searchDivisor
 	if failures%2 == 1 {
--- a/internal/tier/session/updates.go
+++ b/internal/tier/session/updates.go
@@ -6,7 +6,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// updates are the parts of a reply that are newer than what is in force here; nil: not newer.
+// updates are the parts of a reply that are newer than those in force here; nil: not newer.
 type updates struct {
 	configuration *tierv1.Configuration
 	endpoints     *tierv1.Endpoints
@@ -14,8 +14,8 @@
 	ejections     *tierv1.Ejections
 }
 
-// apply takes a reply of the primary and delivers what is newer. The next call acknowledges what was delivered. It returns
-// false where a part was damaged: that is not acknowledged, and comes again.
+// apply records a reply of the primary and delivers its newer parts. The next call acknowledges them. It returns false if a
+// part was damaged: that part is not acknowledged, so the primary sends it again.
 func (client *Client) apply(at string, reply *tierv1.WatchReply) (undamaged bool) {
 	undamaged = true
 	client.mu.Lock()
@@ -25,14 +25,14 @@
 	if len(newer.configuration.GetPacked()) > 0 {
 		var err error
 		if newer.configuration, err = decompressConfiguration(newer.configuration); err != nil {
-			client.config.Log.Error().Str("event", "configuration_damaged").Err(err).Msg("a configuration was damaged on its way")
+			client.config.Log.Error().Str("event", "configuration_damaged").Err(err).Msg("received a damaged configuration")
 			undamaged = false
 		}
 	}
 	if len(newer.endpoints.GetPacked()) > 0 {
 		var err error
 		if newer.endpoints, err = decompressEndpoints(newer.endpoints); err != nil {
-			client.config.Log.Error().Str("event", "endpoints_damaged").Err(err).Msg("an endpoint list was damaged on its way")
+			client.config.Log.Error().Str("event", "endpoints_damaged").Err(err).Msg("received a damaged endpoint list")
 			undamaged = false
 		}
 	}
@@ -43,7 +43,7 @@
 	return undamaged
 }
 
-// recordReply records that the session is active, and the members that the primary names. The caller holds mu.
+// recordReply records that the session is active, and the members that the reply lists. The caller holds mu.
 func (client *Client) recordReply(at string, reply *tierv1.WatchReply) {
 	if !client.active {
 		client.config.Log.Info().Str("event", "session").Str("primary", at).Uint64("epoch", reply.Epoch).Msg("established a session with the primary")
@@ -58,7 +58,7 @@
 	}
 }
 
-// newer returns the parts of a reply that are newer than what is in force here. The caller holds mu.
+// newer returns the parts of a reply that are newer than those in force here. The caller holds mu.
 func (client *Client) newer(reply *tierv1.WatchReply) (newer updates) {
 	if v := reply.Configuration; v != nil && v.Version > client.applied.ConfigurationVersion {
 		newer.configuration = v
@@ -75,7 +75,7 @@
 	return newer
 }
 
-// deliver hands updates to those who use them.
+// deliver calls the functions of Config with updates.
 func (client *Client) deliver(newer updates) {
 	if newer.configuration != nil && client.config.Configuration != nil {
 		client.config.Configuration(newer.configuration)
@@ -92,17 +92,17 @@
 }
 
 // acknowledge records the versions of updates as in force. The caller holds mu.
-func (client *Client) acknowledge(taken updates) {
-	if taken.configuration != nil {
-		client.applied.ConfigurationVersion = taken.configuration.Version
+func (client *Client) acknowledge(delivered updates) {
+	if delivered.configuration != nil {
+		client.applied.ConfigurationVersion = delivered.configuration.Version
 	}
-	if taken.endpoints != nil {
-		client.applied.EndpointsVersion = taken.endpoints.Version
+	if delivered.endpoints != nil {
+		client.applied.EndpointsVersion = delivered.endpoints.Version
 	}
-	if taken.partitionMap != nil {
-		client.applied.PartitionMapVersion = taken.partitionMap.Version
+	if delivered.partitionMap != nil {
+		client.applied.PartitionMapVersion = delivered.partitionMap.Version
 	}
-	if taken.ejections != nil {
-		client.applied.EjectionsVersion = taken.ejections.Version
+	if delivered.ejections != nil {
+		client.applied.EjectionsVersion = delivered.ejections.Version
 	}
 }
--- a/internal/tier/session/watch.go
+++ b/internal/tier/session/watch.go
@@ -10,23 +10,24 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// watch makes one long poll, and returns whether the session goes on with this primary.
+// watch makes one long poll, and reports whether the session continues with this primary.
 func (client *Client) watch(ctx context.Context, at string) bool {
 	hold := client.longPoll()
-	if stands, _ := client.Active(); !stands {
-		// The answer renews the lease, but may bring all anew: it is waited for as long as others.
+	if active, _ := client.Active(); !active {
+		// The first answer renews the lease, but may contain all updates: the poll time-out is short, and the time-out of the
+		// call the same as for others.
 		hold = client.config.Settings.ContactWindow / searchPauseDivisor
 	}
 	request := client.request(hold)
-	patience := client.callTimeout()
+	timeout := client.callTimeout()
 	begun := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var reportNow atomic.Bool // the call was cancelled as there is a change to report
+	var reportNow atomic.Bool // the call was cancelled because there is a change to report
 	if client.config.Synced != nil {
 		replicas, changed := client.config.Synced()
 		request.Synced = replicas
-		if client.config.Disk != nil { // after Synced: a change from here on closes the channel
+		if client.config.Disk != nil { // read after Synced: a later change closes the channel
 			request.Disk = client.config.Disk()
 		}
 		done := make(chan struct{})
@@ -48,9 +49,9 @@
 		client.markInactive(err.Error())
 		return false
 	}
-	// The primary checked its lease after the call was sent and before it was answered. Only this bounds how old an answer
-	// can be, also where a process was paused on the way.
-	if time.Since(begun) > patience {
+	// The primary checked its lease after the call was sent and before it was answered. Only this check bounds the age of an
+	// answer, also if a process was paused meanwhile.
+	if time.Since(begun) > timeout {
 		client.markInactive("answered too late")
 		return false
 	}
@@ -70,8 +71,8 @@
 	return true
 }
 
-// observeRoundTrip takes how long a call took that might be held for hold. One that brings an update was answered before the
-// end of that.
+// observeRoundTrip updates the round-trip estimate after a call that took the time took, with the poll time-out hold. A call
+// that returns an update was answered before the poll time-out.
 func (client *Client) observeRoundTrip(reply *tierv1.WatchReply, took, hold time.Duration) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
@@ -82,7 +83,7 @@
 	client.roundTrip.observe(took - hold)
 }
 
-// request returns the next long poll: who asks, and the versions that it acknowledges.
+// request returns the request of the next long poll: the identity of this process, and the versions that it acknowledges.
 func (client *Client) request(hold time.Duration) *tierv1.WatchRequest {
 	client.mu.Lock()
 	request := proto.Clone(&client.applied).(*tierv1.WatchRequest)
