--- a/internal/tier/capacity/controlplane_test.go
+++ b/internal/tier/capacity/controlplane_test.go
@@ -295,7 +295,7 @@
 			answered := make(chan struct{}, 1)
 			answered <- struct{}{}
 			cluster.measurePush(b, func() func(*tierv1.WatchRequest) bool {
-				<-answered // of the one before
+				<-answered // of the previous change
 				revision++
 				before := cluster.sessions[0].request.ConfigurationVersion
 				go func() { cluster.replaceConfiguration(b, revision, c.routes); answered <- struct{}{} }()
--- a/internal/tier/capacity/figures_test.go
+++ b/internal/tier/capacity/figures_test.go
@@ -1,5 +1,5 @@
-// Package capacity measures the costs that docs/CAPACITY.md is computed from, with many fake processes in one, at the target size
-// of the operators. Its benchmarks report figures, and check only that what they measure is complete.
+// Package capacity measures the costs from which docs/CAPACITY.md is computed, with many fake processes in one, at the target size
+// of the operators. Its benchmarks report figures, and only check that what they measure is complete.
 package capacity
 
 import (
@@ -16,9 +16,9 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// The target size, as the operators give it.
+// The target size, as given by the operators.
 const (
-	senders          = 360
+	gateways         = 360
 	endpoints        = 650
 	zones            = 11
 	tenants          = 540
@@ -26,8 +26,8 @@
 	turnsPerProgram  = 150     // of one program
 	tokensPerProgram = 110_000 // tokens of one program
 	bytesPerToken    = 4       // bytes of text that a token is assumed to have
-	turnStores       = 40      // assumed: with the senders, they are the sessions of the control plane's primary
-	sessionCount     = senders + turnStores
+	turnStores       = 40      // assumed: turn stores and gateways have sessions with the control plane's primary
+	sessionCount     = gateways + turnStores
 )
 
 // processorTime returns the processor time that this process has used, in all threads.
@@ -37,8 +37,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// measureProcessor returns a function to be called after the loop, which reports the processor time of one operation. That does
-// not depend on what else runs on the machine.
+// measureProcessor returns a function to be called after the loop, which reports the processor time of one operation. Processor
+// time does not depend on what else runs on the machine.
 func measureProcessor(b *testing.B) func() {
 	began := processorTime()
 	return func() { b.ReportMetric(float64((processorTime()-began).Nanoseconds())/1e3/float64(b.N), "cpu-µs/op") }
--- a/internal/tier/capacity/gateway_test.go
+++ b/internal/tier/capacity/gateway_test.go
@@ -19,7 +19,7 @@
 			before := heapInUse()
 			c, err := routing.Parse(body)
 			assert.NilError(b, err)
-			kept := heapInUse() - before
+			retained := heapInUse() - before
 			assert.Equal(b, len(c.Routes), n)
 			b.ReportAllocs()
 			report := measureProcessor(b)
@@ -27,7 +27,7 @@
 				_, _ = routing.Parse(body)
 			}
 			report()
-			b.ReportMetric(kept, "B-kept")
+			b.ReportMetric(retained, "B-kept")
 		})
 	}
 }
@@ -64,7 +64,7 @@
 			}
 			before := heapInUse()
 			x.SetEndpoints(0, list)
-			kept := heapInUse() - before
+			retained := heapInUse() - before
 			b.ReportAllocs()
 			now, i := time.Second, 0
 			report := measureProcessor(b)
@@ -80,7 +80,7 @@
 				i++
 			}
 			report()
-			b.ReportMetric(kept, "B-kept")
+			b.ReportMetric(retained, "B-kept")
 		})
 	}
 }
--- a/internal/tier/capacity/push_test.go
+++ b/internal/tier/capacity/push_test.go
@@ -46,7 +46,7 @@
 }
 
 // BenchmarkServe measures one reply with the complete list at a control-plane primary; the caller only reads the bytes. In the
-// case once, the list is encoded once, not for each session.
+// cases named once, the list is encoded once instead of for each session.
 func BenchmarkServe(b *testing.B) {
 	for _, n := range []int{65, endpoints, 3000} {
 		reply := &tierv1.WatchReply{IsPrimary: true, Epoch: 1, Endpoints: endpointList(n, 0)}
@@ -59,9 +59,9 @@
 				conn, err := net.Dial("tcp", server.Addr)
 				assert.NilError(b, err)
 				defer conn.Close()
-				ask, _ := proto.Marshal(&tierv1.WatchRequest{Node: "edge-001", Role: "gateway", Incarnation: rpc.NewIncarnation(), ConfigurationVersion: math.MaxUint64})
+				requestBody, _ := proto.Marshal(&tierv1.WatchRequest{Node: "edge-001", Role: "gateway", Incarnation: rpc.NewIncarnation(), ConfigurationVersion: math.MaxUint64})
 				request := fmt.Appendf(nil, "POST %sWatch HTTP/1.1\r\nHost: c\r\nContent-Type: application/protobuf\r\nContent-Length: %d\r\n\r\n%s",
-					tierv1.ControlPlanePathPrefix, len(ask), ask)
+					tierv1.ControlPlanePathPrefix, len(requestBody), requestBody)
 				r := bufio.NewReaderSize(conn, 64<<10)
 				report := measureProcessor(b)
 				for b.Loop() {
@@ -80,10 +80,11 @@
 	}
 }
 
-// BenchmarkServeWithinTimeout makes all sessions request the list at the same time, with the time-out of a session (a sixth of the contact window as
-// poll time-out, and a tenth of it beside), and retry after that. It reports the replies that came too late.
+// BenchmarkServeWithinTimeout makes all sessions request the list at the same time, with the time-out of a session (the poll
+// time-out of a sixth of the contact window plus a tenth of the window), and retry after that. It reports the replies that came too
+// late.
 func BenchmarkServeWithinTimeout(b *testing.B) {
-	const wait = 800 * time.Millisecond // of a contact window of 3 s
+	const timeout = 800 * time.Millisecond // of a contact window of 3 s
 	for _, c := range []struct{ sessions, lines int }{{100, 1000}, {sessionCount, endpoints}, {300, 3000}} {
 		reply := &tierv1.WatchReply{IsPrimary: true, Epoch: 1, Endpoints: endpointList(c.lines, 0)}
 		body, err := proto.Marshal(reply)
@@ -92,7 +93,7 @@
 			b.Run(fmt.Sprintf("sessions=%d,endpoints=%d,%s", c.sessions, c.lines, name), func(b *testing.B) {
 				server, err := rpc.Serve(b.Context(), "127.0.0.1:0", handler)
 				assert.NilError(b, err)
-				ask, _ := proto.Marshal(&tierv1.WatchRequest{Node: "edge-001", Role: "gateway", Incarnation: rpc.NewIncarnation(), ConfigurationVersion: math.MaxUint64})
+				requestBody, _ := proto.Marshal(&tierv1.WatchRequest{Node: "edge-001", Role: "gateway", Incarnation: rpc.NewIncarnation(), ConfigurationVersion: math.MaxUint64})
 				clients := make([]*http.Client, c.sessions)
 				for i := range clients {
 					clients[i] = rpc.NewClient()
@@ -108,8 +109,8 @@
 						open.Go(func() {
 							for range 20 {
 								calls.Add(1)
-								ctx, cancel := context.WithTimeout(b.Context(), wait)
-								q, _ := http.NewRequestWithContext(ctx, "POST", "http://"+server.Addr+tierv1.ControlPlanePathPrefix+"Watch", bytes.NewReader(ask))
+								ctx, cancel := context.WithTimeout(b.Context(), timeout)
+								q, _ := http.NewRequestWithContext(ctx, "POST", "http://"+server.Addr+tierv1.ControlPlanePathPrefix+"Watch", bytes.NewReader(requestBody))
 								q.Header.Set("Content-Type", "application/protobuf")
 								var read int64
 								if a, err := client.Do(q); err == nil {
--- a/internal/tier/capacity/turnstore_test.go
+++ b/internal/tier/capacity/turnstore_test.go
@@ -21,7 +21,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// osWithoutSync is the file system of the machine without its syncs: turn stores in service have other disks.
+// osWithoutSync is the file system of the machine without its syncs, because turn stores in production have other disks.
 type osWithoutSync struct{ wal.OS }
 
 func (system osWithoutSync) Open(name string) (wal.Handle, error) {
@@ -136,8 +136,8 @@
 	}
 }
 
-// BenchmarkTurnStoreTurn measures one turn of a program of 150, of both turn stores together: Begin and Settle, with the chain
-// cached by the gateway. Programs run in turn.
+// BenchmarkTurnStoreTurn measures one turn of a program of 150 turns, at both turn stores together: Begin and Settle, with the
+// chain cached by the gateway. Programs run one after the other.
 func BenchmarkTurnStoreTurn(b *testing.B) {
 	p := newStorePair(b, 32)
 	defer p.close()
@@ -218,12 +218,12 @@
 	assert.NilError(b, err)
 	p.primary, p.backup = nil, nil
 	var took time.Duration
-	used, before, kept, rounds := processorTime(), heapInUse(), 0.0, 0
+	used, before, retained, rounds := processorTime(), heapInUse(), 0.0, 0
 	for b.Loop() {
 		began := time.Now()
 		v := openStore(b, "a", p.folders[0], p)
 		took += time.Since(began)
-		kept = heapInUse() - before
+		retained = heapInUse() - before
 		_ = v.Close()
 		rounds++
 	}
@@ -232,5 +232,5 @@
 	b.ReportMetric(float64(info.Size())/(1<<20), "MB-wal")
 	b.ReportMetric(float64(2*n*rounds)/took.Seconds(), "records/s")
 	b.ReportMetric(float64(info.Size())/(1<<20)*float64(rounds)/took.Seconds(), "MB/s")
-	b.ReportMetric(kept/(1<<20), "MB-memory")
+	b.ReportMetric(retained/(1<<20), "MB-memory")
 }
--- a/internal/tier/logformat/documented_events_test.go
+++ b/internal/tier/logformat/documented_events_test.go
@@ -20,10 +20,11 @@
 // operatorsPage is the page that lists the events of the log.
 const operatorsPage = "../../../docs/operate/tier.md"
 
-// documentedEvent is what the operators' page says of an event: its level and its fields, where it is logged below a folder of the tier.
+// documentedEvent is the documentation of an event on the operators' page: its level and its fields, in the files of the tier with
+// a path prefix.
 type documentedEvent struct {
 	event, level string
-	in           string // prefix of the file's path; empty: wherever it is logged
+	pathPrefix   string // of the file; empty: any file
 	fields       []string
 }
 
@@ -50,18 +51,18 @@
 
 // logCall is one statement that logs an event.
 type logCall struct {
-	place, event, level string
-	fields              []string
-	message             bool // it ends with a message that is not empty
+	path, event, level string
+	fields             []string
+	message            bool // it ends with a message that is not empty
 }
 
-// TestDocumentedEvents checks that the events of the operators' page are those that the tier logs, each with a message in words, and
-// with the level and the fields that the page documents.
+// TestDocumentedEvents checks that the events of the operators' page are those that the tier logs, each with a message, and with
+// the level and the fields that the page documents.
 func TestDocumentedEvents(t *testing.T) {
 	calls := logCalls(t)
 	logged, documented := map[string]bool{}, map[string]bool{}
 	for _, call := range calls {
-		assert.Check(t, call.message, "%s: event %s has no message", call.place, call.event)
+		assert.Check(t, call.message, "%s: event %s has no message", call.path, call.event)
 		if call.level != "Debug" {
 			logged[call.event] = true
 		}
@@ -70,13 +71,13 @@
 		documented[want.event] = true
 		found := false
 		for _, call := range calls {
-			if call.event != want.event || !strings.HasPrefix(call.place, want.in) {
+			if call.event != want.event || !strings.HasPrefix(call.path, want.pathPrefix) {
 				continue
 			}
 			found = true
-			assert.Check(t, call.level == want.level, "%s: event %s is logged as %s, the page says %s", call.place, call.event, call.level, want.level)
+			assert.Check(t, call.level == want.level, "%s: event %s is logged as %s, but documented as %s", call.path, call.event, call.level, want.level)
 			for _, field := range want.fields {
-				assert.Check(t, slices.Contains(call.fields, field), "%s: event %s has no field %s", call.place, call.event, field)
+				assert.Check(t, slices.Contains(call.fields, field), "%s: event %s has no field %s", call.path, call.event, field)
 			}
 		}
 		assert.Check(t, found, "event %s is not logged", want.event)
@@ -117,10 +118,10 @@
 		if err != nil {
 			return err
 		}
-		place := strings.TrimPrefix(filepath.ToSlash(path), "../")
+		relative := strings.TrimPrefix(filepath.ToSlash(path), "../")
 		ast.Inspect(file, func(node ast.Node) bool {
 			if call, ok := node.(*ast.CallExpr); ok && methodOf(call) == "Str" && literal(call.Args[0]) == "event" {
-				calls = append(calls, newLogCall(place, file, call))
+				calls = append(calls, newLogCall(relative, file, call))
 			}
 			return true
 		})
@@ -129,15 +130,15 @@
 	return calls
 }
 
-// newLogCall sums up the statement of a call of Str("event", ...).
-func newLogCall(place string, file *ast.File, event *ast.CallExpr) logCall {
-	found := logCall{place: place, event: literal(event.Args[1])}
+// newLogCall returns the logCall of the statement that contains event, a call of Str("event", ...).
+func newLogCall(path string, file *ast.File, event *ast.CallExpr) logCall {
+	found := logCall{path: path, event: literal(event.Args[1])}
 	if level, ok := event.Fun.(*ast.SelectorExpr).X.(*ast.CallExpr); ok {
 		found.level = methodOf(level)
 	}
 	ast.Inspect(enclosingFunction(file, event), func(node ast.Node) bool {
 		chain, ok := node.(*ast.CallExpr)
-		if !ok || methodOf(chain) != "Msg" || !contains(chain, event) && !continues(chain) {
+		if !ok || methodOf(chain) != "Msg" || !contains(chain, event) && !continuesLogLine(chain) {
 			return true
 		}
 		found.message = literal(chain.Args[0]) != "" || !isLiteral(chain.Args[0])
@@ -169,9 +170,9 @@
 	return outer.Pos() <= inner.Pos() && inner.End() <= outer.End()
 }
 
-// continues reports whether a chain of calls begins with a variable, which holds a line that was begun before, rather than with a
+// continuesLogLine reports whether a chain of calls begins with a variable that holds an unfinished log line, rather than with a
 // logger.
-func continues(chain *ast.CallExpr) bool {
+func continuesLogLine(chain *ast.CallExpr) bool {
 	first := chain
 	for call := chain; call != nil; call = previousCall(call) {
 		first = call
@@ -180,7 +181,7 @@
 	return variable && !slices.Contains([]string{"Debug", "Info", "Warn", "Error"}, methodOf(first))
 }
 
-// previousCall returns the call whose result a call is a method of, or nil.
+// previousCall returns the call on whose result another call is made, or nil.
 func previousCall(call *ast.CallExpr) *ast.CallExpr {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
--- a/internal/tier/logformat/logformat.go
+++ b/internal/tier/logformat/logformat.go
@@ -1,5 +1,5 @@
-// Package logformat makes the loggers of the tier's processes. An event is one line: key=value pairs (logfmt), then the message in
-// words, quoted. Loggers are safe for concurrent use.
+// Package logformat creates the loggers of the tier's processes. An event is one line: key=value pairs (logfmt), then the quoted
+// message. Loggers are safe for concurrent use.
 package logformat
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/phuslu/log"
 )
 
-// timeFormat is that of a line's time.
+// timeFormat is the format of the time of a line.
 const timeFormat = "15:04:05.000"
 
-// emptyMessage is what the library ends a line with where an event has no message.
+// emptyMessage is the end of a line that the library writes for an event without a message.
 var emptyMessage = []byte(" \"\"\n")
 
 // New returns a logger that writes events of a level and above to w.
--- a/internal/tier/logformat/logformat_test.go
+++ b/internal/tier/logformat/logformat_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A line is its pairs, and a message only where there is one.
+// A line has the pairs of its event, and a message only if the event has one.
 func TestLines(t *testing.T) {
 	var out bytes.Buffer
 	logger := New(&out, log.InfoLevel)
--- a/internal/tier/metrics/controlplane.go
+++ b/internal/tier/metrics/controlplane.go
@@ -11,18 +11,18 @@
 type ControlPlane struct {
 	Epoch          uint64        // of the newest record known there
 	Members        int           // of that record
-	LeaseRemaining time.Duration // until it stops leading without an answer of its backups; 0 where it does not lead
+	LeaseRemaining time.Duration // until it stops leading unless its backups answer; 0 if it does not lead
 	Disk           tierv1.DiskState
 	Primary        *Primary // nil where the process is not the primary
 }
 
-// Primary is the set of figures that only the primary knows.
+// Primary is the set of figures that only the primary has.
 type Primary struct {
 	Revision                 int64         // of the operator's configuration
 	Gateways                 int           // live sessions of gateways
 	TurnStores               int           // live sessions of turn stores
 	UnhealthyStores          int           // of these, those whose disk is not sound
-	PartitionsAtRisk         int           // partitions that survive fewer losses than Losses
+	PartitionsAtRisk         int           // partitions that survive fewer losses than LossesToTolerate
 	LossesToTolerate         int           // simultaneous losses that the tier must survive
 	PartitionLossesTolerated int           // losses that the worst partition survives; -1: it has no synced copy that is alive
 	ControlLossesTolerated   int           // losses that the control state survives; -1: not known
@@ -30,13 +30,13 @@
 	Coordination             Coordination
 }
 
-// Coordination is the set of figures of what applications coordinate by, as of the last call.
+// Coordination is the set of figures of the applications' locks, counters, keys and watches, as of the last call.
 type Coordination struct {
 	Locks       int // including those whose hold has expired and was not removed yet
 	Counters    int
 	Keys        int
-	HistoryPuts int // puts that watches may still go on from
-	Watches     int // calls that wait for a put
+	HistoryPuts int // puts that watches can still return
+	Watches     int // pending watches
 }
 
 func (figures ControlPlane) write(w io.Writer) {
--- a/internal/tier/metrics/gateway.go
+++ b/internal/tier/metrics/gateway.go
@@ -12,7 +12,7 @@
 	Ready            bool          // it accepts new clients
 	Revision         int64         // of the configuration in force there; 0: none yet
 	InFlight         int64         // requests of clients under way
-	SessionRemaining time.Duration // until the session expires without a reply of the control plane
+	SessionRemaining time.Duration // until the session expires unless the control plane answers
 	Totals           GatewayTotals
 }
 
@@ -24,21 +24,21 @@
 	figures.Totals.write(w)
 }
 
-// GatewayTotals are what a gateway has counted since its process began. What was never counted is left out.
+// GatewayTotals are the counters of a gateway since its process started. Kinds and outcomes that never occurred are left out.
 type GatewayTotals struct {
 	Requests   []RequestTotal
 	Attempts   []AttemptTotal
-	Resumed    uint64    // runs that went on where another one had ended
-	FirstEvent Histogram // from a send to the first piece of a streamed answer
+	Resumed    uint64    // runs that continued a stream where another run had ended
+	FirstEvent Histogram // from a send to the first event of a streamed answer
 }
 
-// RequestTotal is the number of requests of a kind whose answers ended in a way.
+// RequestTotal is the number of requests of one kind whose answers ended with one outcome.
 type RequestTotal struct {
 	Kind, Outcome string
 	Count         uint64
 }
 
-// AttemptTotal is the number of sends to endpoints that ended in a way.
+// AttemptTotal is the number of sends to endpoints that ended with one outcome.
 type AttemptTotal struct {
 	Outcome string
 	Count   uint64
@@ -47,7 +47,7 @@
 // Histogram counts durations up to each of its bounds.
 type Histogram struct {
 	Bounds []time.Duration // rising
-	Counts []uint64        // one more than bounds: those above the last come last
+	Counts []uint64        // one more than bounds: the last count is that of durations above the last bound
 	Sum    time.Duration
 }
 
@@ -65,7 +65,7 @@
 	totals.FirstEvent.write(w, "saffronyard_gateway_first_event_seconds", "From a send to the first event of a streamed answer.")
 }
 
-// write writes the histogram; counts are of all durations up to a bound.
+// write writes the histogram. Its bucket counts are cumulative.
 func (histogram Histogram) write(w io.Writer, name, help string) {
 	writeType(w, name, help, histogramType)
 	var count uint64
--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics writes the metrics of a role in the text format of Prometheus. A role collects its figures for each
-// request; nothing is registered, counted or stored in between, so that the package has no state
-// and is safe for concurrent use. docs/operate/metrics.md lists all metrics; names, labels and help texts are the operators'.
+// Package metrics writes the metrics of a role in the text format of Prometheus. A role collects its figures for each request;
+// nothing is registered, counted or stored in between, so that the package has no state and is safe for concurrent use.
+// docs/operate/metrics.md lists all metrics; names, labels and help texts are an interface to the operators.
 package metrics
 
 import (
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -13,8 +13,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// samples returns the lines of figures that are values, by metric with its label. It checks that each line is well formed,
-// that each metric has its header right before it and once, and that no value comes twice.
+// samples returns the values of figures, by metric with its label. It checks that each line is well formed, that each metric has
+// exactly one header, right before its values, and that no value occurs twice.
 func samples(t *testing.T, figures Figures) map[string]string {
 	t.Helper()
 	values, headers := map[string]string{}, map[string]bool{}
@@ -136,7 +136,7 @@
 	})
 }
 
-// Exactly one state of the disk is 1, whatever it is.
+// Exactly one state of the disk has the value 1, also if the state is unknown.
 func TestDiskState(t *testing.T) {
 	for state, want := range map[tierv1.DiskState]string{
 		tierv1.DiskState_DISK_SOUND:       "sound",
@@ -156,7 +156,7 @@
 	}
 }
 
-// Each request is answered with the figures of its moment.
+// Each request gets the figures of the time of the request.
 func TestHandler(t *testing.T) {
 	calls := int64(0)
 	handler := Handler(func() Figures {
--- a/internal/tier/metrics/turnstore.go
+++ b/internal/tier/metrics/turnstore.go
@@ -9,11 +9,11 @@
 
 // TurnStore is the set of figures of a turn store.
 type TurnStore struct {
-	Primaries, Backups int           // partitions that this turn store is the primary, or a backup, of
+	Primaries, Backups int           // numbers of partitions of which this turn store is the primary, and a backup
 	Entries            int           // attempts known, in all partitions
 	Memory             int64         // estimated bytes that they take
 	MapVersion         uint64        // of the partition map applied last
-	SessionRemaining   time.Duration // until the session lapses without an answer of the control plane
+	SessionRemaining   time.Duration // until the session expires unless the control plane answers
 	Disk               tierv1.DiskState
 }
 
@@ -27,7 +27,7 @@
 	writeDisk(w, figures.Disk)
 }
 
-// writeSession writes the time until a session lapses.
+// writeSession writes the time until a session expires.
 func writeSession(w io.Writer, remaining time.Duration) {
 	gauge(w, "saffronyard_session_remaining_seconds", "How much longer the session stands without an answer of the control plane; 0: it does not.", seconds(remaining))
 }
--- a/internal/tier/process/controlplane.go
+++ b/internal/tier/process/controlplane.go
@@ -12,7 +12,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// startControlPlane starts the control-plane role: consensus, the service for other processes, and the one for operators.
+// startControlPlane starts the control-plane role: consensus, the service for other processes, and the service for operators.
 func (process *Process) startControlPlane(ctx context.Context, config Config) error {
 	settings := config.Settings
 	address := settings.Internal(ControlPlanePort)
@@ -24,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	process.runComponent(ctx, node.Run) // it closes the data directory
+	process.runComponent(ctx, node.Run) // node.Run closes the data directory
 	role := controlplane.New(controlplane.Config{Settings: settings, Store: node, Cloud: process.client, Dial: dialer(process.client, dialControlPlane), Log: config.Log})
 	mux := http.NewServeMux()
 	mux.Handle(tierv1.ElectionPathPrefix, node.Handler())
@@ -36,7 +36,7 @@
 	if _, err := rpc.Serve(ctx, settings.Control, role.Operators()); err != nil {
 		return err
 	}
-	config.Log.Info().Str("event", "started").Str("role", RoleControlPlane).Str("node", settings.Node).Msg("control plane serves")
+	config.Log.Info().Str("event", "started").Str("role", RoleControlPlane).Str("node", settings.Node).Msg("control plane started")
 	process.runComponent(ctx, func(ctx context.Context) error {
 		role.Run(ctx)
 		return nil
--- a/internal/tier/process/disk.go
+++ b/internal/tier/process/disk.go
@@ -20,8 +20,8 @@
 	diskHealthyTime   = 10 * time.Second
 )
 
-// diskWorker is a part of a process that runs until its disk fails. A turn store reopens its disk by itself once it runs
-// (turnstore.CheckDisk), so it ends without an error: the retrier acts where an opening fails.
+// diskWorker is a part of a process that runs until its disk fails. A running turn store reopens its disk itself
+// (turnstore.CheckDisk) and so ends without an error: the retrier acts if an opening fails.
 type diskWorker interface {
 	// run returns the error of the disk, or nil when the process ends.
 	run() error
@@ -36,16 +36,16 @@
 	return wal.IsDiskFull(err) || errors.Is(wal.Cause(err), syscall.EIO)
 }
 
-// diskRetrier runs a disk worker, and opens the next one after each failure of the disk that may pass.
+// diskRetrier runs a disk worker, and opens the next one after each failure from which the disk may recover.
 type diskRetrier struct {
-	log     *log.Logger
-	open    func() (diskWorker, error)           // opens the disk
-	leaving func() bool                          // the process shuts down: the disk is not opened again
-	sleep   func(context.Context, time.Duration) // waits for a duration or the end of the context
+	log          *log.Logger
+	open         func() (diskWorker, error)           // opens the disk
+	shuttingDown func() bool                          // reports whether the process shuts down: the disk is then not reopened
+	sleep        func(context.Context, time.Duration) // waits for a duration or the end of the context
 }
 
-// run runs a worker, the first of which is passed with the error of its opening. It returns nil when ctx ends or the process is
-// leaving, and else the first error that diskMayRecover does not accept.
+// run runs disk workers. The first one is passed with the error of its opening. run returns nil when a worker ends without an
+// error, ctx ends or the process shuts down, and otherwise the first error that diskMayRecover rejects.
 func (retrier diskRetrier) run(ctx context.Context, worker diskWorker, err error) error {
 	delay := minDiskRetryDelay
 	for {
@@ -59,22 +59,22 @@
 				delay = minDiskRetryDelay
 			}
 		}
-		if ctx.Err() != nil || retrier.leaving() {
+		if ctx.Err() != nil || retrier.shuttingDown() {
 			return nil
 		}
 		if !diskMayRecover(err) {
 			return err
 		}
 		if opened || delay == minDiskRetryDelay {
-			retrier.log.Error().Str("event", "disk_failed").Err(err).Msg("disk failed, will be opened again")
+			retrier.log.Error().Str("event", "disk_failed").Err(err).Msg("disk failed; it will be reopened")
 		}
 		retrier.sleep(ctx, delay)
-		if ctx.Err() != nil || retrier.leaving() {
+		if ctx.Err() != nil || retrier.shuttingDown() {
 			return nil
 		}
 		delay = min(2*delay, maxDiskRetryDelay)
 		if worker, err = retrier.open(); err == nil {
-			retrier.log.Info().Str("event", "disk_recovered").Msg("disk works again")
+			retrier.log.Info().Str("event", "disk_recovered").Msg("disk reopened")
 		}
 	}
 }
--- a/internal/tier/process/disk_test.go
+++ b/internal/tier/process/disk_test.go
@@ -19,7 +19,8 @@
 	errForeign = wal.Foreign.New("another version")
 )
 
-// scriptedDisk returns the scripted results of opening the disk and of working on it, in turn; the last run ends with the process.
+// scriptedDisk returns scripted results of opening the disk and of running on it, in order. A run after the last result ends the
+// process.
 type scriptedDisk struct {
 	t        *testing.T
 	openings []error // of open
@@ -49,36 +50,36 @@
 	s.delays = append(s.delays, span)
 }
 
-func (s *scriptedDisk) retry(first error, leaving func() bool) error {
+func (s *scriptedDisk) retry(first error, shuttingDown func() bool) error {
 	ctx, cancel := context.WithCancel(s.t.Context())
 	defer cancel()
 	s.cancel = cancel
-	retrier := diskRetrier{log: &log.Logger{Level: log.PanicLevel}, open: s.open, leaving: leaving, sleep: s.sleep}
+	retrier := diskRetrier{log: &log.Logger{Level: log.PanicLevel}, open: s.open, shuttingDown: shuttingDown, sleep: s.sleep}
 	return retrier.run(ctx, s, first)
 }
 
-func staying() bool { return false }
+func notShuttingDown() bool { return false }
 
-// A disk that is full at the start, and again later, does not end the process.
+// A disk that is full at the start, and again later, must not end the process.
 func TestRetryDisk_FullDisk(t *testing.T) {
 	s := &scriptedDisk{t: t, openings: []error{errFull, errFull, errFull, errFull, errFull, nil, errFull, nil}, runs: []error{errFull}}
-	assert.NilError(t, s.retry(errFull, staying))
+	assert.NilError(t, s.retry(errFull, notShuttingDown))
 	assert.Equal(t, s.opened, len(s.openings))
 	assert.Equal(t, s.ran, 2)
 	assert.DeepEqual(t, s.delays[:5], []time.Duration{minDiskRetryDelay, 2 * minDiskRetryDelay, 4 * minDiskRetryDelay, maxDiskRetryDelay, maxDiskRetryDelay})
 }
 
-// An error that more space can not repair ends the process, also after a recovery.
+// An error that more space cannot resolve ends the process, also after a recovery.
 func TestRetryDisk_PermanentError(t *testing.T) {
 	s := &scriptedDisk{t: t, openings: []error{errForeign}}
-	assert.ErrorIs(t, s.retry(errFull, staying), errForeign)
+	assert.ErrorIs(t, s.retry(errFull, notShuttingDown), errForeign)
 	s = &scriptedDisk{t: t, runs: []error{errForeign}}
-	assert.ErrorIs(t, s.retry(nil, staying), errForeign)
+	assert.ErrorIs(t, s.retry(nil, notShuttingDown), errForeign)
 	assert.Equal(t, s.opened, 0)
 }
 
-// A process that is leaving does not open its disk again.
-func TestRetryDisk_ProcessLeaving(t *testing.T) {
+// A process that shuts down must not reopen its disk.
+func TestRetryDisk_ProcessShuttingDown(t *testing.T) {
 	s := &scriptedDisk{t: t, runs: []error{errFull}}
 	assert.NilError(t, s.retry(nil, func() bool { return s.ran > 0 }))
 	assert.Equal(t, s.opened, 0)
@@ -88,10 +89,10 @@
 }
 
 func TestDiskMayRecover(t *testing.T) {
-	for _, passing := range []error{errFull, wal.IO.Wrap(syscall.EIO, "sync"), wal.NoSpace.Wrap(wal.IO.Wrap(syscall.ENOSPC, "write"), "reopen")} {
-		assert.Assert(t, diskMayRecover(passing), "%v", passing)
+	for _, transient := range []error{errFull, wal.IO.Wrap(syscall.EIO, "sync"), wal.NoSpace.Wrap(wal.IO.Wrap(syscall.ENOSPC, "write"), "reopen")} {
+		assert.Assert(t, diskMayRecover(transient), "%v", transient)
 	}
-	for _, lasting := range []error{errForeign, wal.IO.Wrap(syscall.ENOTDIR, "mkdir"), syscall.ENOSPC, errors.New("else"), wal.Broken.New("closed")} {
-		assert.Assert(t, !diskMayRecover(lasting), "%v", lasting)
+	for _, permanent := range []error{errForeign, wal.IO.Wrap(syscall.ENOTDIR, "mkdir"), syscall.ENOSPC, errors.New("else"), wal.Broken.New("closed")} {
+		assert.Assert(t, !diskMayRecover(permanent), "%v", permanent)
 	}
 }
--- a/internal/tier/process/process.go
+++ b/internal/tier/process/process.go
@@ -1,9 +1,9 @@
 // Package process assembles the processes of the serving tier. For each role it connects consensus, sessions, stores and
 // servers with the addresses and limits of the settings.
 //
-// A Process owns the goroutines of its components: one that ends stops the others, and Wait returns when all have ended. What a role
-// persists lies in the data directory of the settings, which the components open; a disk that fails and may recover is opened again
-// (disk.go). Exported functions may be called from any goroutine.
+// A Process owns the goroutines of its components: one that ends stops the others, and Wait returns when all have ended. The
+// persistent data of a role is in the data directory of the settings, which the components open; a disk that fails and may recover
+// is reopened (disk.go). Exported functions may be called from any goroutine.
 package process
 
 import (
@@ -66,7 +66,7 @@
 		RoleTurnStore:    (*Process).startTurnStore,
 	}[role]
 	if !known {
-		return nil, errorx.IllegalArgument.New("no role is called %q", role)
+		return nil, errorx.IllegalArgument.New("unknown role %q", role)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	process := &Process{cancel: cancel, client: rpc.NewClient()}
@@ -77,8 +77,8 @@
 	return process, nil
 }
 
-// Shutdown begins a graceful shutdown, as SIGTERM does: partitions and clients are handed over first, within the grace period of the
-// settings. It may return before its end, for which Wait waits.
+// Shutdown begins a graceful shutdown, as SIGTERM does: partitions and clients are handed over first, within the grace period of
+// the settings. It may return before the shutdown has ended; Wait waits for that.
 func (process *Process) Shutdown() {
 	if process.shutdown == nil {
 		process.cancel()
@@ -96,7 +96,7 @@
 	return process.componentErr
 }
 
-// Kill ends the process at once and waits until it has: connections are reset, the data directory stays as it is.
+// Kill ends the process at once and waits until it has ended: connections are reset, the data directory stays as it is.
 func (process *Process) Kill() {
 	process.cancel()
 	_ = process.Wait()
@@ -115,7 +115,7 @@
 	})
 }
 
-// startGateway starts the gateway role. Its errors come from Wait.
+// startGateway starts the gateway role. Wait returns the errors of the role.
 func (process *Process) startGateway(ctx context.Context, config Config) error {
 	role := gateway.New(gateway.Config{Settings: config.Settings, ControlPlane: dialer(process.client, dialControlPlane),
 		TurnStore: dialer(process.client, dialTurnStore), Log: config.Log})
--- a/internal/tier/process/process_test.go
+++ b/internal/tier/process/process_test.go
@@ -39,7 +39,7 @@
 
 func TestStart_EachRole(t *testing.T) {
 	for _, role := range []string{process.RoleGateway, process.RoleControlPlane, process.RoleTurnStore} {
-		for name, end := range map[string]func(*process.Process){"killed": (*process.Process).Kill, "leaves": (*process.Process).Shutdown} {
+		for name, end := range map[string]func(*process.Process){"killed": (*process.Process).Kill, "shut down": (*process.Process).Shutdown} {
 			t.Run(role+" "+name, func(t *testing.T) {
 				p, err := process.Start(t.Context(), role, process.Config{Settings: machine(t), Log: discardLogger()})
 				assert.NilError(t, err)
@@ -75,7 +75,7 @@
 	}
 }
 
-// The end of the context is a kill.
+// The end of the context kills the process.
 func TestStart_ContextDone(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	p, err := process.Start(ctx, process.RoleTurnStore, process.Config{Settings: machine(t), Log: discardLogger()})
@@ -86,12 +86,12 @@
 
 func TestUnknownRole(t *testing.T) {
 	_, err := process.Start(t.Context(), "janitor", process.Config{Settings: machine(t), Log: discardLogger()})
-	assert.ErrorContains(t, err, `no role is called "janitor"`)
+	assert.ErrorContains(t, err, `unknown role "janitor"`)
 }
 
-// A turn store whose disk is full at its start stays up, opens nothing meanwhile, and can be ended.
+// A turn store whose disk is full at its start keeps running, does not listen meanwhile, and can be ended.
 func TestATurnStoreOnAFullDiskStaysUp(t *testing.T) {
-	for name, end := range map[string]func(*process.Process){"killed": (*process.Process).Kill, "leaves": (*process.Process).Shutdown} {
+	for name, end := range map[string]func(*process.Process){"killed": (*process.Process).Kill, "shut down": (*process.Process).Shutdown} {
 		t.Run(name, func(t *testing.T) {
 			disk := wal.NewMemory()
 			disk.FailFrom(1, syscall.ENOSPC)
--- a/internal/tier/process/turnstore.go
+++ b/internal/tier/process/turnstore.go
@@ -20,8 +20,8 @@
 	graceDivisor  = 2  // of the grace period: the part for handing partitions over
 )
 
-// turnStoreRun is a turn store from the opening of its disk to the failure of that disk. To other processes the next one looks like
-// a restarted process: it listens anew, has a new session, and serves what its write-ahead log holds.
+// turnStoreRun is a turn store from the opening of its disk to the failure of that disk. To other processes the next turnStoreRun
+// looks like a restarted process: it listens again, has a new session, and serves the contents of its write-ahead log.
 type turnStoreRun struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -29,20 +29,20 @@
 	session *session.Client
 }
 
-// startTurnStore opens the disk and starts the turn-store role. If the disk fails and may recover, the process goes on and
-// opens it again later. Other errors of the first opening are returned.
+// startTurnStore opens the disk and starts the turn-store role. If the disk fails and may recover, the process keeps running and
+// reopens the disk later. Other errors of the first opening are returned.
 func (process *Process) startTurnStore(ctx context.Context, config Config) error {
 	if config.FS == nil {
 		config.FS = wal.OS{}
 	}
-	var open atomic.Pointer[turnStoreRun]
-	var leaving atomic.Bool
+	var current atomic.Pointer[turnStoreRun]
+	var shuttingDown atomic.Bool
 	attempt := func() (diskWorker, error) {
 		t, err := process.openTurnStore(ctx, config)
 		if err != nil {
 			return nil, err
 		}
-		open.Store(t)
+		current.Store(t)
 		return t, nil
 	}
 	first, err := attempt()
@@ -50,13 +50,13 @@
 		return err
 	}
 	process.runComponent(ctx, func(ctx context.Context) error {
-		return diskRetrier{log: config.Log, open: attempt, leaving: leaving.Load, sleep: sleep}.run(ctx, first, err)
+		return diskRetrier{log: config.Log, open: attempt, shuttingDown: shuttingDown.Load, sleep: sleep}.run(ctx, first, err)
 	})
-	// It keeps serving until its partitions have other primaries, for up to a part of the grace period.
+	// The turn store keeps serving until its partitions have other primaries, for at most a part of the grace period.
 	process.shutdown = func() {
 		config.Log.Info().Str("event", "leaving").Str("node", config.Settings.Node).Msg("graceful shutdown begins")
-		leaving.Store(true)
-		if t := open.Load(); t != nil && t.ctx.Err() == nil {
+		shuttingDown.Store(true)
+		if t := current.Load(); t != nil && t.ctx.Err() == nil {
 			t.session.Drain()
 			handOver, cancel := context.WithTimeout(t.ctx, config.Settings.GracePeriod/graceDivisor)
 			defer cancel()
@@ -105,7 +105,7 @@
 		_ = store.Close()
 		return nil, err
 	}
-	config.Log.Info().Str("event", "started").Str("role", RoleTurnStore).Str("node", settings.Node).Str("folder", store.Folder()).Msg("turn store serves")
+	config.Log.Info().Str("event", "started").Str("role", RoleTurnStore).Str("node", settings.Node).Str("folder", store.Folder()).Msg("turn store started")
 	return &turnStoreRun{ctx: ctx, cancel: cancel, store: store, session: sessionClient}, nil
 }
 
--- a/internal/tier/process/turnstore_config_test.go
+++ b/internal/tier/process/turnstore_config_test.go
@@ -10,7 +10,7 @@
 	"saffronyard.example/saffronyard/internal/tier/turnstore"
 )
 
-// A turn store is told how long releases take by the contact window of its deployment.
+// The release grace period of a turn store follows the contact window of its deployment.
 func TestTheReleaseTimeFollowsTheContactWindow(t *testing.T) {
 	for contactWindow, want := range map[time.Duration]time.Duration{
 		3 * time.Second:  turnstore.DefaultReleaseGracePeriod,
--- a/internal/tier/settings/field_types.go
+++ b/internal/tier/settings/field_types.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// maxDuration is the maximum of times; longer ones are cut to it.
+// maxDuration is the maximum of durations; longer ones are reduced to it.
 const maxDuration = 365 * 24 * time.Hour
 
-// check returns what is wrong with a text, or an empty text.
+// check returns a description of what is wrong with a text; empty if the text is valid.
 type check func(string) string
 
 // notEmpty checks that a text is not empty.
@@ -55,7 +55,7 @@
 // atLeast allows numbers from a minimum on.
 func atLeast(v float64) bound { return bound{v, false} }
 
-// check returns a value as a number, and what is wrong with it.
+// check returns a value as a number, and a description of what is wrong with it; empty if the value is valid.
 func (bound bound) check(value any) (float64, string) {
 	v, ok := toFloat(value)
 	switch {
@@ -177,7 +177,7 @@
 	}}
 }
 
-// integer is a setting with a number of which the whole part is used.
+// integer is a setting with a number that is truncated to an integer.
 func integer(path string, defaultValue, minimum int, meaning string, target func(*Settings) *int) entry {
 	return entry{path, "whole number", defaultValue, meaning, func(settings *Settings, value any) string {
 		v, problem := atLeast(float64(minimum)).check(value)
--- a/internal/tier/settings/parse.go
+++ b/internal/tier/settings/parse.go
@@ -53,7 +53,8 @@
 	return settings
 }
 
-// lookup returns the value at a path, nil if it is missing or null. Where a part of the path is no map, blocked is that part.
+// lookup returns the value at a path, nil if it is missing or null. If the value at a prefix of the path is not a map,
+// blocked is that prefix.
 func lookup(tree map[string]any, path string) (value any, blocked string) {
 	parts := strings.Split(path, ".")
 	for i, part := range parts {
@@ -78,7 +79,7 @@
 	return Invalid.New("%s %s", field, problem)
 }
 
-// unique leaves out findings with the same text.
+// unique removes findings with the same text as an earlier one.
 func unique(found []error) []error {
 	seen := map[string]bool{}
 	var out []error
--- a/internal/tier/settings/settings.go
+++ b/internal/tier/settings/settings.go
@@ -20,34 +20,34 @@
 )
 
 var (
-	space = errorx.NewNamespace("settings")
+	errorTypes = errorx.NewNamespace("settings")
 	// Invalid is the type of the error of a file that can't be read or has findings.
-	Invalid = space.NewType("invalid")
+	Invalid = errorTypes.NewType("invalid")
 )
 
-// Settings are those of one process, as the settings file has them. The comment of each field names the field of the file;
-// Describe lists its unit and default. Durations above a year are cut to a year.
+// Settings are the settings of one process, as read from the settings file. The comment of each field names the field of the
+// file; Describe lists its unit and default. Durations above a year are reduced to a year.
 type Settings struct {
 	Node        string            // node_name
 	Role        string            // role: that of the process in the deploy file
 	MachineType string            // machine_type
-	ServedRoles []string          // served_roles: who may call from outside
+	ServedRoles []string          // served_roles: external callers that are served
 	IP          string            // ip_address
 	Zone        string            // zone
 	Region      string            // region
 	Zones       map[string]string // zones: zone to region
 
 	Frontend  string // listen_addresses.frontend: where clients connect; empty if none
-	Readiness string // listen_addresses.readiness: where the platform asks; empty if none
+	Readiness string // listen_addresses.readiness: for the platform's readiness checks; empty if none
 	Control   string // listen_addresses.control_plane: where operators connect; empty if none
 	PortFirst int    // internal_port_range: the first port for the calls between the tier's processes
 	PortLast  int    // internal_port_range: the last one
 
-	Seeds        []string // seed_nodes: addresses of control planes to begin with
-	Bootstrap    bool     // bootstrap: this is the first start of the whole system
+	Seeds        []string // seed_nodes: initial addresses of control planes
+	Bootstrap    bool     // bootstrap: this is the first start of the system
 	QuorumMember bool     // quorum_member: the machine counts among those that may be lost
 
-	CPUFraction        float64       // limits.cpu_fraction: part of a core
+	CPUFraction        float64       // limits.cpu_fraction: fraction of a core
 	CPUCores           int           // limits.cpu_cores
 	MemoryMB           int           // limits.memory_mb
 	MaxFileDescriptors int           // limits.max_file_descriptors
@@ -61,27 +61,27 @@
 	ZoneFailures    int // fault_tolerance.zones: zones that may be lost at a time
 	RegionFailures  int // fault_tolerance.region_failures: regions that may be lost at a time
 
-	SeedStaleness    time.Duration // guarantees.seed_staleness_s: the age of the seeds, at most
-	AddressReuse     time.Duration // guarantees.address_reuse_s: before another service gets an address, at least
-	ContactWindow    time.Duration // guarantees.contact_window_ms: machines that hear each other so often are in touch
-	AckTimeout       time.Duration // guarantees.ack_timeout_ms: within it an order is acknowledged
-	SyncTime         time.Duration // guarantees.sync_time_s: within it a machine that returned is in sync
-	DrainTimeout     time.Duration // guarantees.drain_timeout_ms: a draining endpoint goes on serving so long
+	SeedStaleness    time.Duration // guarantees.seed_staleness_s: maximum age of the seeds
+	AddressReuse     time.Duration // guarantees.address_reuse_s: minimum time before another service gets an address
+	ContactWindow    time.Duration // guarantees.contact_window_ms: maximum interval between messages of machines that are in contact
+	AckTimeout       time.Duration // guarantees.ack_timeout_ms: maximum time until an order is acknowledged
+	SyncTime         time.Duration // guarantees.sync_time_s: maximum time until a machine that returned is in sync
+	DrainTimeout     time.Duration // guarantees.drain_timeout_ms: how long a draining endpoint continues to serve
 	GracePeriod      time.Duration // guarantees.grace_period_s: from SIGTERM to SIGKILL
 	LossSlack        time.Duration // guarantees.loss_slack_ms: tolerance around a loss
 	ConfigApply      time.Duration // guarantees.config_apply_ms: from the acknowledgement of a configuration until it is in force
-	DowngradeSlack   time.Duration // guarantees.downgrade_slack_ms: within it an older configuration may show
-	ClockSkew        time.Duration // guarantees.clock_skew_ms: error of the time of day, at most
-	RecoveryTime     time.Duration // guarantees.recovery_time_s: within it a final fault is overcome
+	DowngradeSlack   time.Duration // guarantees.downgrade_slack_ms: how long an older configuration may still be observed
+	ClockSkew        time.Duration // guarantees.clock_skew_ms: maximum error of the time of day
+	RecoveryTime     time.Duration // guarantees.recovery_time_s: maximum time to recover from a final fault
 	ForwardTime      time.Duration // guarantees.pass_ms: for forwarding a message
-	RetryTime        time.Duration // guarantees.again_s: for doing something again
-	HistoryRetention time.Duration // guarantees.history_retention_s: a watch goes on from a revision that it was given so long ago
+	RetryTime        time.Duration // guarantees.again_s: for a retry
+	HistoryRetention time.Duration // guarantees.history_retention_s: how long a watch can continue from a revision that it received
 	CompletionTime   time.Duration // guarantees.completion_time_s: for programs after the end of traffic
 	SettleTime       time.Duration // guarantees.settle_time_ms
 
-	CloudAddress string        // cloud_api.address: where the platform's list is; empty: there is none
-	CloudRate    float64       // cloud_api.rate_per_s: calls a second of all processes together; 0: not given
-	CloudMaxLag  time.Duration // cloud_api.max_lag_ms: lag of the platform's list, at most
+	CloudAddress string        // cloud_api.address: address of the platform's list; empty if none
+	CloudRate    float64       // cloud_api.rate_per_s: calls per second of all processes together; 0: not given
+	CloudMaxLag  time.Duration // cloud_api.max_lag_ms: maximum lag of the platform's list
 }
 
 // Path returns the path of the settings file.
--- a/internal/tier/settings/settings_test.go
+++ b/internal/tier/settings/settings_test.go
@@ -120,19 +120,19 @@
 	assert.Equal(t, Path(), "/etc/saffronyard/settings.yaml")
 }
 
-// Each line or block of the example may be missing, but for those required.
+// Each line or block of the example may be missing, except the required ones.
 func TestParse_EachFieldMissing(t *testing.T) {
 	required := map[string]bool{"node_name": true, "ip_address": true, "internal_port_range": true}
 	lines := strings.Split(strings.TrimSuffix(example, "\n"), "\n")
 	for i, line := range lines {
-		end := i + 1 // with all that is indented further
+		end := i + 1 // with all deeper indented lines
 		depth := len(line) - len(strings.TrimLeft(line, " "))
 		for end < len(lines) && len(lines[end])-len(strings.TrimLeft(lines[end], " ")) > depth {
 			end++
 		}
 		field, _, _ := strings.Cut(line, ":")
 		if strings.HasPrefix(strings.TrimSpace(line), "- 73") {
-			continue // half a range is a finding, below
+			continue // half a range is a finding: see TestParse_OneMutationAtATime
 		}
 		body := strings.Join(append(append([]string{}, lines[:i]...), lines[end:]...), "\n")
 		s, err := Parse([]byte(body))
--- a/internal/tier/settings/table.go
+++ b/internal/tier/settings/table.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// entry is one setting: a field of the file, its type with the unit, the value where it is missing, its meaning, and a function
-// that checks a value and sets it. The function returns what is wrong with the value, or an empty text.
+// entry is one setting: a field of the file, its type with the unit, its default, its meaning, and a function that checks
+// and sets a value. The function returns a description of what is wrong with the value; empty if the value is valid.
 type entry struct {
 	path, typeName string
 	defaultValue   any // nil: the field is required
--- a/internal/tier/tiertest/controlplane.go
+++ b/internal/tier/tiertest/controlplane.go
@@ -31,7 +31,7 @@
 
 var _ tierv1.ControlPlane = (*ControlPlane)(nil)
 
-// signal wakes all that wait for a change. The caller holds mu.
+// signal wakes all waiters. The caller holds mu.
 func (plane *ControlPlane) signal() {
 	close(plane.changed)
 	plane.changed = make(chan struct{})
@@ -46,10 +46,10 @@
 }
 
 // SetInterceptor sets the function that intercepts its calls; nil: none.
-func (plane *ControlPlane) SetInterceptor(via WatchInterceptor) {
+func (plane *ControlPlane) SetInterceptor(interceptor WatchInterceptor) {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
-	plane.interceptor = via
+	plane.interceptor = interceptor
 }
 
 // SetConfiguration publishes a configuration, as the next version.
@@ -77,11 +77,11 @@
 	plane.mu.Lock()
 	plane.calls = append(plane.calls, request)
 	plane.signal()
-	via := plane.interceptor
+	interceptor := plane.interceptor
 	plane.mu.Unlock()
 	serve := func() (*tierv1.WatchReply, error) { return plane.serve(ctx, request) }
-	if via != nil {
-		return via(ctx, request, serve)
+	if interceptor != nil {
+		return interceptor(ctx, request, serve)
 	}
 	return serve()
 }
@@ -168,12 +168,12 @@
 		select {
 		case <-changed:
 		case <-timeout:
-			t.Fatalf("no such call: %s", what)
+			t.Fatalf("timed out waiting for a call: %s", what)
 		}
 	}
 }
 
-// AwaitAcknowledged waits until a process has acknowledged all views as they stand.
+// AwaitAcknowledged waits until a process has acknowledged all current views.
 func (plane *ControlPlane) AwaitAcknowledged(t testing.TB) {
 	t.Helper()
 	plane.mu.Lock()
--- a/internal/tier/tiertest/observer/observer.go
+++ b/internal/tier/tiertest/observer/observer.go
@@ -54,7 +54,7 @@
 	return strings.Join(observer.messages, "\n")
 }
 
-// cleanUp calls what was registered with Cleanup, the last first.
+// cleanUp calls the functions registered with Cleanup, the last first.
 func (observer *observer) cleanUp() {
 	for _, cleanup := range slices.Backward(observer.cleanups) {
 		cleanup()
--- a/internal/tier/tiertest/observer/observer_test.go
+++ b/internal/tier/tiertest/observer/observer_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// An observer ends a run where a test would end, returns what failed, and cleans up.
+// An observer ends a run where a test would end, returns the failures, and runs the cleanups.
 func TestObserver(t *testing.T) {
 	var cleaned []int
 	reached := false
--- a/internal/tier/tiertest/tiertest.go
+++ b/internal/tier/tiertest/tiertest.go
@@ -1,5 +1,5 @@
-// Package tiertest has fakes of the surroundings of a process of the tier: the control plane, turn stores, endpoints and
-// clients, on loopback. They are scripted by tests, and wait for conditions rather than for times.
+// Package tiertest provides fakes of the environment of a process of the tier: the control plane, turn stores, endpoints and
+// clients, on loopback. They are scripted by tests, and wait for conditions instead of fixed times.
 package tiertest
 
 import (
@@ -16,7 +16,7 @@
 	"saffronyard.example/saffronyard/internal/tier/settings"
 )
 
-// Timeout is how long a condition is awaited before the test fails. A test that passes comes nowhere near it.
+// Timeout is how long a condition is awaited before the test fails. A passing test takes far less.
 const Timeout = 30 * time.Second
 
 // DiscardLogger returns a logger that discards all entries.
@@ -27,7 +27,7 @@
 	readinessPort = ":8081"
 )
 
-// Settings returns those of a process on a random loopback address on whose ports nobody listens.
+// Settings returns the settings of a process on a random loopback address whose ports are free.
 func Settings(node string) settings.Settings {
 	ip := freeAddress()
 	return settings.Settings{Node: node, IP: ip, Zone: "z-1", Region: "r-1", Frontend: ip + frontendPort, Readiness: ip + readinessPort, PortFirst: 9000,
@@ -35,8 +35,8 @@
 		GracePeriod: 200 * time.Millisecond}
 }
 
-// freeAddress returns a loopback address on whose ports nobody listens. The readiness port of a gateway is held until its test's
-// process ends, so that thousands of addresses are taken where many copies of the tests run at once.
+// freeAddress returns a loopback address whose ports are free. The readiness port of a gateway stays in use until the test's
+// process ends, so thousands of addresses are in use where many copies of the tests run at once.
 func freeAddress() string {
 	for {
 		ip := fmt.Sprintf("127.%d.%d.%d", 1+rand.N(254), rand.N(256), 1+rand.N(254))
@@ -46,7 +46,7 @@
 	}
 }
 
-// isFree reports whether nobody listens on an address.
+// isFree reports whether an address is free to listen at.
 func isFree(address string) bool {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -60,7 +60,7 @@
 	t.Helper()
 	for begin := time.Now(); !met(); runtime.Gosched() {
 		if time.Since(begin) > Timeout {
-			t.Fatalf("waited for nothing: %s", what)
+			t.Fatalf("timed out waiting: %s", what)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 	case v := <-c:
 		return v
 	case <-time.After(Timeout):
-		t.Fatalf("waited for nothing: %s", what)
+		t.Fatalf("timed out waiting: %s", what)
 		panic("unreachable")
 	}
 }
--- a/internal/tier/tiertest/tiertest_test.go
+++ b/internal/tier/tiertest/tiertest_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// An address on one of whose ports somebody listens is not taken.
+// An address with a listener is not free.
 func TestFree(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -17,7 +17,7 @@
 	assert.Assert(t, isFree(address))
 }
 
-// The ports of the settings can be listened on right away.
+// The ports of the settings are free to listen at.
 func TestSettingsAreOfAFreeAddress(t *testing.T) {
 	s := Settings("edge-1")
 	for _, address := range []string{s.Frontend, s.Readiness} {
--- a/internal/tier/tiertest/turnstores.go
+++ b/internal/tier/tiertest/turnstores.go
@@ -40,26 +40,26 @@
 var _ tierv1.TurnStore = (*TurnStore)(nil)
 
 // SetInterceptor sets the function that intercepts its calls; nil: none.
-func (store *TurnStore) SetInterceptor(via func(RPC) error) {
+func (store *TurnStore) SetInterceptor(interceptor func(RPC) error) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	store.interceptor = via
+	store.interceptor = interceptor
 }
 
 // SetUnreachable sets whether calls get no reply at all, like those to a machine that has lost power.
-func (store *TurnStore) SetUnreachable(dark bool) {
+func (store *TurnStore) SetUnreachable(unreachable bool) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	store.unreachable = dark
+	store.unreachable = unreachable
 }
 
 // deliver passes a call through the network of a turn store. Messages are copied, as a network does.
 func deliver[Q, P proto.Message](ctx context.Context, store *TurnStore, method string, request Q, serve func(context.Context, Q) (P, error)) (reply P, err error) {
 	store.mu.Lock()
-	via, dark := store.interceptor, store.unreachable
+	interceptor, unreachable := store.interceptor, store.unreachable
 	store.mu.Unlock()
 	var none P
-	if dark {
+	if unreachable {
 		<-ctx.Done()
 		return none, ctx.Err()
 	}
@@ -71,15 +71,15 @@
 		}
 		return err
 	}
-	if via == nil {
+	if interceptor == nil {
 		err = once()
 	} else {
-		err = via(RPC{Ctx: ctx, Method: method, Request: request, Serve: once})
+		err = interceptor(RPC{Ctx: ctx, Method: method, Request: request, Serve: once})
 	}
 	store.mu.Lock()
-	dark = store.unreachable
+	unreachable = store.unreachable
 	store.mu.Unlock()
-	if dark {
+	if unreachable {
 		<-ctx.Done()
 		return none, ctx.Err()
 	}
@@ -131,11 +131,11 @@
 // partitions is the number of partitions of a map.
 const partitions = 6
 
-// releaseGracePeriod is how long a release may take to arrive after a takeover: longer than any test, so that none depends on how
-// fast it runs.
+// releaseGracePeriod is how long a release may take to arrive after a takeover: longer than any test, so that no test depends on
+// its speed.
 const releaseGracePeriod = 10 * time.Minute
 
-// NewTurnStores opens so many turn stores. They are closed at the end of the test.
+// NewTurnStores opens n turn stores. They are closed at the end of the test.
 func NewTurnStores(t testing.TB, n int) *TurnStores {
 	t.Helper()
 	stores := &TurnStores{t: t}
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// Assign makes the next partition map and applies it at the turn stores that are not dark. Each pair has the indices of a
-// primary and a backup; the partitions get the pairs in turn.
+// Assign makes the next partition map and applies it at the turn stores that are reachable. Each pair has the indices of a primary
+// and a backup; the partitions get the pairs in turn.
 func (stores *TurnStores) Assign(pairs ...[2]int) *tierv1.PartitionMap {
 	stores.mu.Lock()
 	defer stores.mu.Unlock()
@@ -178,9 +178,9 @@
 	}
 	for _, store := range stores.List {
 		store.mu.Lock()
-		dark := store.unreachable
+		unreachable := store.unreachable
 		store.mu.Unlock()
-		if !dark {
+		if !unreachable {
 			store.ApplyPartitionMap(partitionMap)
 		}
 	}
--- a/internal/tier/tiertest/wire.go
+++ b/internal/tier/tiertest/wire.go
@@ -30,7 +30,7 @@
 // WriteText writes a text as it is.
 func (received *ReceivedRequest) WriteText(text string) { io.WriteString(received.conn, text) }
 
-// TryWriteText writes a text as it is, and reports whether the connection took it.
+// TryWriteText writes a text as it is, and reports whether the write succeeded.
 func (received *ReceivedRequest) TryWriteText(text string) bool {
 	_, err := io.WriteString(received.conn, text)
 	return err == nil
@@ -54,7 +54,7 @@
 		http.StatusText(status), received.AttemptID, received.AttemptID, fields, len(body), body))
 }
 
-// RespondUnsigned writes a complete response without a signature and body.
+// RespondUnsigned writes a complete response without a signature or a body.
 func (received *ReceivedRequest) RespondUnsigned(status int, fields string) {
 	received.WriteText(fmt.Sprintf("HTTP/1.1 %d %s\r\nX-Attempt-Id: %s\r\n%sContent-Length: 0\r\n\r\n", status, http.StatusText(status), received.AttemptID, fields))
 }
@@ -218,11 +218,11 @@
 	Status int
 	Header http.Header
 	Body   string
-	Close  bool  // the connection ends with it
+	Close  bool  // the response closes the connection
 	Err    error // of the body, or of the head if Status is 0; nil: the response is complete
 }
 
-// ReadReply reads a response to its end. An error is part of the result.
+// ReadReply reads a response to its end. An error is returned in the Reply.
 func (client *Client) ReadReply() Reply {
 	response, err := http.ReadResponse(client.reader, nil)
 	if err != nil {
