--- a/internal/tier/coordination/machine_test.go
+++ b/internal/tier/coordination/machine_test.go
@@ -284,8 +284,8 @@
 		return r
 	}
 	for _, c := range []struct {
-		name  string
-		spoil func(records map[string][]byte)
+		name    string
+		corrupt func(records map[string][]byte)
 	}{
 		{"a lock that is no record", func(m map[string][]byte) { m[lockKey("l")] = []byte{0xff} }},
 		{"a gap in a history", func(m map[string][]byte) { delete(m, historyKey("g.", 2)) }},
@@ -293,7 +293,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := good()
-			c.spoil(r.records)
+			c.corrupt(r.records)
 			_, err := Load(Config{}, 0, r.records)
 			assert.ErrorContains(t, err, "coordination.corrupt_record")
 		})
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -221,7 +221,7 @@
 }
 
 func TestSession_MovesToNextPrimary(t *testing.T) {
-	for name, ends := range map[string]func(h *harness){
+	for name, endPrimary := range map[string]func(h *harness){
 		"unresponsive": func(h *harness) { makeUnresponsive(h.at(1)) },
 		"process gone": func(h *harness) {
 			h.at(1).SetInterceptor(func(context.Context, *tierv1.WatchRequest, func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
@@ -242,8 +242,8 @@
 			h.run()
 			c.AwaitAcknowledged(t)
 			next := h.primary(2) // its address is only in the members
-			ends(h)
-			got := next.Await(t, "a session with the next", isLongPoll)
+			endPrimary(h)
+			got := next.Await(t, "a session with the next primary", isLongPoll)
 			assert.Equal(t, got.EndpointsVersion, uint64(2), "delivered versions stay acknowledged")
 			next.Update(func(v *tierv1.WatchReply) { v.Endpoints = &tierv1.Endpoints{Version: 3} })
 			next.AwaitAcknowledged(t)
--- a/internal/tier/session/watch.go
+++ b/internal/tier/session/watch.go
@@ -12,13 +12,13 @@
 
 // watch makes one long poll, and reports whether the session continues with this primary.
 func (client *Client) watch(ctx context.Context, at string) bool {
-	hold := client.longPoll()
+	pollTimeout := client.longPoll()
 	if active, _ := client.Active(); !active {
 		// The first answer renews the lease, but may contain all updates: the poll time-out is short, and the time-out of the
 		// call the same as for others.
-		hold = client.config.Settings.ContactWindow / searchPauseDivisor
+		pollTimeout = client.config.Settings.ContactWindow / searchPauseDivisor
 	}
-	request := client.request(hold)
+	request := client.request(pollTimeout)
 	timeout := client.callTimeout()
 	begun := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -64,27 +64,27 @@
 		client.markInactive("no longer primary")
 		return false
 	}
-	client.observeRoundTrip(reply, time.Since(begun), hold)
+	client.observeRoundTrip(reply, time.Since(begun), pollTimeout)
 	if client.apply(at, reply) {
 		client.renewLease(begun)
 	}
 	return true
 }
 
-// observeRoundTrip updates the round-trip estimate after a call that took the time took, with the poll time-out hold. A call
+// observeRoundTrip updates the round-trip estimate after a call that took the time took, with the time-out pollTimeout. A call
 // that returns an update was answered before the poll time-out.
-func (client *Client) observeRoundTrip(reply *tierv1.WatchReply, took, hold time.Duration) {
+func (client *Client) observeRoundTrip(reply *tierv1.WatchReply, took, pollTimeout time.Duration) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	if reply.Configuration != nil || reply.Endpoints != nil || reply.PartitionMap != nil || reply.Members != nil || reply.Ejections != nil {
 		client.roundTrip.bound(took)
 		return
 	}
-	client.roundTrip.observe(took - hold)
+	client.roundTrip.observe(took - pollTimeout)
 }
 
 // request returns the request of the next long poll: the identity of this process, and the versions that it acknowledges.
-func (client *Client) request(hold time.Duration) *tierv1.WatchRequest {
+func (client *Client) request(pollTimeout time.Duration) *tierv1.WatchRequest {
 	client.mu.Lock()
 	request := proto.Clone(&client.applied).(*tierv1.WatchRequest)
 	request.Draining = client.draining
@@ -93,7 +93,7 @@
 	request.Node, request.Zone, request.Region = settings.Node, settings.Zone, settings.Region
 	request.Role, request.Folder, request.Address = client.config.Role, client.config.Folder, client.config.Address
 	request.Incarnation, request.EmptyDisk = client.incarnation, client.config.EmptyFolder
-	request.PollTimeoutMs = uint32(hold.Milliseconds())
+	request.PollTimeoutMs = uint32(pollTimeout.Milliseconds())
 	request.AcceptsPackedEndpoints = true
 	request.AcceptsEjections = client.config.Ejections != nil
 	return request
