--- a/internal/tier/coordination/checker_test.go
+++ b/internal/tier/coordination/checker_test.go
@@ -53,7 +53,7 @@
 // assertActivity fails the test if a simulation had too few results of a kind.
 func (c *checker) assertActivity(t *testing.T) {
 	t.Helper()
-	for what, least := range map[string]int{"granted": 10, "unavailable": 10, "renewed": 5, "number": 100, "put": 50, "conflict": 5, "read": 100, "watched": 30} {
+	for what, least := range map[string]int{"granted": 10, "held": 10, "renewed": 5, "number": 100, "put": 50, "conflict": 5, "read": 100, "watched": 30} {
 		if c.counts[what] < least {
 			t.Errorf("%s: %d of at least %d", what, c.counts[what], least)
 		}
@@ -209,7 +209,7 @@
 		until := sent.Add(hold)
 		grant, granted := result.(LockGranted)
 		if err != nil || !granted || !time.Now().Before(until) {
-			sim.check.countOne("unavailable")
+			sim.check.countOne("held")
 			time.Sleep(sim.randomBetween(20*time.Millisecond, 200*time.Millisecond))
 			continue
 		}
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -222,8 +222,8 @@
 
 func TestSession_MovesToNextPrimary(t *testing.T) {
 	for name, endPrimary := range map[string]func(h *harness){
-		"unresponsive": func(h *harness) { makeUnresponsive(h.at(1)) },
-		"process gone": func(h *harness) {
+		"silent": func(h *harness) { makeUnresponsive(h.at(1)) },
+		"dead": func(h *harness) {
 			h.at(1).SetInterceptor(func(context.Context, *tierv1.WatchRequest, func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 				return nil, errNoProcess
 			})
