--- a/internal/tier/session/watch.go
+++ b/internal/tier/session/watch.go
@@ -10,23 +10,24 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// watch makes one long poll, and returns whether the session goes on with this primary.
+// watch makes one long poll, and reports whether the session continues with this primary.
 func (client *Client) watch(ctx context.Context, at string) bool {
-	hold := client.longPoll()
-	if stands, _ := client.Active(); !stands {
-		// The answer renews the lease, but may bring all anew: it is waited for as long as others.
-		hold = client.config.Settings.ContactWindow / searchPauseDivisor
+	pollTimeout := client.longPoll()
+	if active, _ := client.Active(); !active {
+		// The first answer renews the lease, but may contain all updates: the poll time-out is short, and the time-out of the
+		// call the same as for others.
+		pollTimeout = client.config.Settings.ContactWindow / searchPauseDivisor
 	}
-	request := client.request(hold)
-	patience := client.callTimeout()
+	request := client.request(pollTimeout)
+	timeout := client.callTimeout()
 	begun := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var reportNow atomic.Bool // the call was cancelled as there is a change to report
+	var reportNow atomic.Bool // the call was cancelled because there is a change to report
 	if client.config.Synced != nil {
 		replicas, changed := client.config.Synced()
 		request.Synced = replicas
-		if client.config.Disk != nil { // after Synced: a change from here on closes the channel
+		if client.config.Disk != nil { // read after Synced: a later change closes the channel
 			request.Disk = client.config.Disk()
 		}
 		done := make(chan struct{})
@@ -48,9 +49,9 @@
 		client.markInactive(err.Error())
 		return false
 	}
-	// The primary checked its lease after the call was sent and before it was answered. Only this bounds how old an answer
-	// can be, also where a process was paused on the way.
-	if time.Since(begun) > patience {
+	// The primary checked its lease after the call was sent and before it was answered. Only this check bounds the age of an
+	// answer, also if a process was paused meanwhile.
+	if time.Since(begun) > timeout {
 		client.markInactive("answered too late")
 		return false
 	}
@@ -63,27 +64,27 @@
 		client.markInactive("no longer primary")
 		return false
 	}
-	client.observeRoundTrip(reply, time.Since(begun), hold)
+	client.observeRoundTrip(reply, time.Since(begun), pollTimeout)
 	if client.apply(at, reply) {
 		client.renewLease(begun)
 	}
 	return true
 }
 
-// observeRoundTrip takes how long a call took that might be held for hold. One that brings an update was answered before the
-// end of that.
-func (client *Client) observeRoundTrip(reply *tierv1.WatchReply, took, hold time.Duration) {
+// observeRoundTrip updates the round-trip estimate after a call that took the time took, with the time-out pollTimeout. A call
+// that returns an update was answered before the poll time-out.
+func (client *Client) observeRoundTrip(reply *tierv1.WatchReply, took, pollTimeout time.Duration) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	if reply.Configuration != nil || reply.Endpoints != nil || reply.PartitionMap != nil || reply.Members != nil || reply.Ejections != nil {
 		client.roundTrip.bound(took)
 		return
 	}
-	client.roundTrip.observe(took - hold)
+	client.roundTrip.observe(took - pollTimeout)
 }
 
-// request returns the next long poll: who asks, and the versions that it acknowledges.
-func (client *Client) request(hold time.Duration) *tierv1.WatchRequest {
+// request returns the request of the next long poll: the identity of this process, and the versions that it acknowledges.
+func (client *Client) request(pollTimeout time.Duration) *tierv1.WatchRequest {
 	client.mu.Lock()
 	request := proto.Clone(&client.applied).(*tierv1.WatchRequest)
 	request.Draining = client.draining
@@ -92,7 +93,7 @@
 	request.Node, request.Zone, request.Region = settings.Node, settings.Zone, settings.Region
 	request.Role, request.Folder, request.Address = client.config.Role, client.config.Folder, client.config.Address
 	request.Incarnation, request.EmptyDisk = client.incarnation, client.config.EmptyFolder
-	request.PollTimeoutMs = uint32(hold.Milliseconds())
+	request.PollTimeoutMs = uint32(pollTimeout.Milliseconds())
 	request.AcceptsPackedEndpoints = true
 	request.AcceptsEjections = client.config.Ejections != nil
 	return request
