--- a/internal/tier/routing/json.go
+++ b/internal/tier/routing/json.go
@@ -105,18 +105,18 @@
 }
 
 // decodeEntries decodes the entries of a list one by one.
-func decodeEntries[T any](place string, raw json.RawMessage, found *findings) {
+func decodeEntries[T any](path string, raw json.RawMessage, found *findings) {
 	var entries []json.RawMessage
-	if !decodePart(place, raw, &entries, found) {
+	if !decodePart(path, raw, &entries, found) {
 		return
 	}
 	for i, e := range entries {
-		decodePart(fmt.Sprintf("%s[%d]", place, i), e, new(T), found)
+		decodePart(fmt.Sprintf("%s[%d]", path, i), e, new(T), found)
 	}
 }
 
 // decodePart decodes one part into to. A field of the wrong type is added to found, and the result is false.
-func decodePart(place string, raw json.RawMessage, to any, found *findings) bool {
+func decodePart(path string, raw json.RawMessage, to any, found *findings) bool {
 	if len(raw) == 0 {
 		return true
 	}
@@ -126,12 +126,12 @@
 	}
 	var wrong *json.UnmarshalTypeError
 	if !errors.As(err, &wrong) {
-		found.add(place, "%s", err)
+		found.add(path, "%s", err)
 		return false
 	}
 	if wrong.Field != "" {
-		place += "." + wrong.Field
+		path += "." + wrong.Field
 	}
-	found.add(place, "is a %s", wrong.Value)
+	found.add(path, "is a %s", wrong.Value)
 	return false
 }
--- a/internal/tier/routing/parse.go
+++ b/internal/tier/routing/parse.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	maxDuration     = 365 * 24 * time.Hour // longer ones are reduced to this
+	maxDuration     = 365 * 24 * time.Hour // longer durations are reduced to this
 	maxExactInteger = 1 << 53              // above it a float64 cannot represent every integer
 	maxSetting      = math.MaxInt32
 
-	// Limits that the operator does not give.
+	// Defaults of limits that are not configured.
 	defaultMaxHeader     = 64 << 10
 	defaultMaxBody       = 16 << 20
 	defaultHeaderTimeout = 10 * time.Second
@@ -25,9 +25,9 @@
 // findings collects the errors of a configuration.
 type findings struct{ list []error }
 
-// add adds an error at a place, a JSON path.
-func (found *findings) add(place, message string, args ...any) {
-	found.list = append(found.list, Invalid.New("%s: %s", place, fmt.Sprintf(message, args...)))
+// add adds an error at a JSON path.
+func (found *findings) add(path, message string, args ...any) {
+	found.list = append(found.list, Invalid.New("%s: %s", path, fmt.Sprintf(message, args...)))
 }
 
 // number is a numeric field.
@@ -36,7 +36,7 @@
 	value float64
 }
 
-// addNegative adds an error for each number below 0. The function at returns the place of a field.
+// addNegative adds an error for each number below 0. The function at returns the JSON path of a field.
 func (found *findings) addNegative(at func(field string) string, numbers ...number) {
 	for _, number := range numbers {
 		if number.value < 0 {
@@ -45,13 +45,13 @@
 	}
 }
 
-// fieldsOf returns a function that returns the place of a field of the object at place.
-func fieldsOf(place string) func(field string) string {
-	return func(field string) string { return place + "." + field }
+// fieldsOf returns a function that returns the JSON path of a field of the object at path.
+func fieldsOf(path string) func(field string) string {
+	return func(field string) string { return path + "." + field }
 }
 
-// Parse parses and validates a configuration. The error, of type Invalid, lists all errors with their places. The caller has to check that
-// the revision is above the current one. The table refers to body, which must not be modified afterwards.
+// Parse parses and validates a configuration. The error, of type Invalid, lists all errors with their JSON paths. The caller must check
+// that the revision is above the current one. The table refers to body, which must not be modified afterwards.
 func Parse(body []byte) (*Table, error) {
 	var found findings
 	table := &Table{Services: map[string]*Service{}, Raw: body, hosts: map[string]*hostRoutes{}}
@@ -68,7 +68,7 @@
 	return table, nil
 }
 
-// parse fills the table from a decoded configuration, and adds what is wrong with it to found.
+// parse fills the table from a decoded configuration, and adds its errors to found.
 func (table *Table) parse(document *jsonTable, found *findings) {
 	switch {
 	case document.Revision == nil:
@@ -89,26 +89,26 @@
 		return
 	}
 	table.Routes = make([]*Route, 0, len(*document.Routes))
-	places := map[[2]string]int{}
+	seen := map[[2]string]int{}
 	for i := range *document.Routes {
-		table.addRoute(i, &(*document.Routes)[i], places, found)
+		table.addRoute(i, &(*document.Routes)[i], seen, found)
 	}
 }
 
 // addServices validates and adds the services.
 func (table *Table) addServices(services []jsonService, found *findings) {
 	for i, service := range services {
-		place := fmt.Sprintf("services[%d]", i)
+		path := fmt.Sprintf("services[%d]", i)
 		if service.Name == "" {
-			found.add(place+".name", "is missing")
+			found.add(path+".name", "is missing")
 			continue
 		}
-		table.Services[service.Name] = service.parse(place, found)
+		table.Services[service.Name] = service.parse(path, found)
 	}
 }
 
-// addRoute validates and adds a route. The map places has the index of the route of each host and prefix so far.
-func (table *Table) addRoute(index int, document *jsonRoute, places map[[2]string]int, found *findings) {
+// addRoute validates and adds a route. The map seen has the index of the route of each host and prefix so far.
+func (table *Table) addRoute(index int, document *jsonRoute, seen map[[2]string]int, found *findings) {
 	at := func(field string) string { return fmt.Sprintf("routes[%d].%s", index, field) }
 	route := &Route{
 		Name: document.Name, Host: hostname(document.Hostname), Prefix: document.Prefix, Priority: clamp(document.Priority), MaxAttempts: max(1, clamp(document.Attempts)),
@@ -118,12 +118,12 @@
 	document.parse(route, at, found)
 	table.parseSplit(route, document, at, found)
 
-	place := [2]string{route.Host, route.Prefix}
-	if first, twice := places[place]; twice {
+	key := [2]string{route.Host, route.Prefix}
+	if first, duplicate := seen[key]; duplicate {
 		found.add(at("path_prefix"), "%s%s is that of routes[%d] too", route.Host, route.Prefix, first)
 		return
 	}
-	places[place] = index
+	seen[key] = index
 	table.Routes = append(table.Routes, route)
 	routes := table.hosts[route.Host]
 	if routes == nil {
@@ -134,8 +134,8 @@
 	routes.lengths = append(routes.lengths, len(route.Prefix))
 }
 
-// parse validates the fields of a route that do not depend on others, and sets its kind, its time-out and its latency target, which
-// defaults to the time-out.
+// parse validates the fields of a route that do not depend on the services, and sets its kind, its time-out and its latency target,
+// which defaults to the time-out.
 func (route *jsonRoute) parse(parsed *Route, at func(field string) string, found *findings) {
 	found.addNegative(at, number{"target_latency_ms", route.TargetLatency}, number{"gap_aim_ms", route.EventGapTarget},
 		number{"retention_s", route.Retention}, number{"priority", route.Priority}, number{"max_attempts", route.Attempts})
@@ -181,15 +181,15 @@
 		return
 	}
 	total := 0.0
-	for i, share := range document.Split {
-		if table.Services[share.Service] == nil {
-			found.add(at(fmt.Sprintf("traffic_split[%d].service_name", i)), "%q is not known", share.Service)
+	for i, entry := range document.Split {
+		if table.Services[entry.Service] == nil {
+			found.add(at(fmt.Sprintf("traffic_split[%d].service_name", i)), "%q is not known", entry.Service)
 		}
-		if share.Weight < 0 {
-			found.add(at(fmt.Sprintf("traffic_split[%d].weight", i)), "is %v, below 0", share.Weight)
+		if entry.Weight < 0 {
+			found.add(at(fmt.Sprintf("traffic_split[%d].weight", i)), "is %v, below 0", entry.Weight)
 		}
-		total += share.Weight
-		route.Split = append(route.Split, WeightedService(share))
+		total += entry.Weight
+		route.Split = append(route.Split, WeightedService(entry))
 		route.cumulativeWeights = append(route.cumulativeWeights, total)
 	}
 	if !(total > 0) || math.IsInf(total, 0) {
@@ -202,14 +202,14 @@
 }
 
 // parse validates a service and returns it.
-func (service jsonService) parse(place string, found *findings) *Service {
+func (service jsonService) parse(path string, found *findings) *Service {
 	parsed := &Service{Name: service.Name, HealthPath: service.HealthPath, MaxConnections: clamp(service.MaxConnections)}
-	found.addNegative(fieldsOf(place), number{"max_connections", service.MaxConnections})
+	found.addNegative(fieldsOf(path), number{"max_connections", service.MaxConnections})
 	engine := service.Engine
 	if engine == nil {
 		return parsed
 	}
-	found.addNegative(fieldsOf(place+".inference_engine"), number{"capacity", engine.Capacity},
+	found.addNegative(fieldsOf(path+".inference_engine"), number{"capacity", engine.Capacity},
 		number{"cache_tokens", engine.CacheTokens}, number{"tokens_per_event", engine.TokensPerEvent})
 	parsed.Engine = &Engine{
 		Capacity:       clamp(engine.Capacity),
--- a/internal/tier/routing/routing.go
+++ b/internal/tier/routing/routing.go
@@ -1,7 +1,7 @@
-// Package routing has the route table, which is the operator's configuration: routes, services and limits.
+// Package routing implements the route table, which is the operator's configuration: routes, services and limits.
 //
 // Parse decodes a configuration from JSON (json.go) and validates all of it (parse.go): it returns a Table, which is immutable and
-// safe for concurrent use, or an error of type Invalid with everything that is wrong. Unknown fields are ignored. Table.Match and
+// safe for concurrent use, or an error of type Invalid that lists all findings. Unknown fields are ignored. Table.Match and
 // Route.Pick are called for each request. The package stores nothing.
 package routing
 
@@ -47,7 +47,7 @@
 	Routes   []*Route
 	Services map[string]*Service
 	Limits   Limits
-	Raw      []byte // as the operator sent it, with fields that this version does not know
+	Raw      []byte // as the operator sent it, including unknown fields
 
 	hosts map[string]*hostRoutes
 }
@@ -67,7 +67,7 @@
 	Resumable          bool
 	EventGapTarget     time.Duration // target of the time between events; 0: not given
 
-	cumulativeWeights []float64 // for each entry of Split: the end of its part of [0, 1)
+	cumulativeWeights []float64 // for each entry of Split: the end of its interval in [0, 1)
 }
 
 // WeightedService is a service of a traffic split with its weight.
@@ -85,7 +85,7 @@
 
 // Engine describes the inference engine of each endpoint of a service.
 type Engine struct {
-	Capacity       int   // requests at the same time
+	Capacity       int   // concurrent requests
 	CacheTokens    int64 // size of its prefix cache
 	TokensPerEvent int   // tokens that one event of an answer counts as, 1 or more
 	Models         []string
