--- a/internal/tier/loadbalancer/doc.go
+++ b/internal/tier/loadbalancer/doc.go
@@ -3,30 +3,30 @@
 //
 // # Contract
 //
-// A sender has one Balancer. It passes the endpoint list of the platform to SetEndpoints, asks Pick before each attempt, calls
-// ResponseStarted at the first event of a streamed response and Done at the end of each call, whatever its outcome. Retries are
-// the sender's: it asks Pick again, with the instances attempted so far. Every duration named now is a reading of one steady
-// clock of the sender; the package reads no clock, does no I/O, starts no goroutine and persists nothing.
+// A sender has one Balancer. It passes the endpoint list of the platform to SetEndpoints, calls Pick before each attempt,
+// ResponseStarted at the first event of a streamed response and Done at the end of each call, whatever its outcome. To retry, the
+// sender calls Pick again, with the instances attempted so far. Every duration named now is a reading of one monotonic clock of
+// the sender; the package reads no clock, does no I/O, starts no goroutine and persists nothing.
 //
-// A Balancer is not safe for concurrent use: its owner locks.
+// A Balancer is not safe for concurrent use: its owner must lock it.
 //
 // # Selection
 //
-// Pick asks the policies of selection_policies.go in their order, and takes the first endpoint that one of them selects. Costs
-// come from load, latency, failures and slow start (endpoint.go). How many calls may be in flight at an endpoint is a window
-// that grows by one with each success and is halved by a rejection (restart.Window); time-outs are estimated for each route
-// from the latencies of its served calls (restart.Oracle, timeouts.go).
+// Pick tries the policies of selection_policies.go in order, and uses the first endpoint that one of them selects. The cost of an
+// endpoint depends on its load, latency, failures and slow start (endpoint.go). A window limits the calls in flight at an endpoint:
+// it grows by one with each success and is halved by a rejection (restart.Window). Time-outs are estimated for each route from the
+// latencies of its served calls (restart.Oracle, timeouts.go).
 //
 // # States of an endpoint
 //
 //	state     enters by                                   leaves by                                         gets
 //	listed    SetEndpoints                                a list without it, or with it draining            requests
 //	ejected   consecutive failures, no response in time,  a response, a served health check, or a report    one probe at a time,
-//	          or a report of another sender               of another sender that it has answered            with exponential backoff
+//	          or a report of another sender               of another sender that it has responded           with exponential backoff
 //	draining  SetEndpoints                                SetEndpoints                                      nothing new
 //	misdirected  a 421 or a call that found it gone       never: the next instance has another name         nothing
 //	removed   a list without it, and its last call done   -                                                 nothing
 //
-// An ejection by this sender's own observation is reported to the others by TakeReports (outlier_ejection.go). Where most
-// endpoints of a service do not respond, no more than half of them are ejected for that.
+// TakeReports returns the ejections by this sender's own observations, to be shared with other senders (outlier_ejection.go). If
+// most endpoints of a service do not respond, no more than half of its endpoints are ejected for that.
 package loadbalancer
--- a/internal/tier/loadbalancer/endpoint.go
+++ b/internal/tier/loadbalancer/endpoint.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	loadDecayTime        = 2 * time.Second  // time constant of the decay of a reported load, as the calls of others end
+	loadDecayTime        = 2 * time.Second  // time constant of the decay of a reported load, as the calls of other senders end
 	latencySmoothing     = 0.1              // weight of the latest call in the means of latency and tokens
 	failureRateSmoothing = 0.06             // weight of the latest call in the failure rate
 	failureRateDecayTime = 10 * time.Second // time constant of the decay of that rate, as a failing endpoint gets few calls
-	failingRateThreshold = 0.3              // failure rate above which the window counts half
+	failingRateThreshold = 0.3              // failure rate above which the maximum of the window is halved
 	failurePenalty       = 4.0              // added to the cost factor of an endpoint that always fails
 	slowStartPenalty     = 2.0              // cost factor of an endpoint in its slow start
 	maxLatencyRatio      = 4.0              // bound of the cost factor of a slow endpoint
 )
 
-// endpoint is what a sender has observed of one instance.
+// endpoint is one instance with the sender's observations of it.
 type endpoint struct {
 	Endpoint
 	nameHash            uint64 // hash of Instance, for rendezvous hashing
@@ -28,30 +28,30 @@
 	misdirected         bool // its address is now that of another instance
 	window              restart.Window
 	inFlight            int           // calls of this sender
-	awaitingResponse    []*Call       // of these, those without any part of a response, oldest first
-	lastSeenAt          time.Duration // when anything was received from it last
+	awaitingResponse    []*Call       // calls in flight that have received no part of a response, oldest first
+	lastSeenAt          time.Duration // when anything was last received from it
 	slots               int           // reported; 0: never
 	othersLoad          float64       // requests of other senders, as of loadReportedAt
-	queueLimit          int           // how many may wait, as observed at a rejection; -1: never
+	queueLimit          int           // length of its queue at a rejection for lack of slots, or the longest since; -1: not observed
 	waiting             int           // requests in its queue, as of loadReportedAt
 	loadReportedAt      time.Duration // of the last report
-	latencyRatio        float64       // moving mean of its latencies, each over the mean of its route
+	latencyRatio        float64       // moving mean of its latencies, each divided by the mean of its route
 	failureRateEstimate float64       // moving mean of failed calls (1) and served ones (0), as of failureRateAt
 	failureRateAt       time.Duration
-	meanTokens          float64 // moving mean of what a request needs of the cache
+	meanTokens          float64 // moving mean of the cache tokens that a request needs
 	slowStartUntil      time.Duration
 
 	reports        *Reports // of the balancer
-	ejectionShared bool     // reported ejected by other senders, which are to hear of its next state
+	ejectionShared bool     // other senders have reported its ejection; its restoration must be reported to them
 
-	consecutiveFailureWeight float64 // sum over the consecutive failures
+	consecutiveFailureWeight float64 // sum of the weights of the consecutive failures
 	ejected                  bool
 	probesInFlight           int
-	healthCheckInFlight      bool          // one of them is a health check of the owner
-	nextProbeAt              time.Duration // not before
+	healthCheckInFlight      bool          // one of these probes is a health check of the owner
+	nextProbeAt              time.Duration // earliest time of the next probe
 	probeBackoff             time.Duration // from an ejection to the next probe
 	rejectionBackoff         time.Duration // after the last rejection; doubles with each
-	backoffUntil             time.Duration // no calls before, after a rejection
+	backoffUntil             time.Duration // no calls before this time, after a rejection
 }
 
 // newEndpoint returns an endpoint that is listed for the first time.
@@ -81,7 +81,8 @@
 	return float64(endpoint.inFlight) + endpoint.othersLoad*math.Exp(-(now-endpoint.loadReportedAt).Seconds()/loadDecayTime.Seconds())
 }
 
-// utilization is the part of the endpoint's slots, or of its cache if that is more, that is in use with so many more requests.
+// utilization is the fraction of the endpoint's slots, or of its cache if that is more, that is in use with the given number of
+// additional requests.
 func (endpoint *endpoint) utilization(now time.Duration, more float64) float64 {
 	load := endpoint.load(now) + more
 	part := load / float64(endpoint.capacity())
@@ -91,12 +92,12 @@
 	return part
 }
 
-// cost is what one more request there costs: the utilization with it, raised where the endpoint is slow, fails or is in its slow start.
+// cost is the cost of one more request at the endpoint: the utilization with that request, times the penalty.
 func (endpoint *endpoint) cost(now time.Duration) float64 {
 	return endpoint.utilization(now, 1) * endpoint.penalty(now)
 }
 
-// penalty is the factor by which the cost is raised.
+// penalty is the factor of the cost for an endpoint that is slow, fails or is in its slow start.
 func (endpoint *endpoint) penalty(now time.Duration) float64 {
 	penalty := min(maxLatencyRatio, max(1/maxLatencyRatio, endpoint.latencyRatio)) * (1 + failurePenalty*endpoint.failureRate(now))
 	if now < endpoint.slowStartUntil {
@@ -119,7 +120,7 @@
 	return !atCapacity || endpoint.load(now) < float64(endpoint.capacity()+endpoint.queueLimit)
 }
 
-// addCall counts a call as in flight. It needs tokens of the cache; 0: it is not known how many.
+// addCall counts a call as in flight. tokens is the number of cache tokens that it needs; 0: unknown.
 func (endpoint *endpoint) addCall(call *Call, tokens int64) {
 	endpoint.inFlight++
 	endpoint.awaitingResponse = append(endpoint.awaitingResponse, call)
@@ -132,7 +133,7 @@
 	endpoint.meanTokens += latencySmoothing * (float64(tokens) - endpoint.meanTokens)
 }
 
-// updateLoad records a load report. Which of the reported requests are this sender's is counted by its calls now in flight.
+// updateLoad records a load report. The reported requests beyond this sender's calls now in flight count as those of other senders.
 func (endpoint *endpoint) updateLoad(now time.Duration, load Load, rejected bool) {
 	if load.Running < 0 || load.Waiting < 0 || load.Slots < 0 {
 		return
--- a/internal/tier/loadbalancer/health_checks.go
+++ b/internal/tier/loadbalancer/health_checks.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// StartHealthChecks returns the ejected endpoints that are due to be probed, for an owner that checks their health by a call of
-// its own, as it must where requests can't be retried. Each is to be followed by RecordHealthCheck.
+// StartHealthChecks returns the ejected endpoints that are due to be probed, for an owner that checks their health by calls of its
+// own, which is necessary if requests can't be retried. The owner must report the result of each by RecordHealthCheck.
 func (balancer *Balancer) StartHealthChecks(now time.Duration) []Endpoint {
 	var due []Endpoint
 	for _, service := range balancer.services {
--- a/internal/tier/loadbalancer/loadbalancer.go
+++ b/internal/tier/loadbalancer/loadbalancer.go
@@ -24,30 +24,30 @@
 	servedRate rateMeter   // of served calls
 }
 
-// maxFirstRotation bounds the offset that a sender begins with: far more than a service has endpoints.
+// maxFirstRotation bounds the initial rotation of a sender. It is far above the number of endpoints of a service.
 const maxFirstRotation = 1 << 20
 
-// Balancer is the load balancer of one sender, with what it has observed of endpoints and routes. Its owner locks.
+// Balancer is the load balancer of one sender, with its observations of endpoints and routes. Its owner must lock it.
 type Balancer struct {
 	zone         string
 	randomState  uint64
 	rotation     int                        // offset at which a search begins; it grows with each pick
-	endpoints    map[string]*endpoint       // by instance: the listed ones, and others with calls in flight
+	endpoints    map[string]*endpoint       // by instance: listed ones, and unlisted ones with calls in flight
 	services     map[string]*service        // by name: those that have endpoints
-	routeOracles map[string]*restart.Oracle // by route: of the latencies of calls
-	gapOracles   map[string]*restart.Oracle // by route: of the longest gap between two events of a stream
+	routeOracles map[string]*restart.Oracle // by route: estimates from the latencies of calls
+	gapOracles   map[string]*restart.Oracle // by route: estimates from the longest gap between two events of each stream
 	reports      Reports                    // since TakeReports
 }
 
-// New makes the load balancer of a sender in a zone. What it draws at random differs from sender to sender, by their names, and
-// so does the endpoint that it begins with: hundreds of senders that know nothing yet would else all go to the same few.
+// New returns the load balancer of a sender in a zone. The sender's name seeds its random choices and its initial rotation: otherwise
+// hundreds of senders without observations would all select the same few endpoints.
 func New(zone, sender string) *Balancer {
 	seed := hash(sender)
 	return &Balancer{zone: zone, randomState: seed, rotation: int(mix(seed) % maxFirstRotation), endpoints: map[string]*endpoint{}, services: map[string]*service{},
 		routeOracles: map[string]*restart.Oracle{}, gapOracles: map[string]*restart.Oracle{}}
 }
 
-// SetEndpoints replaces the list of endpoints. What has been observed of an instance is kept with it. One that is no longer
+// SetEndpoints replaces the list of endpoints. The observations of an instance that remains are kept. An instance that is no longer
 // listed gets no new requests, and is removed when its last call has ended.
 func (balancer *Balancer) SetEndpoints(now time.Duration, listed []Endpoint) {
 	for _, endpoint := range balancer.endpoints {
@@ -93,7 +93,7 @@
 	return endpoint != nil && endpoint.listed && !endpoint.Draining && !endpoint.misdirected
 }
 
-// RetainRoutes drops what was observed of the routes that keep does not report, for when the configuration has changed.
+// RetainRoutes drops the observations of the routes for which keep returns false, after a change of the configuration.
 func (balancer *Balancer) RetainRoutes(keep func(route string) bool) {
 	for name := range balancer.routeOracles {
 		if !keep(name) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// service returns the record of a service, made where it is new.
+// service returns the service of a name, and creates it if there is none.
 func (balancer *Balancer) service(name string) *service {
 	s := balancer.services[name]
 	if s == nil {
--- a/internal/tier/loadbalancer/outcomes.go
+++ b/internal/tier/loadbalancer/outcomes.go
@@ -11,7 +11,7 @@
 	ejectThreshold      = 4.0 // sum of the weights of consecutive failures that ejects an endpoint
 )
 
-// failureWeights is how much each kind of failure counts towards an ejection.
+// failureWeights are the weights of the kinds of failures towards an ejection.
 var failureWeights = map[OutcomeKind]float64{NotSent: 2, Broken: 1.5, TimedOut: 1.5, Stalled: 1.5, Failed: 1}
 
 // ResponseStarted records the first event of a streamed response, which shows that its endpoint is responsive. It has no effect
@@ -23,7 +23,7 @@
 	}
 }
 
-// ReportLoad records a load report of an endpoint that came outside a call. Unknown instances are ignored.
+// ReportLoad records a load report of an endpoint that was received outside a call. Unknown instances are ignored.
 func (balancer *Balancer) ReportLoad(now time.Duration, instance string, load Load) {
 	if endpoint := balancer.endpoints[instance]; endpoint != nil {
 		endpoint.lastSeenAt = max(endpoint.lastSeenAt, now)
@@ -67,7 +67,7 @@
 		}
 		endpoint.recordFailed(now, failureWeights[outcome.Kind], call)
 	case call.probe:
-		endpoint.nextProbeAt = now // it has shown nothing: the next attempt may probe
+		endpoint.nextProbeAt = now // the canceled probe is inconclusive: the next attempt may probe
 	}
 	if !endpoint.listed && endpoint.inFlight == 0 && balancer.endpoints[endpoint.Instance] == endpoint {
 		delete(balancer.endpoints, endpoint.Instance)
@@ -93,7 +93,7 @@
 	}
 }
 
-// responseStarted records that a part of a call's response was received: from then on the call does not count as one without response.
+// responseStarted records that a part of a call's response was received. From then on the call does not count as awaiting a response.
 func (endpoint *endpoint) responseStarted(now time.Duration, call *Call) {
 	endpoint.lastSeenAt = max(endpoint.lastSeenAt, now)
 	endpoint.removeAwaiting(call)
@@ -118,7 +118,7 @@
 	endpoint.restore()
 }
 
-// recordRejected records a rejection: the endpoint is alive, and at its limit.
+// recordRejected records a rejection: the endpoint is responsive, and at its limit.
 func (endpoint *endpoint) recordRejected(now time.Duration, call *Call) {
 	endpoint.lastSeenAt = max(endpoint.lastSeenAt, now)
 	endpoint.window.Halve(call.sentAt, now)
--- a/internal/tier/loadbalancer/outlier_ejection.go
+++ b/internal/tier/loadbalancer/outlier_ejection.go
@@ -5,12 +5,12 @@
 const (
 	minProbeBackoff        = 250 * time.Millisecond // from an ejection to the first probe; doubles with each failed one
 	maxProbeBackoff        = 4 * time.Second
-	maxSharedProbeBackoff  = time.Second // of an endpoint that other senders do not probe
+	maxSharedProbeBackoff  = time.Second // maxProbeBackoff of an endpoint that other senders do not probe
 	nonRetryableProbeDelay = time.Second // added before a request that can't be retried is used as a probe
 )
 
-// ejectUnresponsive ejects the endpoints that do not respond, as long as that leaves half of them: where most do not, they are
-// overloaded or the sender's own links are at fault, and to be without them would make it worse.
+// ejectUnresponsive ejects the endpoints that do not respond, as long as half of the service's endpoints are left. If most do not
+// respond, they are overloaded or the sender's own network links are at fault, and ejecting them would make it worse.
 func (service *service) ejectUnresponsive(now time.Duration) {
 	for _, endpoint := range service.endpoints {
 		if endpoint.unresponsive(now) && service.mayEject() {
@@ -30,9 +30,9 @@
 	return 2*(ejected+1) <= len(service.endpoints)
 }
 
-// unresponsive reports whether the endpoint is not ejected and should be: nothing was received from it since the oldest call without
-// a response was sent, for longer than that call's unresponsiveTimeout. One call is enough: a sender of many has few calls at any
-// one endpoint, other endpoints are available, and the first event of a response restores it.
+// unresponsive reports whether the endpoint is not ejected but should be: since its oldest call without a response was sent, nothing
+// was received from it for longer than that call's unresponsiveTimeout. One call is enough: each of many senders has few calls at any
+// one endpoint, other endpoints are available, and the first event of a response restores the endpoint.
 func (endpoint *endpoint) unresponsive(now time.Duration) bool {
 	if endpoint.ejected || len(endpoint.awaitingResponse) == 0 {
 		return false
@@ -41,24 +41,24 @@
 	return now-max(oldest.sentAt, endpoint.lastSeenAt) > oldest.unresponsiveTimeout()
 }
 
-// ejectAndReport ejects the endpoint for what this sender has observed, and reports it to the others.
+// ejectAndReport ejects the endpoint by this sender's own observations, and reports the ejection to the other senders.
 func (endpoint *endpoint) ejectAndReport(now time.Duration) {
 	endpoint.eject(now)
 	endpoint.reports.Ejected = append(endpoint.reports.Ejected, endpoint.Instance)
 }
 
-// eject keeps requests from the endpoint, but for probes, until one is served. If it is ejected already, the next probe waits longer.
+// eject stops all requests to the endpoint except probes until it is restored. If it is ejected already, the probe backoff doubles.
 func (endpoint *endpoint) eject(now time.Duration) {
 	endpoint.ejected = true
 	maxBackoff := maxProbeBackoff
-	if endpoint.ejectionShared { // others wait for what the probe finds
+	if endpoint.ejectionShared { // other senders wait for the result of the probe
 		maxBackoff = maxSharedProbeBackoff
 	}
 	endpoint.probeBackoff = min(max(2*endpoint.probeBackoff, minProbeBackoff), maxBackoff)
 	endpoint.nextProbeAt = now + endpoint.probeBackoff
 }
 
-// restore ends an ejection, if there is one, and the row of consecutive failures.
+// restore ends an ejection, if there is one, and resets the consecutive failures.
 func (endpoint *endpoint) restore() {
 	if endpoint.ejected && endpoint.ejectionShared {
 		endpoint.ejectionShared = false
@@ -76,21 +76,21 @@
 	return endpoint.ejected && endpoint.probesInFlight == 0 && now >= due
 }
 
-// Reports are what other senders should hear of.
+// Reports are the changes that other senders should learn of.
 type Reports struct {
-	Ejected  []string // instances ejected by what this sender has observed, failed probes of ejected ones included
+	Ejected  []string // instances ejected by this sender's own observations, including ejected ones whose probe has failed
 	Restored []string // instances that other senders had reported as ejected, and that have responded to this one
 }
 
-// TakeReports returns the reports since it was called last.
+// TakeReports returns the reports since its last call.
 func (balancer *Balancer) TakeReports() Reports {
 	taken := balancer.reports
 	balancer.reports = Reports{}
 	return taken
 }
 
-// EjectReported ejects an endpoint that other senders have ejected, as long as that leaves half of its service's. Unless this sender
-// is to probe it, it sends nothing there for probeDelay, within which it should hear more.
+// EjectReported ejects an endpoint that other senders have ejected, as long as half of the endpoints of its service are left. Unless
+// isProber is set, this sender does not probe it for probeDelay, within which another report is expected.
 func (balancer *Balancer) EjectReported(now time.Duration, instance string, isProber bool, probeDelay time.Duration) {
 	endpoint := balancer.endpoints[instance]
 	if endpoint == nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-// RestoreReported ends an ejection, as the endpoint has responded to another sender.
+// RestoreReported ends an ejection that other senders have reported, as the endpoint has responded to one of them.
 func (balancer *Balancer) RestoreReported(instance string) {
 	if endpoint := balancer.endpoints[instance]; endpoint != nil && endpoint.ejectionShared {
 		endpoint.ejectionShared = false
--- a/internal/tier/loadbalancer/pick.go
+++ b/internal/tier/loadbalancer/pick.go
@@ -8,7 +8,7 @@
 	"saffronyard.example/saffronyard/brain/restart"
 )
 
-// Pick decides on one attempt. Where the decision is Send, the call counts as in flight until Done.
+// Pick decides whether one attempt is sent, and to which endpoint. If the decision is Send, the call counts as in flight until Done.
 func (balancer *Balancer) Pick(now time.Duration, request Request) Selection {
 	oracle := balancer.routeOracle(request.Route)
 	if request.Remaining <= 0 || oracle.Samples > 0 && request.Remaining < oracle.MinLatency {
@@ -41,7 +41,8 @@
 	oracle   *restart.Oracle // of the request's route
 }
 
-// endpoints are those of the service, beginning with another one at each pick, so that equal ones take turns.
+// endpoints iterates over the endpoints of the service. Each pick begins with another one, so that endpoints of equal cost are selected
+// in turn.
 func (pick *pick) endpoints() iter.Seq[*endpoint] {
 	return func(yield func(*endpoint) bool) {
 		all := pick.service.endpoints
@@ -58,7 +59,7 @@
 	return !endpoint.misdirected && (endpoint.CacheTokens == 0 || pick.request.CacheTokens <= endpoint.CacheTokens)
 }
 
-// attempts is how often the request was sent to an endpoint before.
+// attempts is the number of entries of an endpoint in AttemptedInstances.
 func (pick *pick) attempts(endpoint *endpoint) (count int) {
 	for _, instance := range pick.request.AttemptedInstances {
 		if instance == endpoint.Instance {
@@ -68,8 +69,8 @@
 	return count
 }
 
-// startCall counts the attempt as in flight at an endpoint. Its time-out is the oracle's where it may be retried then, else the
-// time that remains.
+// startCall counts the attempt as in flight at an endpoint. Its time-out is that of the oracle if the request may be retried, else the
+// remaining time.
 func (pick *pick) startCall(endpoint *endpoint) Selection {
 	request, oracle, balancer := pick.request, pick.oracle, pick.balancer
 	call := &Call{endpoint: endpoint, oracle: oracle, gapOracle: oracleOf(balancer.gapOracles, request.Route), service: pick.service, sentAt: pick.now,
--- a/internal/tier/loadbalancer/retry_after.go
+++ b/internal/tier/loadbalancer/retry_after.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	retryAfterCallFraction     = 0.25 // part of the time of a call after which there may be capacity
+	retryAfterCallFraction     = 0.25 // fraction of the duration of a call after which there may be capacity
 	minRetryAfter              = 20 * time.Millisecond
 	maxRetryAfter              = 2 * time.Second
-	retryAfterRemainingDivisor = 3           // a client is asked to wait for up to this part of its remaining time
+	retryAfterRemainingDivisor = 3           // a client waits for at most its remaining time divided by this
 	rateDecayTime              = time.Second // time constant of a rateMeter
 )
 
-// retryAfter is after how long there may be capacity: a part of the time that a call takes, by Little's law from the calls in
-// flight and the rate of those served, with jitter so that requests rejected together are not retried together. It is kept
-// within the latency target, so that the retry may be in time, and within a part of the remaining time.
+// retryAfter is the time after which there may be capacity: a fraction of the duration of a call, which Little's law gives from the
+// calls in flight and the rate of served calls. It has jitter, so that requests rejected together are not retried together. It is
+// limited to the latency target, so that the retry may be in time, and to a fraction of the remaining time.
 func (balancer *Balancer) retryAfter(now time.Duration, service *service, request *Request) time.Duration {
 	calls, backoff := 0, maxRetryAfter
 	for _, endpoint := range service.endpoints {
--- a/internal/tier/loadbalancer/selection_policies.go
+++ b/internal/tier/loadbalancer/selection_policies.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	boundedLoadFactor = 1.25 // bound of the cost of an endpoint selected for its cache, times the mean, and
-	boundedLoadMargin = 2.0  // requests over the mean: where few are in flight, chance alone exceeds the factor
-	stickyCostFactor  = 1.5  // bound of the cost of the sticky endpoint, times the mean, and
-	stickyCostMargin  = 6.0  // requests over the mean
-	zoneCostFactor    = 1.5  // bound of the lowest cost in the sender's zone, times the lowest in other zones, and
-	zoneCostMargin    = 3.0  // requests over that
+	boundedLoadFactor = 1.25 // an endpoint is selected for its cache up to this multiple of the mean cost,
+	boundedLoadMargin = 2.0  // or up to this many requests above the mean: with few in flight, chance alone exceeds the factor
+	stickyCostFactor  = 1.5  // the sticky endpoint is selected up to this multiple of the mean cost,
+	stickyCostMargin  = 6.0  // or up to this many requests above the mean, plus the cost of displaced prefixes
+	zoneCostFactor    = 1.5  // the sender's zone is preferred up to this multiple of the lowest cost in other zones,
+	zoneCostMargin    = 3.0  // plus this many requests
 )
 
 // selectionPolicy is one way to select an endpoint.
@@ -20,11 +20,11 @@
 	Select(pick *pick) *endpoint
 }
 
-// policies are all policies, in the order in which Pick asks them.
+// policies are all policies, in the order in which Pick tries them.
 var policies = []selectionPolicy{probePolicy{}, unattemptedPolicy{}, retryPolicy{}, allEjectedPolicy{}}
 
-// probePolicy selects an ejected endpoint that is due to be probed, where a first attempt leaves time for another one if the
-// probe fails.
+// probePolicy selects an ejected endpoint that is due to be probed, for a first attempt. A retryable request must leave time for
+// another attempt if the probe fails.
 type probePolicy struct{}
 
 // Select implements selectionPolicy.
@@ -50,8 +50,8 @@
 	return pick.selectHealthy(0)
 }
 
-// retryPolicy selects a healthy endpoint with capacity that the request was sent to once at most: its window may have opened
-// since, or only a connection was lost.
+// retryPolicy selects a healthy endpoint with capacity that the request was sent to at most once: since then its window may have
+// opened, or only a connection was lost.
 type retryPolicy struct{}
 
 // Select implements selectionPolicy.
@@ -62,7 +62,7 @@
 	return pick.selectHealthy(1)
 }
 
-// allEjectedPolicy selects the endpoint that is likeliest to be healthy where all are ejected.
+// allEjectedPolicy selects the endpoint that is most likely to be healthy if all are ejected.
 type allEjectedPolicy struct{}
 
 // Select implements selectionPolicy.
@@ -70,7 +70,7 @@
 	var best *endpoint
 	for endpoint := range pick.endpoints() {
 		if !endpoint.ejected && pick.accepts(endpoint) {
-			return nil // a healthy one is at its limit, and soon has capacity
+			return nil // a healthy endpoint is at its limit, and will have capacity soon
 		}
 		if !pick.accepts(endpoint) || !endpoint.hasCapacity(pick.now, pick.request.Priority) || pick.attempts(endpoint) > 1 {
 			continue
@@ -82,8 +82,8 @@
 	return best
 }
 
-// preferable reports whether, of two ejected endpoints, the first is to be preferred: the one that this request was sent to less
-// often, that has notably fewer calls, that failed less, that was seen last.
+// preferable reports whether the first of two ejected endpoints is preferred to the second. The criteria are, in this order: fewer
+// attempts of the request, less than half as many calls in flight, a lower weight of consecutive failures, a later last response.
 func (pick *pick) preferable(endpoint, other *endpoint) bool {
 	if attempts, otherAttempts := pick.attempts(endpoint), pick.attempts(other); attempts != otherAttempts {
 		return attempts < otherAttempts
@@ -97,9 +97,9 @@
 	return endpoint.lastSeenAt > other.lastSeenAt
 }
 
-// selectHealthy selects one of the healthy endpoints with capacity that the request was sent to at most so many times, or nil: the
-// sticky one if there is one, else one in the sender's zone unless that is notably more loaded than others, by rendezvous hashing
-// where requests share a cache, and else the cheapest.
+// selectHealthy selects one of the healthy endpoints with capacity that the request was sent to at most maxAttempts times, or nil. It
+// prefers the sticky endpoint. Otherwise it selects in the sender's zone, unless that is notably more loaded than others, by
+// rendezvous hashing if requests share a cache, else by lowest cost.
 func (pick *pick) selectHealthy(maxAttempts int) *endpoint {
 	candidates := &candidates{pick: pick, maxAttempts: maxAttempts, local: zoneCandidates{sameZone: true}}
 	for endpoint := range pick.endpoints() {
@@ -115,19 +115,19 @@
 	return nil
 }
 
-// candidatePolicy is one way to select one of several endpoints that a request may go to.
+// candidatePolicy is one way to select one of the candidates.
 type candidatePolicy interface {
 	// Select returns one of the candidates, or nil if the policy has none.
 	Select(candidates *candidates) *endpoint
 }
 
-// candidatePolicies are all policies, in the order in which selectHealthy asks them.
+// candidatePolicies are all policies, in the order in which selectHealthy tries them.
 var candidatePolicies = []candidatePolicy{stickyPolicy{}, affinityPolicy{}, leastCostPolicy{}}
 
 // candidates are the endpoints that a request may go to.
 type candidates struct {
 	pick          *pick
-	maxAttempts   int            // how often the request may have been sent to one before
+	maxAttempts   int            // how often the request may have been sent to a candidate before
 	local, remote zoneCandidates // in the sender's zone, and in others
 }
 
@@ -138,7 +138,7 @@
 		endpoint.hasCapacity(pick.now, pick.request.Priority)
 }
 
-// add adds an endpoint.
+// add adds an eligible endpoint.
 func (candidates *candidates) add(endpoint *endpoint) {
 	zone := &candidates.remote
 	if endpoint.sameZone {
@@ -147,8 +147,8 @@
 	zone.add(endpoint, endpoint.cost(candidates.pick.now))
 }
 
-// preferredZone is the sender's zone, unless it has no candidate or is notably more loaded than the others. Nil if there is no
-// candidate.
+// preferredZone returns the candidates of the sender's zone, or those of the other zones if it has none or is notably more loaded. It
+// returns nil if there is no candidate.
 func (candidates *candidates) preferredZone() *zoneCandidates {
 	local, remote := &candidates.local, &candidates.remote
 	switch {
@@ -174,7 +174,7 @@
 	lowestCost float64 // that of the cheapest
 }
 
-// add adds an endpoint.
+// add adds a candidate with its cost.
 func (zone *zoneCandidates) add(endpoint *endpoint, cost float64) {
 	zone.count++
 	zone.totalCost += cost
@@ -183,13 +183,13 @@
 	}
 }
 
-// meanCost is 0 where there is no candidate.
+// meanCost is the mean cost of the candidates, 0 if there are none.
 func (zone *zoneCandidates) meanCost() float64 {
 	return zone.totalCost / float64(max(1, zone.count))
 }
 
-// stickyPolicy selects the endpoint that ran the request before this one, unless it is notably more loaded than the others. What
-// that endpoint holds in its cache would have to be prefilled elsewhere.
+// stickyPolicy selects the endpoint that ran the preceding request, unless it is notably more loaded than the others. Another endpoint
+// would have to prefill the prompt that this one has cached.
 type stickyPolicy struct{}
 
 // Select implements candidatePolicy.
@@ -202,7 +202,8 @@
 	}
 	local, remote := &candidates.local, &candidates.remote
 	mean := (local.totalCost + remote.totalCost) / float64(max(1, local.count+remote.count))
-	// A session that moves is prefilled again and evicts what others have cached there: the likelier, the more is in use.
+	// A session that moves is prefilled again and evicts cached prefixes of other sessions. The more of the caches is in use, the more
+	// likely is that.
 	displaced := mean * min(1, mean)
 	if endpoint.cost(pick.now) > max(stickyCostFactor*mean, mean+displaced+stickyCostMargin/float64(endpoint.capacity())) {
 		return nil
@@ -210,8 +211,8 @@
 	return endpoint
 }
 
-// affinityPolicy selects the same endpoint for all requests that share a cache, in the preferred zone: that with the highest
-// weight for their key (weighted rendezvous hashing, Thaler and Ravishankar 1998), of those whose cost is within bounds of the
+// affinityPolicy selects the same endpoint for all requests that share a cache, in the preferred zone: the one with the highest
+// weight for their key (weighted rendezvous hashing, Thaler and Ravishankar 1998) among those whose cost is within bounds of the
 // mean (bounded loads, Mirrokni et al. 2018). An endpoint that is added or removed moves only its own keys.
 type affinityPolicy struct{}
 
@@ -238,7 +239,7 @@
 	return best
 }
 
-// affinityKey is the key of the requests that share a cache with this one, if there is one.
+// affinityKey returns the key of the requests that share a cache with the given one; ok is false if it has none.
 func affinityKey(request *Request) (key uint64, ok bool) {
 	if request.AffinityKey != "" {
 		return hash(request.AffinityKey), true
--- a/internal/tier/loadbalancer/timeouts.go
+++ b/internal/tier/loadbalancer/timeouts.go
@@ -6,15 +6,15 @@
 	"saffronyard.example/saffronyard/brain/restart"
 )
 
-// minUnresponsiveTimeout is a bound of unresponsiveTimeout: a lost SYN is retransmitted within about so long.
+// minUnresponsiveTimeout is the least unresponsiveTimeout: a lost SYN is retransmitted within about this time.
 const minUnresponsiveTimeout = 300 * time.Millisecond
 
-// routeOracle returns the latency estimate of a route, made where it is new.
+// routeOracle returns the latency estimate of a route, and creates it if there is none.
 func (balancer *Balancer) routeOracle(route string) *restart.Oracle {
 	return oracleOf(balancer.routeOracles, route)
 }
 
-// oracleOf returns the estimate of a route, made where it is new.
+// oracleOf returns the estimate of a route, and creates it if there is none.
 func oracleOf(oracles map[string]*restart.Oracle, route string) *restart.Oracle {
 	oracle := oracles[route]
 	if oracle == nil {
@@ -24,19 +24,19 @@
 	return oracle
 }
 
-// StallTimeout is the gap between two events of a route's stream after which it is better to have another endpoint resume it:
-// the optimum of the same estimate over gaps. initial is the time-out while few samples are known.
+// StallTimeout is the gap between two events of a route's stream after which another endpoint should resume the stream. It is estimated
+// from gaps as the time-out of an attempt is from latencies. initial is the time-out while there are few samples.
 func (balancer *Balancer) StallTimeout(route string, initial time.Duration) time.Duration {
 	return attemptTimeout(oracleOf(balancer.gapOracles, route), initial)
 }
 
-// attemptTimeout is the time-out of an estimate. While it has few samples it is in proportion to initial instead of
-// restart.FirstTimeout, and at least twice the mean of those.
+// attemptTimeout is the time-out of an estimate. While there are few samples it is scaled by the ratio of initial to
+// restart.FirstTimeout, but not below twice the mean of the samples.
 func attemptTimeout(oracle *restart.Oracle, initial time.Duration) time.Duration {
 	return scaleTimeout(oracle, oracle.Timeout(), initial)
 }
 
-// optimalTimeout is that time-out without the doublings by expired calls.
+// optimalTimeout is attemptTimeout without the doublings by expired calls.
 func optimalTimeout(oracle *restart.Oracle, initial time.Duration) time.Duration {
 	return scaleTimeout(oracle, oracle.Optimum(), initial)
 }
@@ -56,8 +56,9 @@
 	return unresponsiveTimeout(call.oracle, call.initialTimeout)
 }
 
-// unresponsiveTimeout is the same for a route whose time-out is initial while few samples are known. For a stream it is never less
-// than that: its first event may wait for a slot of a healthy endpoint, and latencies without load tell nothing of that wait.
+// unresponsiveTimeout is Call.unresponsiveTimeout for the estimate of a route, whose time-out is initial while there are few samples.
+// It is never below initial, which is set for streams: their first event may wait for a slot of a healthy endpoint, and latencies
+// without load do not include that wait.
 func unresponsiveTimeout(oracle *restart.Oracle, initial time.Duration) time.Duration {
 	return max(minUnresponsiveTimeout, initial, min(optimalTimeout(oracle, initial), restart.FirstTimeout))
 }
