--- a/internal/tier/gateway/attempts.go
+++ b/internal/tier/gateway/attempts.go
@@ -12,8 +12,8 @@
 	"saffronyard.example/saffronyard/internal/tier/upstream"
 )
 
-// maxAttempts bounds the attempts of a request, also those that ended before anything was written to an endpoint; a route's MaxAttempts
-// counts only the others.
+// maxAttempts bounds all attempts of a request, including those that ended before anything was written to an endpoint. A route's
+// MaxAttempts counts only attempts that were written.
 const maxAttempts = 8
 
 // minUpstreamConnections is the least limit on connections to endpoints.
@@ -51,7 +51,8 @@
 	return upstreamRequest
 }
 
-// mayStillSend reports, right before the request is written, whether the endpoints are current and the selected one is not draining.
+// mayStillSend reports whether the endpoint list is current, and has the selected instance, not draining. It is called right before
+// the request is written.
 func (gateway *Gateway) mayStillSend(selection loadbalancer.Selection) bool {
 	if !gateway.session.Current() {
 		return false
@@ -61,7 +62,8 @@
 	return gateway.routable[selection.Instance]
 }
 
-// send makes one attempt at the selected endpoint. If the result is streaming, the caller has to complete it.
+// send makes one attempt at the selected endpoint. If the outcome is Streaming, the caller must pass the result to copyAttempt, which
+// reports its end.
 func (request *clientRequest) send(selection loadbalancer.Selection) *upstream.Result {
 	target := upstream.Target{Address: selection.Address, Instance: selection.Instance, MaxConnections: request.maxConnections()}
 	request.sentAt = time.Now()
@@ -76,7 +78,7 @@
 	if result.Outcome != upstream.Streaming {
 		request.gateway.counters.countAttempt(result)
 		outcome := callOutcome(result, time.Since(request.sentAt))
-		if outcome.Kind == loadbalancer.NotSent && !request.gateway.session.Current() { // that is no fault of the endpoint
+		if outcome.Kind == loadbalancer.NotSent && !request.gateway.session.Current() { // the endpoint list is not current, which is no failure of the endpoint
 			outcome.Kind = loadbalancer.Canceled
 		}
 		request.gateway.callDone(selection.Call, outcome)
@@ -84,7 +86,7 @@
 	return result
 }
 
-// maxConnections returns the limit on connections to an endpoint of the request's service; 0: none.
+// maxConnections returns the limit on connections to an endpoint of the request's service; 0: unlimited.
 func (request *clientRequest) maxConnections() int {
 	table := request.gateway.routing.Load()
 	if table == nil {
@@ -97,7 +99,7 @@
 	return service.MaxConnections
 }
 
-// attemptsLeft reports whether the request may be sent once more, after so many attempts, and has time for it.
+// attemptsLeft reports whether the request may be sent again after the given number of attempts, and its deadline has not passed.
 func (request *clientRequest) attemptsLeft(attempts int) bool {
 	return request.sent < request.route.MaxAttempts && attempts < maxAttempts && time.Until(request.deadline) > 0
 }
@@ -127,7 +129,7 @@
 	return append(make([]http1.Field, 0, len(response.Header)+1), response.Header...)
 }
 
-// rejectUnsent rejects a request that has not run, as the load balancer has no endpoint for it.
+// rejectUnsent rejects a request that was not executed because the load balancer has no endpoint for it.
 func (request *clientRequest) rejectUnsent(selection loadbalancer.Selection) {
 	after := selection.RetryAfter
 	if after <= 0 {
@@ -136,13 +138,13 @@
 	request.gateway.reject(request.exchange, after)
 }
 
-// forwardBuffered serves a request whose answer is passed on when it is complete, or streamed if it is too large for that.
+// forwardBuffered serves a request whose answer is sent to the client when it is complete, or streamed if it is too large to buffer.
 func (request *clientRequest) forwardBuffered() {
 	var last *upstream.Result
 	for attempts := 1; ; attempts++ {
 		selection := request.selectEndpoint()
 		if selection.Decision != loadbalancer.Send {
-			if last != nil && request.sent > 0 { // it may have run
+			if last != nil && request.sent > 0 { // it may have been executed
 				request.respond(last)
 			} else {
 				request.rejectUnsent(selection)
--- a/internal/tier/gateway/budgets.go
+++ b/internal/tier/gateway/budgets.go
@@ -10,7 +10,7 @@
 const budgetHeader = "Budget"
 
 // reservation is the open reservation of a turn in its program's budget, at the program's turn store. It is ended exactly once: by release
-// or releaseInBackground with the tokens that the client may have, or by clientRequest.storeTurn. The methods of a nil reservation
+// or releaseInBackground with the tokens that the client may have received, or by clientRequest.storeTurn. The methods of a nil reservation
 // do nothing.
 type reservation struct {
 	request *clientRequest
@@ -37,7 +37,7 @@
 	return request.route.Persisted || request.exchange.Header.Get(budgetHeader) != ""
 }
 
-// program returns the program whose budget a turn is charged to. A turn that names none is a program of its own.
+// program returns the program whose budget a turn is charged to. A turn that names no program is a program of its own.
 func (request *clientRequest) program() string {
 	if program := request.exchange.Header.Get("Program"); program != "" {
 		return program
--- a/internal/tier/gateway/configuration.go
+++ b/internal/tier/gateway/configuration.go
@@ -12,7 +12,7 @@
 // applyConfiguration applies a configuration of the control plane.
 func (gateway *Gateway) applyConfiguration(configuration *tierv1.Configuration) {
 	table, err := routing.Parse(configuration.Body)
-	if err != nil { // the control plane has checked it
+	if err != nil { // unexpected, as the control plane has validated it
 		gateway.log.Error().Str("event", "catalog_unreadable").Err(err).Msg("failed to parse the configuration")
 		return
 	}
@@ -30,7 +30,7 @@
 	gateway.hasEndpoints.Store(true)
 }
 
-// updateBalancer gives the load balancer the endpoints, with the properties of their services from the configuration.
+// updateBalancer passes the endpoints to the load balancer, with the properties of their services from the configuration.
 func (gateway *Gateway) updateBalancer() {
 	table := gateway.routing.Load()
 	gateway.mu.Lock()
--- a/internal/tier/gateway/counters.go
+++ b/internal/tier/gateway/counters.go
@@ -14,11 +14,11 @@
 type requestKind uint8
 
 const (
-	kindNone requestKind = iota // it had no route
+	kindNone requestKind = iota // rejected before its kind was determined, such as without a route
 	kindTurn
 	kindStream
 	kindIdempotent
-	kindOnce
+	kindNonIdempotent
 	requestKinds
 )
 
@@ -30,12 +30,12 @@
 
 const (
 	outcomeServed      requestOutcome = iota // success, complete
-	outcomeEndpoint                          // an endpoint's answer that is no success
-	outcomeUnavailable                       // 503: it has not run
+	outcomeEndpoint                          // an endpoint's answer that is not a success
+	outcomeUnavailable                       // 503: not executed
 	outcomeBudgetSpent                       // 402
 	outcomeNotFound                          // 404: no route, or no such turn
 	outcomeBadRequest                        // another status of the gateway
-	outcomeBadGateway                        // 502: it may have run
+	outcomeBadGateway                        // 502: may have been executed
 	outcomeTimedOut                          // 504
 	outcomeIncomplete                        // the connection ended before the end of the answer
 	requestOutcomes
@@ -45,7 +45,7 @@
 var outcomeNames = [requestOutcomes]string{"served", "endpoint_status", "refused", "budget_spent", "not_found", "rejected", "bad_gateway",
 	"gateway_timeout", "cut"}
 
-// Attempts are counted by their outcome in package upstream, and as notExecutedEnd.
+// Attempts are counted by their upstream.Outcome, and as notExecutedEnd if the endpoint has rejected them.
 const (
 	notExecutedEnd  = int(upstream.Canceled) + 1 // the endpoint has rejected the request without executing it
 	attemptEndCount = notExecutedEnd + 1
@@ -133,10 +133,10 @@
 	case request.route.Kind == routing.Idempotent:
 		return kindIdempotent
 	}
-	return kindOnce
+	return kindNonIdempotent
 }
 
-// outcomeOf returns the outcome of an answer by its status, whether an endpoint gave it (signed), and whether the client has all of it.
+// outcomeOf returns the outcome of an answer by its status, whether it has an endpoint's signature, and whether it was written completely.
 func outcomeOf(status int, signed, complete bool) requestOutcome {
 	switch {
 	case status == 0 || !complete:
--- a/internal/tier/gateway/ejections.go
+++ b/internal/tier/gateway/ejections.go
@@ -11,8 +11,8 @@
 // maxQueuedHealthReports bounds the reports that wait to be sent; further ones are dropped.
 const maxQueuedHealthReports = 64
 
-// queueHealthReports queues what the load balancer has found about the health of endpoints by itself. It does not block. The caller
-// holds mu.
+// queueHealthReports queues the load balancer's reports of endpoints that this gateway has ejected or restored. It does not block. The
+// caller holds mu.
 func (gateway *Gateway) queueHealthReports() {
 	reports := gateway.loadbalancer.TakeReports()
 	if len(reports.Ejected)+len(reports.Restored) == 0 {
@@ -24,7 +24,7 @@
 	}
 }
 
-// reportHealth sends queued reports to the control plane until ctx ends, all that are queued in one call.
+// reportHealth sends queued reports to the control plane until ctx ends. All reports that are queued are sent in one call.
 func (gateway *Gateway) reportHealth(ctx context.Context) {
 	for {
 		var all loadbalancer.Reports
@@ -42,8 +42,8 @@
 	}
 }
 
-// applyEjections applies what other gateways have found. An endpoint whose health other gateways check gets no requests from this one until
-// the next update, for at most a contact window.
+// applyEjections applies the ejections and restorations that other gateways have reported. An ejected endpoint that other gateways probe
+// gets no requests from this one until the next update, for at most a contact window.
 func (gateway *Gateway) applyEjections(ejections *tierv1.Ejections) {
 	settings := &gateway.config.Settings
 	gateway.mu.Lock()
--- a/internal/tier/gateway/gateway.go
+++ b/internal/tier/gateway/gateway.go
@@ -27,7 +27,7 @@
 	Log          *log.Logger
 }
 
-// Gateway carries requests between clients and endpoints. Its methods are safe for concurrent use.
+// Gateway forwards requests of clients to endpoints, and the answers to the clients. Its methods are safe for concurrent use.
 type Gateway struct {
 	config      Config
 	log         *log.Logger
@@ -41,23 +41,23 @@
 	routing      atomic.Pointer[routing.Table]
 	hasEndpoints atomic.Bool // endpoints have been received
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields up to ejectionsVersion
 	loadbalancer    *loadbalancer.Balancer
 	endpoints       *tierv1.Endpoints
-	routable        map[string]bool                   // instances that the newest endpoints have and that are not draining
-	capacityFreed   chan struct{}                     // closed, and replaced, when a request that waits should ask the load balancer again
+	routable        map[string]bool                   // instances in the newest endpoint list that are not draining
+	capacityFreed   chan struct{}                     // closed and replaced when waiting requests should select an endpoint again
 	waiters         int                               // requests that wait for capacityFreed
-	pendingReleases map[string]map[chan struct{}]bool // by program: closed when the reservation is released, or given up
+	pendingReleases map[string]map[chan struct{}]bool // by program; a channel is closed when its reservation is released or given up
 
 	ejectionsVersion uint64 // of the newest ejection applied
 
 	counters       *counters
-	activeRequests atomic.Int64 // being handled
-	lastReady      atomic.Bool  // as last logged
+	activeRequests atomic.Int64 // in flight
+	lastReady      atomic.Bool  // readiness as last logged
 	draining       atomic.Bool
-	settlements    sync.WaitGroup // releases that go on behind their requests, but for late ones
+	settlements    sync.WaitGroup // background releases, except late ones
 
-	runContext       context.Context // ends with Run
+	runContext       context.Context // canceled when Run returns
 	cancelRun        context.CancelFunc
 	lateReleaseSlots chan struct{}             // semaphore of late releases
 	healthReports    chan loadbalancer.Reports // to be sent to the control plane
@@ -65,12 +65,12 @@
 
 const (
 	maxProbeConnections     = 64              // to the readiness address
-	minClientConnections    = 64              // limit on connections of clients; more if the file descriptors allow it
-	maxLinger               = 3 * time.Second // time in which a draining gateway still serves new clients
-	transcriptCacheFraction = 16              // one part in so many of the memory is for cached transcripts
+	minClientConnections    = 64              // least limit on client connections; higher if the file descriptors allow it
+	maxLinger               = 3 * time.Second // longest time for which a draining gateway still accepts new clients
+	transcriptCacheFraction = 16              // cached transcripts may take 1/transcriptCacheFraction of the memory
 )
 
-// New returns a gateway that does nothing before Run.
+// New returns a gateway that is idle until Run.
 func New(config Config) *Gateway {
 	gateway := &Gateway{config: config, log: config.Log, started: time.Now(), loadbalancer: loadbalancer.New(config.Settings.Zone, config.Settings.Node),
 		capacityFreed: make(chan struct{}), pendingReleases: map[string]map[chan struct{}]bool{}, lateReleaseSlots: make(chan struct{}, maxLateReleases),
@@ -102,15 +102,15 @@
 	probe := &ingress.Server{Handler: gateway.probe, Limits: gateway.limits, MaxConns: maxProbeConnections, Log: gateway.log}
 	server := &ingress.Server{Handler: gateway.handle, Limits: gateway.limits, MaxConns: max(minClientConnections, settings.MaxFileDescriptors*6/10), Log: gateway.log}
 	failed := make(chan error, 2)
-	for _, one := range []struct {
+	for _, listener := range []struct {
 		address string
 		server  *ingress.Server
 	}{{settings.Readiness, probe}, {settings.Frontend, server}} {
-		l, err := rpc.Listen(ctx, net.ListenConfig{}, one.address, anyError)
+		l, err := rpc.Listen(ctx, net.ListenConfig{}, listener.address, anyError)
 		if err != nil {
 			return err
 		}
-		go func() { failed <- one.server.Serve(l) }()
+		go func() { failed <- listener.server.Serve(l) }()
 	}
 	gateway.log.Info().Str("event", "started").Str("role", "gateway").Str("node", settings.Node).Msg("started to serve")
 	select {
@@ -124,7 +124,7 @@
 // anyError makes rpc.Listen retry after any error.
 func anyError(error) bool { return true }
 
-// shutdown shuts down gracefully. ctx is that of the sessions, which last until the last answer has been given.
+// shutdown shuts down gracefully. ctx is the context of the control-plane session, which must last until the last answer is sent.
 func (gateway *Gateway) shutdown(ctx context.Context, server *ingress.Server) error {
 	settings := gateway.config.Settings
 	gateway.draining.Store(true)
--- a/internal/tier/gateway/handler.go
+++ b/internal/tier/gateway/handler.go
@@ -14,7 +14,7 @@
 // unconfiguredRetryAfter is the Retry-After before the first configuration.
 const unconfiguredRetryAfter = 500 * time.Millisecond
 
-// clientWatchDelay is how long a request is handled before its client is watched for its end.
+// clientWatchDelay is how long a request is handled before its client's connection is watched for being closed.
 const clientWatchDelay = 300 * time.Millisecond
 
 // badRequestError is an error of a client's request, which is answered with status 400. Clients see its text.
@@ -72,8 +72,8 @@
 	request.forward()
 }
 
-// forward answers a request by its kind: a turn needs its turn store first, a stream is passed on as it comes, and any other answer
-// is passed on when it is complete.
+// forward serves a request by its kind: a turn is first begun at its turn store, a stream is relayed as it is received, and any other
+// answer is sent to the client when it is complete.
 func (request *clientRequest) forward() {
 	switch {
 	case request.route.Kind != routing.Streaming && !request.route.Persisted:
@@ -85,7 +85,7 @@
 	}
 }
 
-// reject answers with 503: the request has not run and never will. The client should retry after the given time.
+// reject answers with 503: the request was not executed and never will be. The client should retry after the given time.
 func (gateway *Gateway) reject(exchange *ingress.Exchange, retryAfter time.Duration) {
 	seconds := strconv.FormatFloat(max(retryAfter, time.Millisecond).Seconds(), 'f', 3, 64)
 	exchange.Respond(http.StatusServiceUnavailable, []http1.Field{{Name: "Retry-After", Value: seconds}}, nil)
--- a/internal/tier/gateway/outcomes.go
+++ b/internal/tier/gateway/outcomes.go
@@ -8,8 +8,8 @@
 	"saffronyard.example/saffronyard/internal/tier/upstream"
 )
 
-// decisive returns which of two results the client is answered with if nothing else comes: the later one, next, unless it has not run
-// and last may have. What an earlier attempt may have done stands, whatever a later one says. Last may be nil.
+// decisive returns the result that determines the client's answer if no further attempt follows: next, unless next was not executed and
+// last may have been. A later rejection does not prove that an earlier attempt was not executed. last may be nil.
 func decisive(last, next *upstream.Result) *upstream.Result {
 	if last == nil || mayHaveRun(next) || !mayHaveRun(last) {
 		return next
@@ -17,12 +17,12 @@
 	return last
 }
 
-// mayHaveRun reports whether the endpoint has or may have executed the request.
+// mayHaveRun reports whether the endpoint has executed the request or may have.
 func mayHaveRun(result *upstream.Result) bool {
 	return result.Disposition(false).Execution != upstream.NotExecuted
 }
 
-// callOutcome returns the outcome of an attempt, for the load balancer. Latency is the time until the first event, or until the end.
+// callOutcome returns the outcome of an attempt, for the load balancer. latency is the time until the first event, or until the end.
 func callOutcome(result *upstream.Result, latency time.Duration) loadbalancer.Outcome {
 	outcome := loadbalancer.Outcome{Latency: latency}
 	end := result.Outcome
@@ -64,14 +64,14 @@
 	return loadbalancer.Failed, false
 }
 
-// firstEvent tells the load balancer that the answer to a call has begun.
+// firstEvent reports the first event of a call to the load balancer.
 func (gateway *Gateway) firstEvent(call *loadbalancer.Call) {
 	gateway.mu.Lock()
 	gateway.loadbalancer.ResponseStarted(gateway.now(), call)
 	gateway.mu.Unlock()
 }
 
-// callDone tells the load balancer how a call has ended, and wakes the requests that wait for capacity.
+// callDone reports the outcome of a call to the load balancer, and wakes the requests that wait for capacity.
 func (gateway *Gateway) callDone(call *loadbalancer.Call, outcome loadbalancer.Outcome) {
 	gateway.mu.Lock()
 	gateway.loadbalancer.Done(gateway.now(), call, outcome)
--- a/internal/tier/gateway/prefixaffinity.go
+++ b/internal/tier/gateway/prefixaffinity.go
@@ -8,21 +8,21 @@
 // maxAffinityEntries bounds the entries of an affinityTable.
 const maxAffinityEntries = 8192
 
-// affinityTable is an LRU cache of the instances that ran conversations last, where no turn store has that with the text: the prefix cache
-// of that instance may still have the conversation. It is safe for concurrent use.
+// affinityTable is an LRU cache of the instances that last ran the conversations that no turn store stores. The prefix cache of such an
+// instance may still have the conversation. An affinityTable is safe for concurrent use.
 type affinityTable struct {
 	mu      sync.Mutex
 	order   list.List // of *affinityEntry, the most recently used in front
 	entries map[string]*list.Element
 }
 
-// affinityEntry is the instance that ran what a key names.
+// affinityEntry is the instance that last ran a stream with a key.
 type affinityEntry struct{ key, instance string }
 
 // newAffinityTable returns an empty table.
 func newAffinityTable() *affinityTable { return &affinityTable{entries: map[string]*list.Element{}} }
 
-// record records the instance that ran what the keys name. Empty keys are ignored.
+// record records the instance that ran a stream with the given keys. Empty keys are ignored.
 func (table *affinityTable) record(instance string, keys ...string) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -57,7 +57,7 @@
 }
 
 // affinityKeys returns the keys of a stream that is not stored: its session, and the parts of its prompt, the last one first. The prompt of
-// a conversation that branches off another one begins with that one's, so its parts have the last part of that.
+// a conversation that branches off another one begins with the prompt of the other one, so its parts include the last part of that prompt.
 func (request *clientRequest) affinityKeys() []string {
 	keys := make([]string, 0, len(request.prefix)+1)
 	if session := request.exchange.Header.Get("Session"); session != "" {
@@ -69,8 +69,8 @@
 	return keys
 }
 
-// recordAffinity records the instance that ran the stream for its session and the last part of its prompt; the parts before that are
-// shared with other conversations.
+// recordAffinity records the instance that ran the stream for its session and the last part of its prompt. Earlier parts are not
+// recorded, as they are shared with other conversations.
 func (request *clientRequest) recordAffinity(instance string) {
 	if keys := request.affinityKeys(); len(keys) > 0 {
 		request.gateway.affinity.record(instance, keys[:min(len(keys), 2)]...)
--- a/internal/tier/gateway/reachability.go
+++ b/internal/tier/gateway/reachability.go
@@ -41,7 +41,7 @@
 	return func(address string) tierv1.TurnStore { return trackedTurnStore{dial(address), c} }
 }
 
-// trackedTurnStore is a client that records the calls that a gateway makes.
+// trackedTurnStore is a client that records whether a gateway's calls were answered.
 type trackedTurnStore struct {
 	tierv1.TurnStore
 	reachability *reachability
--- a/internal/tier/gateway/releases.go
+++ b/internal/tier/gateway/releases.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	maxReleaseWait     = 200 * time.Millisecond // that an answer waits for a release; 250 ms past a route's time-out count as late, 500 ms as a fault
-	lateReleaseTimeout = 2 * time.Minute        // by then a turn store forgets a program that is not used
-	maxLateReleases    = 128                    // late releases at the same time
+	maxReleaseWait     = 200 * time.Millisecond // longest wait of an answer for a release; 250 ms past a route's time-out count as late, 500 ms as a fault
+	lateReleaseTimeout = 2 * time.Minute        // by then a turn store has discarded a program that is not used
+	maxLateReleases    = 128                    // concurrent late releases
 )
 
-// release releases a reservation of the request, charging the given tokens, before the client is answered, so that the client's next
-// attempt finds its budget free. If the turn store does not answer soon, the release goes on in the background.
+// release releases a reservation of the request, charging the given tokens, before the client is answered, so that the budget is
+// available to the client's next attempt. If the turn store does not answer soon, the release continues in the background.
 func (request *clientRequest) release(program string, tokens uint64) {
 	timer := time.NewTimer(min(request.gateway.config.Settings.ContactWindow/12, maxReleaseWait))
 	defer timer.Stop()
@@ -26,7 +26,7 @@
 	}
 }
 
-// releaseInBackground releases a reservation without waiting. done is closed when it is released, or given up.
+// releaseInBackground releases a reservation without waiting. done is closed when it is released or given up.
 func (request *clientRequest) releaseInBackground(program string, tokens uint64) (done <-chan struct{}) {
 	gateway, released := request.gateway, make(chan struct{})
 	settlement := &tierv1.SettleRequest{Program: program, Attempt: request.attemptID, Tokens: tokens, FailedEndpoint: request.failedInstance}
@@ -65,15 +65,15 @@
 }
 
 // settleWithRetries settles within twice the contact window, in which a partition fails over even if its map is late. It reports whether
-// it has.
+// the settlement is known to be durable.
 func (gateway *Gateway) settleWithRetries(settlement *tierv1.SettleRequest) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*gateway.config.Settings.ContactWindow)
 	defer cancel()
 	return gateway.storeClient.settle(ctx, settlement)
 }
 
-// settleLate goes on at a slower pace, as the reservation is charged for as long as the program is known. It gives up after
-// lateReleaseTimeout, and at once if there are maxLateReleases already.
+// settleLate continues to retry a settlement at a lower rate, because the reservation is charged for as long as the turn store keeps the
+// program. It gives up after lateReleaseTimeout, and at once if there are maxLateReleases already.
 func (gateway *Gateway) settleLate(settlement *tierv1.SettleRequest) {
 	select {
 	case gateway.lateReleaseSlots <- struct{}{}:
@@ -99,7 +99,7 @@
 	return slices.Collect(maps.Keys(gateway.pendingReleases[program]))
 }
 
-// awaitReleases waits until all pending releases have ended, and reports whether there was any and ctx has not ended before.
+// awaitReleases waits until all given releases have ended. It returns false if there are none, or if ctx ends before.
 func awaitReleases(ctx context.Context, pending []chan struct{}) bool {
 	for _, released := range pending {
 		select {
--- a/internal/tier/gateway/request.go
+++ b/internal/tier/gateway/request.go
@@ -20,11 +20,11 @@
 	route             *routing.Route
 	service           string
 	attemptID         string
-	deadline          time.Time // it is answered or aborted by then
+	deadline          time.Time // time by which it is answered or aborted
 	promptTokens      int64     // X-Token-Usage: tokens of its prompt
 	maxTokens         uint64    // X-Token-Usage: tokens that the turn may generate
-	tokensPerEvent    uint64    // tokens that an event of the answer is charged as
-	affinity          string    // requests with the same one share a prefix cache
+	tokensPerEvent    uint64    // tokens charged for each event of the answer
+	affinity          string    // key of the requests that share a prefix cache
 	prefix            []string  // X-Prompt-Prefix: shared parts of its prompt, outermost first
 	body              []byte    // as it is sent to endpoints
 	avoid             []string  // instances that it was sent to, or at which earlier attempts of its program failed
@@ -33,10 +33,10 @@
 	sent              int       // attempts that were written to an endpoint
 	sentAt            time.Time // start of the last attempt
 
-	resumeAfter     string // Last-Event-Id of the next attempt, which resumes the stream; empty: it starts as the client asked
+	resumeAfter     string // Last-Event-Id of the next attempt, which resumes the stream; empty: the attempt starts where the client asked
 	dropLastEventID bool   // the client's Last-Event-Id is not sent to endpoints
 
-	ctx context.Context // ends when the client is gone, or with the handler
+	ctx context.Context // canceled when the client is gone or the handler returns
 }
 
 // retryable reports whether the request may be executed more than once: its route is idempotent, or its stream can be resumed.
@@ -44,7 +44,7 @@
 	return request.route.Kind == routing.Idempotent || request.route.Kind == routing.Streaming && request.route.Resumable
 }
 
-// readDeadline sets the deadline: the route's time-out after the request's arrival, or X-Deadline-Ms if that is earlier. That
+// readDeadline sets the deadline: the route's time-out after the request's arrival, or X-Deadline-Ms if that is earlier. The
 // header must be a number of milliseconds, 0 or above.
 func (request *clientRequest) readDeadline() error {
 	timeout := request.route.Timeout
@@ -53,7 +53,7 @@
 		if err != nil && !errors.Is(err, strconv.ErrRange) || !(ms >= 0) {
 			return errInvalidDeadline
 		}
-		if ms < float64(timeout)/float64(time.Millisecond) { // compared first: a larger one may overflow a time.Duration
+		if ms < float64(timeout)/float64(time.Millisecond) { // compared before the conversion: a larger value may overflow a time.Duration
 			timeout = time.Duration(ms * float64(time.Millisecond))
 		}
 	}
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// readTokens reads X-Token-Usage: the tokens of the prompt and, after a comma, the maximum that the turn may generate. What is no
-// number counts as 0.
+// readTokens reads X-Token-Usage: the tokens of the prompt and, after a comma, the maximum that the turn may generate. A
+// value that is not a number counts as 0.
 func (request *clientRequest) readTokens() {
 	header := request.exchange.Header.Get("X-Token-Usage")
 	if header == "" {
@@ -73,10 +73,10 @@
 	request.maxTokens, _ = strconv.ParseUint(strings.TrimSpace(out), 10, 64)
 }
 
-// readAffinity reads what the prompt shares with those of other requests: the parts in X-Prompt-Prefix, outermost first. The last
-// one is the affinity, unless there is a Session.
+// readAffinity reads the parts that the prompt shares with those of other requests, in X-Prompt-Prefix, outermost first. The last
+// part is the affinity key, unless the request has a Session.
 func (request *clientRequest) readAffinity() {
-	if request.route.Persisted { // its affinity is the instance of the turn that it continues
+	if request.route.Persisted { // a stored turn prefers the instance of the turn that it continues
 		return
 	}
 	if header := request.exchange.Header.Get("X-Prompt-Prefix"); header != "" {
@@ -91,8 +91,8 @@
 	}
 }
 
-// selectService picks one of the route's services by weight. On a sticky route all requests of a session go to the same service, on
-// others each attempt is picked for by itself.
+// selectService picks one of the route's services by weight. On a route with session affinity all requests of a session go to the same
+// service; on other routes the service is picked for each attempt ID.
 func (request *clientRequest) selectService(table *routing.Table) {
 	sticky := cmp.Or(request.exchange.Header.Get("Session"), request.affinity)
 	if sticky == "" || !request.route.SessionAffinity {
--- a/internal/tier/gateway/resumption.go
+++ b/internal/tier/gateway/resumption.go
@@ -19,20 +19,20 @@
 	return [...]string{"finished", "retry", "resume", "give_up"}[step]
 }
 
-// attemptEnd is how an attempt has ended, and what is left for another one.
+// attemptEnd is how an attempt has ended, and whether another one may follow.
 type attemptEnd struct {
-	complete     bool // the answer has come to its regular end
+	complete     bool // the answer has ended regularly
 	clientGone   bool // the client has closed its connection
 	retryable    bool // by upstream.Disposition, for the kind of the request
 	attemptsLeft bool // the route and the deadline allow another one
 }
 
-// progress is the progress of a streamed answer over all its attempts. It does no I/O, and knows an event by its ID only: IDs increase, and
-// an attempt that resumes after one begins with the next.
+// progress is the progress of a streamed answer over all its attempts. It does no I/O, and identifies events by their IDs only: IDs
+// increase, and an attempt that resumes after an event begins with the next ID.
 type progress struct {
 	resumable      bool   // the route allows an attempt to be resumed by another one
-	lastEventID    string // of the last event accepted; before the first one, the one that the client named
-	events         int    // accepted, with an ID
+	lastEventID    string // of the last event accepted; before the first one, the client's Last-Event-Id
+	events         int    // number of events accepted that have an ID
 	gapless        bool   // the IDs of all events accepted so far are consecutive numbers
 	lacksID        bool   // an event without an ID was accepted, so the answer cannot be resumed
 	atAttemptStart bool   // the next event is the first one of an attempt
@@ -43,11 +43,11 @@
 	return progress{resumable: resumable, lastEventID: after, gapless: true, atAttemptStart: true}
 }
 
-// beginAttempt is called before each attempt.
+// beginAttempt must be called before each attempt.
 func (progress *progress) beginAttempt() { progress.atAttemptStart = true }
 
-// accept accepts an event, or reports false if it may not be passed on: the first event of a further attempt must leave no gap. An event
-// without an ID, such as a comment, is accepted only within an attempt.
+// accept accepts an event, or returns false if it must not be sent to the client: the first event of an attempt that resumes the answer
+// must leave no gap. An event without an ID, such as a comment, is not accepted as the first event of such an attempt.
 func (progress *progress) accept(id string, hasData bool) bool {
 	resuming := progress.atAttemptStart && progress.events > 0
 	progress.atAttemptStart = false
--- a/internal/tier/gateway/selection.go
+++ b/internal/tier/gateway/selection.go
@@ -9,8 +9,9 @@
 // currentCheckInterval is the interval at which awaitCurrent checks the session.
 const currentCheckInterval = 10 * time.Millisecond
 
-// selectEndpoint asks the load balancer for the endpoint of the next attempt. If all are at capacity, it waits for one: for a quarter
-// of the latency target, but no longer than a third of the time left, so that a client that is rejected may still be served in time by a retry.
+// selectEndpoint gets the endpoint of the next attempt from the load balancer. If there is none with capacity, it waits for one for a
+// quarter of the latency target, but at most a third of the remaining time, so that a rejected client may still be served in time by a
+// retry.
 func (request *clientRequest) selectEndpoint() loadbalancer.Selection {
 	gateway := request.gateway
 	rejectAt := time.Now().Add(min(request.route.LatencyTarget/4, time.Until(request.deadline)/3))
@@ -36,14 +37,14 @@
 		select {
 		case <-freed:
 		case <-timer.C:
-		case <-request.ctx.Done(): // the next attempt is canceled at once
+		case <-request.ctx.Done(): // one more pick; an attempt would be canceled at once
 			rejectAt = time.Time{}
 		}
 		timer.Stop()
 	}
 }
 
-// selectionCriteria returns what the load balancer needs to know for the next attempt.
+// selectionCriteria returns the load balancer's input for the next attempt.
 func (request *clientRequest) selectionCriteria() loadbalancer.Request {
 	route := request.route
 	return loadbalancer.Request{Route: route.Name, Service: request.service,
@@ -52,8 +53,8 @@
 		PromptPrefixes: request.prefix, CacheTokens: request.promptTokens, AttemptedInstances: request.avoid}
 }
 
-// awaitCurrent waits until the endpoints are current, and reports whether they are in time. After this process was suspended, the session
-// needs a moment to receive the updates that it has missed.
+// awaitCurrent waits until the endpoint list is current, and reports whether it was before the given time. After this process was
+// suspended, the session needs a moment to receive the updates that it has missed.
 func (request *clientRequest) awaitCurrent(until time.Time) bool {
 	for !request.gateway.session.Current() {
 		left := time.Until(until)
@@ -71,7 +72,7 @@
 	return true
 }
 
-// notifyWaiters makes all requests that wait for capacity ask the load balancer again. The caller holds mu.
+// notifyWaiters wakes all requests that wait for capacity, so that they select an endpoint again. The caller holds mu.
 func (gateway *Gateway) notifyWaiters() {
 	if gateway.waiters > 0 {
 		close(gateway.capacityFreed)
--- a/internal/tier/gateway/storeclient.go
+++ b/internal/tier/gateway/storeclient.go
@@ -11,15 +11,15 @@
 )
 
 // storeClient calls the turn stores: it finds the primary of a program's partition by the newest partition map, and retries with a backoff
-// until a reply is clear or the time is over. A turn store that is unresponsive is replaced by the control plane, and a newer map
-// ends the calls to it. It is safe for concurrent use.
+// until a reply is definite or the time is over. A turn store that is unresponsive is replaced by the control plane, and the newer map
+// cancels the calls to it. A storeClient is safe for concurrent use.
 type storeClient struct {
 	dial         func(address string) tierv1.TurnStore
 	reachability *reachability
 	callTimeout  time.Duration // bounds one call
-	maxBackoff   time.Duration // bounds the backoff between two calls, which a newer map ends
+	maxBackoff   time.Duration // bounds the backoff between two calls; a newer map ends a backoff early
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	partitionMap *tierv1.PartitionMap
 	addresses    map[string]string // internal addresses of turn stores by folder
 	mapChanged   chan struct{}     // closed, and replaced, when a newer map is applied
@@ -52,7 +52,7 @@
 	return client.partitionMap != nil && len(client.partitionMap.Partitions) > 0
 }
 
-// partitionOf returns the partition of a program, of n partitions.
+// partitionOf returns the partition of a program among n partitions.
 func partitionOf(program string, n int) uint32 {
 	hash := fnv.New64a()
 	hash.Write([]byte(program))
@@ -61,7 +61,7 @@
 	return uint32(sum % uint64(n))
 }
 
-// storeRoute is the way to the primary of a program, by one partition map.
+// storeRoute is the address of the primary of a program by one partition map.
 type storeRoute struct {
 	program   string
 	partition uint32
@@ -81,10 +81,10 @@
 		address: client.addresses[client.partitionMap.Partitions[partition].Primary]}
 }
 
-// storeCall makes one call to a turn store for a partition, and reports whether it is done: the reply is clear.
+// storeCall makes one call to a turn store for a partition, and reports whether the reply is definite.
 type storeCall func(ctx context.Context, store tierv1.TurnStore, partition uint32) (done bool)
 
-// callUntilDone repeats a call to the primary of a program until it is done, and reports false if ctx ends before.
+// callUntilDone retries a call to the primary of a program until it is done, and returns false if ctx ends before.
 func (client *storeClient) callUntilDone(ctx context.Context, program string, call storeCall) bool {
 	backoff := client.maxBackoff / 8
 	for ctx.Err() == nil {
@@ -98,8 +98,8 @@
 	return false
 }
 
-// callOnce makes one call, and reports whether it is done. It is canceled after callTimeout, or when a newer map has another primary
-// of the program, as the one called may be gone.
+// callOnce makes one call, and reports whether it is done. The call is canceled after callTimeout, or when a newer map has another
+// primary for the program, as the turn store that was called may be gone.
 func (client *storeClient) callOnce(ctx context.Context, route storeRoute, call storeCall) bool {
 	ctx, cancel := context.WithTimeout(ctx, client.callTimeout)
 	defer cancel()
@@ -130,15 +130,16 @@
 
 // beginResult is the result of beginning a turn.
 type beginResult struct {
-	verdict        tierv1.Verdict // OK, SPENT or UNKNOWN for certain, or BUSY if there was no clear reply in time
-	chain          []*tierv1.Turn // with OK: the turns that it continues, oldest first
+	verdict        tierv1.Verdict // OK, SPENT or UNKNOWN of a definite reply, or BUSY if there was none in time
+	chain          []*tierv1.Turn // if OK: the turns that the new turn continues, oldest first
 	avoid          []string       // instances at which attempts of the program have failed recently
 	chainIsSuffix  bool           // the chain has only the turns after BeginRequest.KnownTurn
-	maybeReserved  bool           // the turn may be reserved although the verdict is not OK, as a call had no clear reply
-	releasePending bool           // the budget is spent only while releases of this gateway are pending
+	maybeReserved  bool           // there may be a reservation although the verdict is not OK, as a call had no definite reply
+	releasePending bool           // the budget may be spent only because releases of this gateway are pending
 }
 
-// begin begins a turn, also one that continues a turn of another program, which may be in any partition.
+// begin begins a turn. If the primary of its program does not have the turn that it continues, begin looks for that turn in all
+// partitions, as it may be a turn of another program.
 func (client *storeClient) begin(ctx context.Context, req *tierv1.BeginRequest) beginResult {
 	begun := client.beginAt(ctx, req)
 	if begun.verdict != tierv1.Verdict_UNKNOWN || len(req.Adopt) > 0 {
@@ -161,7 +162,7 @@
 	return adopted
 }
 
-// beginAt begins a turn at the primary of its program, until the reply is clear or ctx ends.
+// beginAt begins a turn at the primary of its program. It retries until the reply is definite or ctx ends.
 func (client *storeClient) beginAt(ctx context.Context, req *tierv1.BeginRequest) beginResult {
 	begun := beginResult{verdict: tierv1.Verdict_BUSY}
 	answered := client.callUntilDone(ctx, req.Program, func(ctx context.Context, store tierv1.TurnStore, partition uint32) bool {
@@ -172,7 +173,7 @@
 			case tierv1.Verdict_OK, tierv1.Verdict_SPENT, tierv1.Verdict_UNKNOWN:
 				begun.verdict, begun.chain, begun.chainIsSuffix, begun.avoid = reply.Verdict, reply.Chain, reply.AfterKnownTurn, reply.AvoidEndpoints
 				return true
-			default: // BUSY, MOVED, or a verdict of a later version: unclear
+			default: // BUSY, MOVED, or a verdict of a later version: not definite
 			}
 		}
 		begun.maybeReserved = true
@@ -182,7 +183,7 @@
 	return begun
 }
 
-// settle ends a reservation, and reports whether that is known to be durable. It retries until ctx ends.
+// settle ends a reservation, and reports whether its end is known to be durable. It retries until ctx ends.
 func (client *storeClient) settle(ctx context.Context, req *tierv1.SettleRequest) bool {
 	return client.callUntilDone(ctx, req.Program, settlement(req))
 }
--- a/internal/tier/gateway/storefind.go
+++ b/internal/tier/gateway/storefind.go
@@ -6,8 +6,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// find looks for a turn at the primaries of all partitions, until one has it, all have confirmed that they do not (certain), or ctx
-// ends.
+// find looks for a turn at the primaries of all partitions until one has it, all have confirmed that they do not have it (certain), or
+// ctx ends.
 func (client *storeClient) find(ctx context.Context, attempt string) (chain []*tierv1.Turn, certain bool) {
 	backoff := client.maxBackoff / 8
 	for ctx.Err() == nil {
@@ -31,8 +31,8 @@
 	return nil, false
 }
 
-// findAt calls the turn stores at some addresses at the same time. It returns the chain of the turn as soon as one has it, else the
-// partitions whose primaries have confirmed that they do not.
+// findAt calls the turn stores at the given addresses concurrently. It returns the chain of the turn as soon as one has it, else the
+// partitions whose primaries have confirmed that they do not have it.
 func (client *storeClient) findAt(ctx context.Context, addresses map[string]bool, attempt string) (chain []*tierv1.Turn, answered map[uint32]bool) {
 	callCtx, cancel := context.WithTimeout(ctx, client.callTimeout)
 	defer cancel()
--- a/internal/tier/gateway/streaming.go
+++ b/internal/tier/gateway/streaming.go
@@ -8,18 +8,18 @@
 // lastEventIDHeader names the event after which a stream is to be resumed.
 const lastEventIDHeader = "Last-Event-Id"
 
-// streamRelay passes a streamed answer to the client. It comes from one attempt at an endpoint or, if the route allows it, from several
-// of which each resumes the one before.
+// streamRelay relays a streamed answer to the client. The answer comes from one attempt at an endpoint or, if the route is resumable,
+// from several attempts, each of which resumes the previous one.
 type streamRelay struct {
 	request        *clientRequest
 	accounting     accounting
 	progress       progress
-	skipThrough    string           // events up to this ID go into the transcript only: the client has them
-	lastResult     *upstream.Result // the decisive one so far
-	buffer         []byte           // events that are not written yet
+	skipThrough    string           // ID of the last event that the client has: events up to it are added to the transcript only
+	lastResult     *upstream.Result // decisive result so far
+	buffer         []byte           // events that have not been written yet
 	bufferedEvents uint64           // number of events in it
 	events         uint64           // number of events received for the client
-	writtenEvents  uint64           // number of events in writes that were begun: the client may have any of them
+	writtenEvents  uint64           // number of events in writes that were begun: the client may have received any of them
 	headWritten    bool             // the head of the answer has been written
 	clientGone     bool             // a write has failed
 }
@@ -29,7 +29,8 @@
 	after := request.exchange.Header.Get(lastEventIDHeader)
 	relay := &streamRelay{request: request, accounting: accounting, progress: newProgress(request.route.Resumable, after)}
 	if accounting.transcript != nil && after != "" {
-		// The text of a stored turn must be complete: the endpoint runs it from its beginning, and the client gets the rest.
+		// The transcript of a stored turn must be complete: the endpoint generates the whole stream, and the client gets the events
+		// after its Last-Event-Id.
 		relay.skipThrough, relay.progress.lastEventID, request.dropLastEventID = after, "", true
 	}
 	if accounting.transcript == nil {
@@ -38,7 +39,7 @@
 	relay.run()
 }
 
-// streamLargeAnswer passes on an answer that is too large to be buffered.
+// streamLargeAnswer relays an answer that is too large to be buffered.
 func (request *clientRequest) streamLargeAnswer(result *upstream.Result, selection loadbalancer.Selection) {
 	relay := &streamRelay{request: request, progress: newProgress(false, ""), lastResult: result}
 	relay.copyAttempt(result, selection, newAttemptTiming(request, selection, false))
@@ -81,7 +82,7 @@
 	}
 }
 
-// attemptEnd summarizes how an attempt has ended, after so many.
+// attemptEnd summarizes how an attempt has ended. attempts is the number of attempts so far.
 func (relay *streamRelay) attemptEnd(result *upstream.Result, attempts int) attemptEnd {
 	request := relay.request
 	disposition := result.Disposition(false)
@@ -94,7 +95,8 @@
 	}
 }
 
-// copyAttempt passes the events of one attempt to the client until either has ended. Events that are received together go out in one write.
+// copyAttempt relays the events of one attempt until the attempt has ended or the client is gone. Events that are received together are
+// sent in one write.
 func (relay *streamRelay) copyAttempt(result *upstream.Result, selection loadbalancer.Selection, timing *attemptTiming) {
 	request, stream := relay.request, result.Stream
 	defer stream.Close()
@@ -144,7 +146,7 @@
 	relay.buffer = append(relay.buffer, event.Raw...)
 }
 
-// flushFrom writes the buffer, after the given head of the answer if none has been written.
+// flushFrom writes the buffer, preceded by the given head of the answer if no head has been written.
 func (relay *streamRelay) flushFrom(head *upstream.Response) {
 	if !relay.headWritten {
 		relay.begin(head)
@@ -152,7 +154,7 @@
 	relay.flush()
 }
 
-// flush writes the buffer, after the head of the decisive answer if none has been written.
+// flush writes the buffer, preceded by the head of the decisive answer if no head has been written.
 func (relay *streamRelay) flush() {
 	if !relay.headWritten && len(relay.buffer) > 0 {
 		relay.begin(relay.lastResult.Response)
@@ -180,7 +182,8 @@
 	relay.abort()
 }
 
-// abort ends an answer that is incomplete, or whose client is gone. Its turn is not stored: what the client may have of it is charged.
+// abort ends an answer that is incomplete, or whose client is gone. Its turn is not stored, and is charged for the events that the client
+// may have received.
 func (relay *streamRelay) abort() {
 	charged := relay.events
 	if !relay.clientGone {
@@ -194,8 +197,8 @@
 	relay.request.respond(relay.lastResult)
 }
 
-// complete ends an answer of which the client has everything but the end. The end is written when the turn is durable, if it is stored; if it
-// is only charged, when its reservation is released, or a little later.
+// complete ends an answer whose events have all been written. For a stored turn the end is written only when the turn is durable; for a
+// turn that is only charged, when its reservation is released, or at the latest after maxReleaseWait.
 func (relay *streamRelay) complete(instance string) {
 	request, accounting := relay.request, relay.accounting
 	if !relay.headWritten { // a stream without events
@@ -215,7 +218,7 @@
 	}
 	accounting.transcript.instance = instance
 	if !request.storeTurn(accounting.transcript, tokens) {
-		accounting.reservation.releaseInBackground(tokens) // if it was stored all the same, that settlement wins
+		accounting.reservation.releaseInBackground(tokens) // if the turn was stored nevertheless, the settlement that stored it takes precedence
 		request.exchange.Abort()
 		return
 	}
--- a/internal/tier/gateway/streamtiming.go
+++ b/internal/tier/gateway/streamtiming.go
@@ -8,27 +8,28 @@
 	"saffronyard.example/saffronyard/internal/tier/upstream"
 )
 
-// A client gives up a stream that is silent (PROTOCOL, Requests) for two seconds, four latency targets or eight gap targets,
-// whichever is longest.
+// A client aborts a stream on which it receives nothing for two seconds, four latency targets or eight gap targets, whichever is longest
+// (PROTOCOL, Requests).
 const (
 	minClientIdleTimeout      = 2 * time.Second
 	idleTimeoutLatencyTargets = 4
 	idleTimeoutGapTargets     = 8
 )
 
-// clientIdleTimeout returns the silence after which a client gives up a stream of the request's route.
+// clientIdleTimeout returns the time without events after which a client aborts a stream of the request's route.
 func (request *clientRequest) clientIdleTimeout() time.Duration {
 	route := request.route
 	return max(minClientIdleTimeout, idleTimeoutLatencyTargets*route.LatencyTarget, idleTimeoutGapTargets*route.EventGapTarget)
 }
 
-// defaultFirstEventTimeout is the time-out of the first event while the load balancer knows nothing of the route. It leaves a further
-// attempt as long before the client gives up.
+// defaultFirstEventTimeout is the time-out of the first event while the load balancer has no samples of the route. It is half of the
+// client's idle time-out, which leaves another attempt as long before the client aborts.
 func (request *clientRequest) defaultFirstEventTimeout() time.Duration {
 	return request.clientIdleTimeout() / 2
 }
 
-// firstEventTimeout is the initial time-out for the load balancer; 0 for what is no stream, as its client waits until the deadline.
+// firstEventTimeout is the initial time-out for the load balancer; 0 for a request that is not streamed, as its client waits until the
+// deadline.
 func (request *clientRequest) firstEventTimeout() time.Duration {
 	if request.route.Kind != routing.Streaming {
 		return 0
@@ -36,7 +37,7 @@
 	return request.defaultFirstEventTimeout()
 }
 
-// defaultGapTimeout is the time-out between events while the load balancer knows nothing of the route.
+// defaultGapTimeout is the time-out between events while the load balancer has no samples of the route.
 func (request *clientRequest) defaultGapTimeout() time.Duration {
 	if request.route.EventGapTarget <= 0 {
 		return request.defaultFirstEventTimeout()
@@ -48,13 +49,13 @@
 type attemptTiming struct {
 	request     *clientRequest
 	selection   loadbalancer.Selection
-	gapTimeout  time.Duration // 0: no gap ends the attempt
-	timeToFirst time.Duration // from the start of the attempt; 0: there is no event yet
+	gapTimeout  time.Duration // 0: the attempt is not aborted for a gap
+	timeToFirst time.Duration // from the start of the attempt; 0: no event yet
 	lastEventAt time.Time
 	longestGap  time.Duration // between two events
 }
 
-// newAttemptTiming returns the timing of an attempt that has just been sent. Gaps end it only if it is resumable, by another attempt.
+// newAttemptTiming returns the timing of an attempt that has just been sent. A gap aborts it only if another attempt can resume it.
 func newAttemptTiming(request *clientRequest, selection loadbalancer.Selection, resumable bool) *attemptTiming {
 	timing := &attemptTiming{request: request, selection: selection}
 	if resumable && request.sent < request.route.MaxAttempts {
@@ -99,22 +100,23 @@
 	return ended
 }
 
-// recordFailure records the instance of an attempt that has failed, for the next attempts of the request's program; the turn store gets it
-// with the release. A client that has gone counts only if the endpoint had been silent for long.
+// recordFailure records the instance of an attempt that has failed. The turn store gets it with the release, so that the next attempts of
+// the program avoid the instance. An attempt that the client canceled counts only if the endpoint had sent nothing for longer than
+// defaultFirstEventTimeout.
 func (request *clientRequest) recordFailure(result *upstream.Result, timing *attemptTiming) {
 	request.failedInstance = ""
 	end := result.Outcome
 	if result.Stream != nil {
 		end = result.Stream.Outcome()
 	}
-	silentSince := timing.lastEventAt
-	if silentSince.IsZero() {
-		silentSince = request.sentAt
+	lastActivity := timing.lastEventAt
+	if lastActivity.IsZero() {
+		lastActivity = request.sentAt
 	}
-	silent := time.Since(silentSince) > request.defaultFirstEventTimeout()
+	unresponsive := time.Since(lastActivity) > request.defaultFirstEventTimeout()
 	switch {
 	case !result.Written:
-	case end == upstream.Broken, end == upstream.Malformed, end == upstream.TimedOut, end == upstream.Canceled && silent:
+	case end == upstream.Broken, end == upstream.Malformed, end == upstream.TimedOut, end == upstream.Canceled && unresponsive:
 		request.failedInstance = timing.selection.Instance
 	}
 }
--- a/internal/tier/gateway/transcriptcache.go
+++ b/internal/tier/gateway/transcriptcache.go
@@ -5,12 +5,12 @@
 	"sync"
 )
 
-// maxTextFraction is the largest part of a transcriptCache, one in so many, that one text may take.
+// maxTextFraction limits a text to 1/maxTextFraction of the capacity of a transcriptCache.
 const maxTextFraction = 8
 
-// transcriptCache is an LRU cache of the texts of stored turns that went through this gateway, so that a turn store need not send them
-// again: most turns of a conversation come through the same zone. It decides nothing: whether a turn can be continued is
-// asked of its turn store each time. It is safe for concurrent use.
+// transcriptCache is an LRU cache of the texts of stored turns that this gateway has served, so that a turn store need not send them
+// again: most turns of a conversation come through the same zone. The cache is not authoritative: for each new turn the turn store decides
+// whether the previous one can be continued. It is safe for concurrent use.
 type transcriptCache struct {
 	mu        sync.Mutex
 	capacity  int // bytes
@@ -20,7 +20,7 @@
 	newestOf  map[string]string        // by conversation: the attempt of its newest cached turn
 }
 
-// cachedPrompt is the text of a conversation up to the end of a turn: its prompt and its output. It is not modified.
+// cachedPrompt is the text of a conversation up to the end of a turn: its prompt and its output. It is immutable.
 type cachedPrompt struct {
 	attempt, conversation string
 	instance              string // that ran the turn
@@ -47,7 +47,7 @@
 	return element.Value.(*cachedPrompt)
 }
 
-// add adds the text of a stored turn, unless it is too large. It replaces the newest one of its conversation.
+// add adds the text of a stored turn, unless it is too large. It replaces the newest cached text of its conversation.
 func (cache *transcriptCache) add(entry *cachedPrompt) {
 	cache.mu.Lock()
 	defer cache.mu.Unlock()
--- a/internal/tier/gateway/transcripts.go
+++ b/internal/tier/gateway/transcripts.go
@@ -10,7 +10,7 @@
 type transcript struct {
 	program, conversation, previous string
 	retentionMs                     uint32
-	instance                        string // that ran it, or its last attempt
+	instance                        string // instance that ran the turn, or its last attempt
 	output                          []byte // the data of all events, each followed by a line feed
 }
 
@@ -19,8 +19,8 @@
 	transcript.output = append(append(transcript.output, data...), '\n')
 }
 
-// newTranscript returns the transcript of a turn, and the text of the newest turn of its conversation that this gateway has cached. It has
-// begin ask only for the turns after that one.
+// newTranscript returns a transcript for a turn, and the cached text of the turn that it continues, or else of the newest cached turn of
+// its conversation, or nil. It sets begin.KnownTurn to the cached turn, so that the turn store sends only the turns after it.
 func (request *clientRequest) newTranscript(begin *tierv1.BeginRequest) (*transcript, *cachedPrompt) {
 	transcript := &transcript{program: begin.Program, conversation: begin.Program + "/" + request.exchange.Header.Get("Session"),
 		previous: request.exchange.Header.Get("Previous"), retentionMs: begin.RetentionMs}
@@ -32,7 +32,8 @@
 	return transcript, cached
 }
 
-// assemblePrompt sets the body from the cached text and the turns that the turn store has sent after it, and the instance that is preferred.
+// assemblePrompt sets the body to the cached text, the turns after it that the turn store has sent, and the new input. It also sets the
+// preferred instance.
 func (request *clientRequest) assemblePrompt(cached *cachedPrompt, begun beginResult) {
 	if !begun.chainIsSuffix {
 		cached = nil
@@ -55,7 +56,7 @@
 	return true
 }
 
-// settleTurn settles a complete turn with its text, until the deadline. It reports whether that is known to be durable.
+// settleTurn settles a complete turn with its text, and reports whether that is known to be durable. It retries until the deadline.
 func (request *clientRequest) settleTurn(transcript *transcript, tokens uint64) bool {
 	ctx, cancel := context.WithDeadline(context.Background(), request.deadline)
 	defer cancel()
--- a/internal/tier/gateway/turns.go
+++ b/internal/tier/gateway/turns.go
@@ -8,14 +8,14 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// accounting is what a streamed answer is charged to and stored as. The zero value is that of an answer that is neither.
+// accounting is how a streamed answer is charged and stored. With the zero value it is neither charged nor stored.
 type accounting struct {
 	reservation *reservation // nil: no budget is charged
 	transcript  *transcript  // nil: its text is not stored
 }
 
-// forwardTurn serves a turn: it begins it at the turn store, which reserves its tokens in the program's budget and returns the turns that
-// it continues, and then forwards it as a stream.
+// forwardTurn serves a turn. It begins the turn at the turn store, which reserves its tokens in the program's budget and returns the turns
+// that it continues, and then forwards it as a stream.
 func (request *clientRequest) forwardTurn() {
 	begin := &tierv1.BeginRequest{Program: request.program(), Attempt: request.attemptID, MaxTokens: request.maxTokens,
 		RetentionMs: uint32(request.route.Retention.Milliseconds())}
@@ -40,8 +40,9 @@
 	request.forwardStream(accounting{reservation: &reservation{request: request, program: begin.Program}, transcript: transcript})
 }
 
-// beginWithTimeout begins a turn within half of the contact window, in which a partition fails over from a lost turn store as a rule, and
-// two fifths of the request's time. A turn that is unclear by then is rejected while its client has time for a retry.
+// beginWithTimeout begins a turn within half of the contact window, in which a partition usually fails over from a lost turn store, and
+// within two fifths of the request's remaining time. Without a definite verdict by then the turn is rejected while its client has time
+// for a retry.
 func (request *clientRequest) beginWithTimeout(begin *tierv1.BeginRequest) beginResult {
 	timeout := min(time.Until(request.deadline)*2/5, request.gateway.config.Settings.ContactWindow/2)
 	ctx, cancel := context.WithTimeout(request.ctx, timeout)
@@ -57,7 +58,7 @@
 	}
 	switch begun.verdict {
 	case tierv1.Verdict_SPENT:
-		if begun.releasePending { // the budget may allow it as soon as the pending releases are done
+		if begun.releasePending { // the budget may allow the turn once the pending releases are done
 			gateway.reject(request.exchange, gateway.storeClient.maxBackoff)
 			return
 		}
@@ -69,13 +70,13 @@
 	}
 }
 
-// begin begins a turn. If the budget is spent while this gateway releases reservations of the program, it waits for these and tries
-// again; if they are not released in time, the result has releasePending.
+// begin begins a turn. If the budget is spent while this gateway releases reservations of the program, it waits for these releases and
+// retries; if they do not end in time, the result has releasePending.
 func (request *clientRequest) begin(ctx context.Context, req *tierv1.BeginRequest) beginResult {
 	gateway := request.gateway
 	maybeReserved := false
 	for {
-		pending := gateway.releasesOf(req.Program) // before the call: a release may end while the reply is on its way
+		pending := gateway.releasesOf(req.Program) // read before the call, as a release may end while the reply is in transit
 		begun := gateway.storeClient.begin(ctx, req)
 		maybeReserved = maybeReserved || begun.maybeReserved
 		begun.maybeReserved = maybeReserved
