--- a/internal/tier/routing/parse_test.go
+++ b/internal/tier/routing/parse_test.go
@@ -79,14 +79,14 @@
 
 func TestParse_OneEditOfExample(t *testing.T) {
 	route := func(field string, value any) []edit { return []edit{{"routes.1." + field, value}} }
-	split := func(shares ...any) []edit {
-		return []edit{{"routes.1.service_name", nil}, {"routes.1.traffic_split", shares}}
+	split := func(entries ...any) []edit {
+		return []edit{{"routes.1.service_name", nil}, {"routes.1.traffic_split", entries}}
 	}
-	share := func(service string, weight any) object { return object{"service_name": service, "weight": weight} }
+	entry := func(service string, weight any) object { return object{"service_name": service, "weight": weight} }
 	for _, c := range []struct {
-		label string
-		edits []edit
-		place string // of the finding; valid if empty
+		label   string
+		edits   []edit
+		message string // text in the error; empty: the configuration is valid
 	}{
 		{"no revision", []edit{{"revision", nil}}, "revision: is missing"},
 		{"revision 0", []edit{{"revision", 0}}, "revision: is 0"},
@@ -125,32 +125,32 @@
 		{"timeout a text", route("timeout_ms", "6000"), "routes[1].timeout_ms"},
 		{"timeout a fraction", route("timeout_ms", 0.5), ""},
 		{"timeout huge", route("timeout_ms", 1e300), ""},
-		{"no aim", route("target_latency_ms", nil), ""},
-		{"aim below 0", route("target_latency_ms", -1), "routes[1].target_latency_ms"},
+		{"no latency target", route("target_latency_ms", nil), ""},
+		{"latency target below 0", route("target_latency_ms", -1), "routes[1].target_latency_ms"},
 		{"no priority", route("priority", nil), ""},
 		{"no attempts", route("max_attempts", nil), ""},
 		{"attempts below 0", route("max_attempts", -1), "routes[1].max_attempts"},
 		{"no retention", route("retention_s", nil), ""},
-		{"nothing of a stream", []edit{{"routes.1.persisted", nil}, {"routes.1.retention_s", nil},
+		{"no fields of streams", []edit{{"routes.1.persisted", nil}, {"routes.1.retention_s", nil},
 			{"routes.1.session_affinity", nil}, {"routes.1.resumable", nil}, {"routes.1.gap_aim_ms", nil}}, ""},
 
 		{"unknown service", route("service_name", "nobody"), "routes[1].service_name"},
 		{"no service", route("service_name", nil), "routes[1].service_name"},
 		{"empty split beside a service", route("traffic_split", []any{}), ""},
 		{"null split beside a service", []edit{{"routes.1", object{"hostname": "h", "path_prefix": "/", "timeout_ms": 1, "service_name": "huvo11a", "traffic_split": nil}}}, ""},
-		{"unknown service beside a split", []edit{{"routes.1.service_name", "nobody"}, {"routes.1.traffic_split", []any{share("huvo11a", 1)}}}, "routes[1].service_name"},
+		{"unknown service beside a split", []edit{{"routes.1.service_name", "nobody"}, {"routes.1.traffic_split", []any{entry("huvo11a", 1)}}}, "routes[1].service_name"},
 		{"empty split", split(), "routes[1].service_name"},
-		{"split of one", split(share("huvo11a", 1)), ""},
-		{"split with unknown service", split(share("huvo11a", 1), share("nobody", 1)), "routes[1].traffic_split[1].service_name"},
-		{"split with unknown service of weight 0", split(share("huvo11a", 1), share("nobody", 0)), "routes[1].traffic_split[1].service_name"},
-		{"one weight 0", split(share("huvo11a", 0), share("wuno96b", 1)), ""},
-		{"weights of fractions", split(share("huvo11a", 0.25), share("wuno96b", 0.75)), ""},
-		{"weights add up to 0", split(share("huvo11a", 0), share("wuno96b", 0)), "routes[1].traffic_split: weights"},
-		{"weights cancel out", split(share("huvo11a", -1), share("wuno96b", 1)), "routes[1].traffic_split[0].weight"},
-		{"weight below 0", split(share("huvo11a", -1), share("wuno96b", 5)), "routes[1].traffic_split[0].weight"},
+		{"split of one", split(entry("huvo11a", 1)), ""},
+		{"split with unknown service", split(entry("huvo11a", 1), entry("nobody", 1)), "routes[1].traffic_split[1].service_name"},
+		{"split with unknown service of weight 0", split(entry("huvo11a", 1), entry("nobody", 0)), "routes[1].traffic_split[1].service_name"},
+		{"one weight 0", split(entry("huvo11a", 0), entry("wuno96b", 1)), ""},
+		{"weights of fractions", split(entry("huvo11a", 0.25), entry("wuno96b", 0.75)), ""},
+		{"weights add up to 0", split(entry("huvo11a", 0), entry("wuno96b", 0)), "routes[1].traffic_split: weights"},
+		{"weights cancel out", split(entry("huvo11a", -1), entry("wuno96b", 1)), "routes[1].traffic_split[0].weight"},
+		{"weight below 0", split(entry("huvo11a", -1), entry("wuno96b", 5)), "routes[1].traffic_split[0].weight"},
 		{"no weight", split(object{"service_name": "huvo11a"}), "routes[1].traffic_split: weights"},
-		{"weight a text", split(share("huvo11a", "1")), "routes[1].traffic_split.weight"},
-		{"weights without bound", split(share("huvo11a", 1e308), share("wuno96b", 1e308)), "routes[1].traffic_split: weights"},
+		{"weight a text", split(entry("huvo11a", "1")), "routes[1].traffic_split.weight"},
+		{"weights without bound", split(entry("huvo11a", 1e308), entry("wuno96b", 1e308)), "routes[1].traffic_split: weights"},
 
 		{"service removed", []edit{{"services", []any{object{"name": "huvo11a"}}}}, "routes[0].traffic_split[1].service_name"},
 		{"service without a name", []edit{{"services.+", object{}}}, "services[2].name"},
@@ -167,7 +167,7 @@
 	} {
 		t.Run(c.label, func(t *testing.T) {
 			got, err := Parse(editedExample(t, c.edits...))
-			if c.place == "" {
+			if c.message == "" {
 				assert.NilError(t, err)
 				for _, r := range got.Routes {
 					assert.Check(t, r.Timeout > 0 && r.LatencyTarget > 0 && r.MaxAttempts > 0 && r.Pick(0) != "" && r.Pick(math.MaxUint64) != "")
@@ -175,7 +175,7 @@
 				assert.Check(t, got.Limits.MaxBody > 0 && got.Limits.MaxHeader > 0 && got.Limits.HeaderTimeout > 0 && got.Limits.IdleTimeout > 0)
 				return
 			}
-			assert.ErrorContains(t, err, c.place)
+			assert.ErrorContains(t, err, c.message)
 			assert.Check(t, errorx.IsOfType(err, Invalid))
 			assert.Check(t, got == nil)
 		})
@@ -198,7 +198,7 @@
 func TestParse_ReportsAllFindings(t *testing.T) {
 	_, err := Parse(editedExample(t, edit{"revision", nil}, edit{"routes.0.timeout_ms", 0}, edit{"routes.1.timeout_ms", "x"},
 		edit{"routes.1.service_name", "nobody"}, edit{"limits.max_body_bytes", -1}))
-	for _, place := range []string{"revision:", "routes[0].timeout_ms", "routes[1].timeout_ms", `"nobody"`, "limits.max_body_bytes"} {
-		assert.ErrorContains(t, err, place)
+	for _, message := range []string{"revision:", "routes[0].timeout_ms", "routes[1].timeout_ms", `"nobody"`, "limits.max_body_bytes"} {
+		assert.ErrorContains(t, err, message)
 	}
 }
--- a/internal/tier/routing/routing_test.go
+++ b/internal/tier/routing/routing_test.go
@@ -13,11 +13,11 @@
 
 var ignoreUnexported = cmpopts.IgnoreUnexported(Route{})
 
-func tableOf(t testing.TB, places ...string) *Table {
+func tableOf(t testing.TB, prefixes ...string) *Table {
 	t.Helper()
 	var routes []string
-	for i, place := range places {
-		host, prefix, _ := strings.Cut(place, "/")
+	for i, hostPrefix := range prefixes {
+		host, prefix, _ := strings.Cut(hostPrefix, "/")
 		routes = append(routes, fmt.Sprintf(`{"name":"%d","hostname":%q,"path_prefix":%q,"timeout_ms":1,"service_name":"s"}`, i, host, "/"+prefix))
 	}
 	c, err := Parse([]byte(`{"revision":1,"services":[{"name":"s"}],"routes":[` + strings.Join(routes, ",") + `]}`))
@@ -27,7 +27,7 @@
 
 func TestTable_Match(t *testing.T) {
 	c := tableOf(t, "a.example/", "a.example/x/", "a.example/x/y/", "b.example/x/", "a.example/xx/", "[::1]/v6/")
-	for _, one := range []struct{ host, path, want string }{
+	for _, test := range []struct{ host, path, want string }{
 		{"a.example", "/", "0"},
 		{"a.example", "/x", "0"},
 		{"a.example", "/x/", "1"},
@@ -53,14 +53,14 @@
 		{"[::1]", "/v6/", "5"},
 	} {
 		got := ""
-		if r := c.Match(one.host, one.path); r != nil {
+		if r := c.Match(test.host, test.path); r != nil {
 			got = r.Name
 		}
-		assert.Equal(t, got, one.want, "%s %s", one.host, one.path)
+		assert.Equal(t, got, test.want, "%s %s", test.host, test.path)
 	}
 }
 
-// Match finds what a plain search finds.
+// Match returns the same route as a linear search.
 func TestTable_MatchAgainstSearch(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	path := func() string {
@@ -71,12 +71,12 @@
 		return b.String()
 	}
 	for range 200 {
-		places := map[string]bool{}
+		prefixes := map[string]bool{}
 		for range 30 {
-			places[fmt.Sprintf("h%d/%s", rng.IntN(2), strings.TrimPrefix(strings.Trim(path(), "/")+"/", "/"))] = true
+			prefixes[fmt.Sprintf("h%d/%s", rng.IntN(2), strings.TrimPrefix(strings.Trim(path(), "/")+"/", "/"))] = true
 		}
 		var list []string
-		for p := range places {
+		for p := range prefixes {
 			list = append(list, p)
 		}
 		c := tableOf(t, list...)
@@ -112,11 +112,11 @@
 }
 
 func BenchmarkParse(b *testing.B) {
-	var places []string
+	var prefixes []string
 	for i := range 2000 {
-		places = append(places, fmt.Sprintf("h%d.example/p%d/", i%20, i))
+		prefixes = append(prefixes, fmt.Sprintf("h%d.example/p%d/", i%20, i))
 	}
-	body := tableOf(b, places...).Raw
+	body := tableOf(b, prefixes...).Raw
 	b.SetBytes(int64(len(body)))
 	for b.Loop() {
 		if _, err := Parse(body); err != nil {
@@ -126,11 +126,11 @@
 }
 
 func BenchmarkMatch(b *testing.B) {
-	var places []string
+	var prefixes []string
 	for i := range 2000 {
-		places = append(places, fmt.Sprintf("h%d.example/p%d/", i%20, i))
+		prefixes = append(prefixes, fmt.Sprintf("h%d.example/p%d/", i%20, i))
 	}
-	c := tableOf(b, places...)
+	c := tableOf(b, prefixes...)
 	for b.Loop() {
 		c.Match("h7.example", "/p1007/2f")
 	}
