--- a/internal/tier/gateway/attempts_internal_test.go
+++ b/internal/tier/gateway/attempts_internal_test.go
@@ -16,8 +16,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// A gateway whose session does not get on writes to no endpoint beyond the lease of its list, whenever that endpoint was picked:
-// it may be draining by now. Once the session has heard from the primary, the endpoints that remain are written to again.
+// A gateway whose session makes no progress writes to no endpoint after the lease of its endpoint list, whenever the endpoint was
+// selected: it may be draining by now. Once the primary has answered the session, the endpoints that remain are written to again.
 func TestAttempts_NotSentByExpiredEndpointList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const pause = 10 * time.Second
@@ -52,8 +52,8 @@
 		<-time.After(time.Second) // the pending long poll ends
 		control.SetEndpoints(entry("i-1", true), entry("i-2", false))
 		<-time.After(pause / 2)
-		assert.Assert(t, !first(), "written by a list that is not current")
-		assert.Assert(t, !second(), "written by a list that is not current")
+		assert.Assert(t, !first(), "permitted by a list that is not current")
+		assert.Assert(t, !second(), "permitted by a list that is not current")
 		assert.Assert(t, request.selectEndpoint().Decision != loadbalancer.Send)
 
 		<-time.After(pause)
@@ -64,7 +64,7 @@
 	})
 }
 
-// The endpoints at the last moment before a request is written decide, not those when its endpoint was selected.
+// The endpoint list is checked right before a request is written, not only when its endpoint is selected.
 func TestAttempts_EndpointListIsCheckedBeforeWrite(t *testing.T) {
 	k := New(Config{Settings: tiertest.Settings("edge-1"), Log: tiertest.DiscardLogger()})
 	w := &clientRequest{gateway: k, exchange: &ingress.Exchange{Method: "GET", Target: "/"}, route: &routing.Route{}}
@@ -81,7 +81,7 @@
 		{[]*tierv1.Endpoint{entry(true)}, false},
 		{[]*tierv1.Endpoint{entry(false)}, true},
 		{nil, false},
-		{[]*tierv1.Endpoint{{Instance: "i-2", Service: "s", Address: "127.0.0.1:1"}}, false}, // another one at its address
+		{[]*tierv1.Endpoint{{Instance: "i-2", Service: "s", Address: "127.0.0.1:1"}}, false}, // another instance at the address
 	} {
 		k.applyEndpoints(&tierv1.Endpoints{Version: uint64(i + 1), List: c.list})
 		assert.Equal(t, permit(), c.want, "list %d", i+1)
--- a/internal/tier/gateway/attempts_test.go
+++ b/internal/tier/gateway/attempts_test.go
@@ -17,11 +17,11 @@
 	assertAnswer(t, r.post("/plain/x", "a-1", "X-Deadline-Ms: 9000\r\nX-Own: kept\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-Target-Instance: i-other\r\n", "b"), 200, "s:b")
 	assertAnswer(t, r.post("/once/x", "a-2", "", "b"), 200, "s:b")
 	got := e.Requests()
-	for i, most := range []int{9000, 20000} {
+	for i, limit := range []int{9000, 20000} {
 		h := got[i].Header
-		left, err := strconv.Atoi(h.Get("X-Deadline-Ms"))
+		remaining, err := strconv.Atoi(h.Get("X-Deadline-Ms"))
 		assert.NilError(t, err)
-		assert.Assert(t, 0 < left && left <= most, "%d ms left of %d", left, most)
+		assert.Assert(t, 0 < remaining && remaining <= limit, "%d ms left of %d", remaining, limit)
 		assert.DeepEqual(t, h.Values("X-Target-Instance"), []string{"i-1"})
 		assert.DeepEqual(t, h.Values("X-Attempt-Id"), []string{"a-" + strconv.Itoa(i+1)})
 		assert.Equal(t, got[i].Host, "h.example")
@@ -38,13 +38,13 @@
 			x.WriteText("HTTP/1.1 200 OK\r\nX-Attempt-Id: " + x.AttemptID + "\r\nX-Response-Signature: s\r\nContent-Length: 9\r\n\r\nhalf")
 			x.Close()
 		},
-		"noise":       func(x *tiertest.ReceivedRequest) { x.WriteText("\x00\x01\x02 no answer\r\n\r\n"); x.AwaitClose() },
-		"no stamp":    func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(200, "") },
-		"another's":   func(x *tiertest.ReceivedRequest) { x.AttemptID = "other"; x.Respond(200, "", "other"); x.Close() },
-		"bare 503":    func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(503, "Retry-After: 1\r\n") },
-		"bare 429":    func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(429, "Retry-After: 1\r\n") },
-		"bare 408":    func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(408, "") },
-		"stamped 503": func(x *tiertest.ReceivedRequest) { x.Respond(503, "Retry-After: 1\r\n", "") },
+		"noise":                     func(x *tiertest.ReceivedRequest) { x.WriteText("\x00\x01\x02 no answer\r\n\r\n"); x.AwaitClose() },
+		"no signature":              func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(200, "") },
+		"answer of another attempt": func(x *tiertest.ReceivedRequest) { x.AttemptID = "other"; x.Respond(200, "", "other"); x.Close() },
+		"bare 503":                  func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(503, "Retry-After: 1\r\n") },
+		"bare 429":                  func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(429, "Retry-After: 1\r\n") },
+		"bare 408":                  func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(408, "") },
+		"signed 503":                func(x *tiertest.ReceivedRequest) { x.Respond(503, "Retry-After: 1\r\n", "") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Run("idempotent", func(t *testing.T) {
@@ -60,7 +60,7 @@
 					r := startGateway(t, a, b)
 					got := r.post(route.path, "a-1", "", "b")
 					assert.Equal(t, got.Status, 502)
-					assertUnstamped(t, got)
+					assertUnsigned(t, got)
 					assert.Equal(t, len(a.Requests())+len(b.Requests()), 1)
 				})
 			}
@@ -81,7 +81,7 @@
 		"429": func(x *tiertest.ReceivedRequest) {
 			x.RespondUnsigned(429, "X-Not-Executed: full\r\nRetry-After: 0.5\r\n")
 		},
-		"stamped":      func(x *tiertest.ReceivedRequest) { x.Respond(503, "X-Not-Executed: full\r\n", "full") },
+		"signed":       func(x *tiertest.ReceivedRequest) { x.Respond(503, "X-Not-Executed: full\r\n", "full") },
 		"another: 421": func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(421, "X-Not-Executed: target\r\n") },
 		"bare 421":     func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(421, "") },
 	} {
@@ -109,7 +109,7 @@
 	}
 }
 
-// What an earlier attempt may have done stands, whatever a later one says.
+// If the first attempt may have been executed, a rejection of the second one is no proof that the request was not executed.
 func TestAttempts_RejectionAfterBreakIsBadGateway(t *testing.T) {
 	a, b := twoEndpoints(t, (*tiertest.ReceivedRequest).Reset)
 	refuse := func(own, other *tiertest.Endpoint) func(*tiertest.ReceivedRequest) {
@@ -128,7 +128,7 @@
 	assert.Equal(t, len(a.Requests())+len(b.Requests()), 2)
 }
 
-// An idle connection that is reset under the next request says nothing of whether that has run.
+// If an idle connection is reset when the next request is sent on it, that request may have been executed, and is not retried.
 func TestAttempts_ResetIdleConnectionIsNotRetried(t *testing.T) {
 	for _, target := range []string{"/once/x", "/stream/x", "/turn/x"} {
 		e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
@@ -142,14 +142,14 @@
 		assertAnswer(t, r.post("/plain/x", "first", "", "b"), 200, "kept")
 		got := r.post(target, "second", "", "b")
 		assert.Equal(t, got.Status, 502)
-		assertUnstamped(t, got)
+		assertUnsigned(t, got)
 		assert.Equal(t, len(e.Requests()), 2)
 	}
 }
 
-// Endpoints that crash under an attempt, and addresses without a listener, count towards max_attempts.
+// Attempts at endpoints that crash count towards max_attempts, also if the list has addresses without a listener.
 func TestAttempts_CrashedEndpointsCount(t *testing.T) {
-	for target, most := range map[string]int{"/plain/x": 2, "/single/x": 1, "/once/x": 1} {
+	for target, limit := range map[string]int{"/plain/x": 2, "/single/x": 1, "/once/x": 1} {
 		var list []*tiertest.Endpoint
 		for i := range 5 {
 			list = append(list, tiertest.NewEndpoint(t, fmt.Sprintf("i-%d", i), "s", (*tiertest.ReceivedRequest).Reset))
@@ -171,12 +171,12 @@
 					}
 				}
 			}
-			assert.Assert(t, arrived >= 1 && arrived <= most, "%d endpoints got it, %d may", arrived, most)
+			assert.Assert(t, arrived >= 1 && arrived <= limit, "%d endpoints got the request, at most %d may", arrived, limit)
 		}
 	}
 }
 
-// TestAttempts_DeadlineShrinks: the deadline that an endpoint gets is never more than what is left, and less at a later send.
+// TestAttempts_DeadlineShrinks: the deadline that an endpoint gets is never more than the remaining time, and less for a later attempt.
 func TestAttempts_DeadlineShrinks(t *testing.T) {
 	a, b := twoEndpoints(t, func(x *tiertest.ReceivedRequest) { x.Reset() })
 	r := startGateway(t, a, b)
@@ -197,45 +197,46 @@
 	assert.Equal(t, len(a.Requests())+len(b.Requests()), 21)
 }
 
-// The deadline sent with an attempt long after the first one is what is left then, by the client's time and by the route's.
+// The deadline sent with an attempt long after the first one is the time that remains by then of the client's deadline or the route's
+// time-out.
 func TestAttempts_DeadlineShrinksByElapsedTime(t *testing.T) {
-	const gone = 500 * time.Millisecond
+	const elapsed = 500 * time.Millisecond
 	for fields, own := range map[string]int{"X-Deadline-Ms: 3000\r\n": 3000, "X-Deadline-Ms: 90000\r\n": 20000, "": 20000} {
 		a, b := twoEndpoints(t, func(x *tiertest.ReceivedRequest) {
 			arrived := time.Now()
-			tiertest.WaitUntil(t, "time has gone", func() bool { return time.Since(arrived) > gone })
+			tiertest.WaitUntil(t, "the time has elapsed", func() bool { return time.Since(arrived) > elapsed })
 			x.Reset()
 		})
 		r := startGateway(t, a, b)
 		assertAnswer(t, r.post("/plain/x", "a-1", fields, "b"), 200, "second")
-		var told []int
+		var deadlines []int
 		for _, x := range append(a.Requests(), b.Requests()...) {
 			ms, err := strconv.Atoi(x.Header.Get("X-Deadline-Ms"))
 			assert.NilError(t, err)
-			told = append(told, ms)
+			deadlines = append(deadlines, ms)
 		}
-		assert.Equal(t, len(told), 2)
-		first, second := max(told[0], told[1]), min(told[0], told[1])
-		assert.Assert(t, first <= own && second <= own-int(gone.Milliseconds()), "told %v of %d", told, own)
+		assert.Equal(t, len(deadlines), 2)
+		first, second := max(deadlines[0], deadlines[1]), min(deadlines[0], deadlines[1])
+		assert.Assert(t, first <= own && second <= own-int(elapsed.Milliseconds()), "deadlines %v of %d ms", deadlines, own)
 	}
 }
 
-// After an attempt failed at an endpoint the next one of its program goes elsewhere, also through another gateway and though its line
-// has its instance there.
+// After an attempt failed at an endpoint, the next attempt of its program goes to another endpoint, also through another gateway and
+// although the first endpoint ran the turn that it continues.
 func TestAttempts_AvoidInstanceOfLastFailure(t *testing.T) {
 	a := tiertest.NewEndpoint(t, "i-a", "s", streamTwoEvents)
 	b := tiertest.NewEndpoint(t, "i-b", "s", streamTwoEvents)
 	first, second := startTwoGateways(t, a, b)
 	assertAnswer(t, first.do(turnRequest("t-1", "", "p", "", "in;")), 200, events(twoEvents("t-1")...))
-	home, other := a, b
+	failing, other := a, b
 	if len(b.Requests()) > 0 {
-		home, other = b, a
+		failing, other = b, a
 	}
-	home.SetHandler(resetOf("t-2"))
+	failing.SetHandler(resetOf("t-2"))
 	assert.Equal(t, first.do(turnRequest("t-2", "t-1", "p", "", "in;")).Status, 502)
 	for i, r := range []*harness{second, first} {
 		assertAnswer(t, r.do(turnRequest(fmt.Sprint("t-2-", i), "t-1", "p", "", "in;")), 200, events(twoEvents(fmt.Sprint("t-2-", i))...))
 	}
-	assert.Equal(t, len(home.Requests()), 2)
+	assert.Equal(t, len(failing.Requests()), 2)
 	assert.Equal(t, len(other.Requests()), 2)
 }
--- a/internal/tier/gateway/budgets_test.go
+++ b/internal/tier/gateway/budgets_test.go
@@ -11,14 +11,14 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// turnWithBudget is a turn by a route that keeps nothing, of program p.
-func turnWithBudget(target, id string, budget, most int) string {
-	return tiertest.Post(target, id, fmt.Sprintf("Program: p\r\nBudget: %d\r\nX-Token-Usage: 5,%d\r\n", budget, most), "in")
+// turnWithBudget returns the text of a turn of program p with a budget.
+func turnWithBudget(target, id string, budget, maxTokens int) string {
+	return tiertest.Post(target, id, fmt.Sprintf("Program: p\r\nBudget: %d\r\nX-Token-Usage: 5,%d\r\n", budget, maxTokens), "in")
 }
 
-// A budget is stored whatever route a turn comes by, also where turns of one program come by both kinds of routes.
+// A budget is enforced on routes that are persisted and on others, also if turns of one program use both kinds.
 func TestBudget_OfTurnsNotPersisted(t *testing.T) {
-	for _, routes := range [][2]string{{"/stream/x", "/stream/x"}, {"/stream/x", "/turn/x"}, {"/turn/x", "/stream/x"}, {"/resumable/x", "/kept/x"}} {
+	for _, routes := range [][2]string{{"/stream/x", "/stream/x"}, {"/stream/x", "/turn/x"}, {"/turn/x", "/stream/x"}, {"/resumable/x", "/resumable-turn/x"}} {
 		t.Run(routes[0]+" "+routes[1], func(t *testing.T) {
 			e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 			r := startGateway(t, e)
@@ -26,7 +26,7 @@
 			assert.Equal(t, len(e.Requests()), 0)
 			assertAnswer(t, r.do(turnWithBudget(routes[0], "t-2", 10, 10)), 200, events(twoEvents("t-2")...)) // two events: 2 tokens
 			assert.Equal(t, r.do(turnWithBudget(routes[1], "t-3", 10, 9)).Status, 402)
-			assert.Equal(t, r.do(turnWithBudget(routes[1], "t-4", 10, 8)).Status, 200) // exactly what is left
+			assert.Equal(t, r.do(turnWithBudget(routes[1], "t-4", 10, 8)).Status, 200) // exactly the remaining budget
 			assert.Equal(t, r.do(turnWithBudget(routes[0], "t-5", 10, 7)).Status, 402)
 			assert.Equal(t, r.do(turnWithBudget(routes[0], "t-6", 10, 6)).Status, 200)
 			assert.Equal(t, len(e.Requests()), 3)
@@ -34,7 +34,7 @@
 	}
 }
 
-// What the client has of a turn that is not stored is charged before it hears the end, or hears that there is none.
+// The events of a turn that is not stored are charged before its client gets the end of the answer, or its abort.
 func TestBudget_TurnNotPersistedIsChargedForEventsWritten(t *testing.T) {
 	for name, c := range map[string]struct {
 		script func(*tiertest.ReceivedRequest, <-chan struct{})
@@ -74,7 +74,7 @@
 	}
 }
 
-// Where nothing is stored a turn continues nothing: there is no 404, and the body goes to the endpoint as it came.
+// On a route that is not persisted a turn continues no other: there is no 404, and the body is sent to the endpoint unchanged.
 func TestBudget_TurnNotPersistedContinuesNothing(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
@@ -85,25 +85,26 @@
 	assert.Equal(t, r.do(tiertest.Post("/turn/x", "t-2", "Program: p\r\nPrevious: t-1\r\nBudget: 10\r\nX-Token-Usage: 5,2\r\n", "in")).Status, 404)
 }
 
-// Without a turn store it is not known whether the budget allows it: nothing is sent, and the client gets a Retry-After.
+// If the turn store does not answer, it is unknown whether the budget allows the turn: nothing is sent to an endpoint, and the client
+// gets a Retry-After.
 func TestBudget_TurnNotPersistedNeedsTurnStore(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
 	r.turnStores.List[0].SetInterceptor(func(tiertest.RPC) error { return tiertest.ErrMessageLost })
 	assertNotExecuted(t, r.do(tiertest.Post("/stream/x", "t-1", "Program: p\r\nX-Deadline-Ms: 600\r\nBudget: 10\r\nX-Token-Usage: 5,9\r\n", "in")))
 	assert.Equal(t, len(e.Requests()), 0)
-	assertAnswer(t, r.do(tiertest.Post("/stream/x", "t-2", "Program: p\r\n", "in")), 200, events(twoEvents("t-2")...)) // no budget: nobody is asked
+	assertAnswer(t, r.do(tiertest.Post("/stream/x", "t-2", "Program: p\r\n", "in")), 200, events(twoEvents("t-2")...)) // without a budget no turn store is called
 }
 
-// The end does not wait for a turn store that is away, as only the budget depends on it.
+// The end of an answer waits only briefly for a turn store that does not answer, as only the budget depends on it.
 func TestBudget_EndOfTurnNotPersistedWaitsBriefly(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
-	let := make(chan struct{})
+	proceed := make(chan struct{})
 	r.turnStores.List[0].SetInterceptor(func(m tiertest.RPC) error {
 		if m.Method == "Settle" {
 			select {
-			case <-let:
+			case <-proceed:
 			case <-m.Ctx.Done():
 				return m.Ctx.Err()
 			}
@@ -111,11 +112,11 @@
 		return m.Serve()
 	})
 	assertAnswer(t, r.do(turnWithBudget("/stream/x", "t-1", 10, 10)), 200, events(twoEvents("t-1")...))
-	close(let)
-	assert.Equal(t, r.do(turnWithBudget("/stream/x", "t-2", 10, 8)).Status, 200) // what is being settled here is waited for
+	close(proceed)
+	assert.Equal(t, r.do(turnWithBudget("/stream/x", "t-2", 10, 8)).Status, 200) // waits for the pending settlement of t-1
 }
 
-// The same attempt twice reserves once.
+// The same attempt at two gateways makes one reservation.
 func TestBudget_SameAttemptByTwoGatewaysReservesOnce(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	first, second := startTwoGateways(t, e)
@@ -129,7 +130,7 @@
 	})
 	c := tiertest.Connect(t, first.ingress)
 	c.Send(turnWithBudget("/resumable/x", "t-1", 12, 10))
-	tiertest.WaitFor(t, "it runs", begun)
+	tiertest.WaitFor(t, "the attempt runs", begun)
 	assert.Equal(t, second.do(turnWithBudget("/resumable/x", "t-1", 12, 10)).Status, 200)
 	close(blocked)
 	assertAnswer(t, c.ReadReply(), 200, events(twoEvents("t-1")...))
--- a/internal/tier/gateway/clientwire_test.go
+++ b/internal/tier/gateway/clientwire_test.go
@@ -20,7 +20,7 @@
 	request  string
 }
 
-// closing is a request that ends its connection.
+// closing returns a request with Connection: close.
 func closing(target, id, fields, body string) string {
 	return tiertest.Post(target, id, fields+"Connection: close\r\n", body)
 }
@@ -40,7 +40,7 @@
 	return got
 }
 
-// readChunk reads until the chunk of an event has come whole.
+// readChunk reads until the chunk of an event is complete.
 func readChunk(t *testing.T, client *tiertest.Client, id int, data string) []byte {
 	t.Helper()
 	var got []byte
@@ -53,8 +53,8 @@
 	return got
 }
 
-// The golden files are what the program answered as of commit eea23b3, before the renaming of its types. Clients' wire is not to
-// change: they are not to be written anew.
+// The golden files are the answers of the program as of commit eea23b3, before the renaming of its types. The bytes that clients
+// receive must not change, so these files must not be updated.
 func TestClientWire_IsThatOfEarlierVersion(t *testing.T) {
 	one := func(a *tiertest.ReceivedRequest) { a.WriteStreamHead(); a.WriteEvent(1, "one"); a.EndStream() }
 	silent := (*tiertest.ReceivedRequest).AwaitClose
@@ -75,7 +75,7 @@
 		{"stream-not-persisted-with-budget", one, closing("/stream/x", "a-1", program+"Budget: 9\r\nX-Token-Usage: 1,2\r\n", "b")},
 		{"turn", one, closing("/turn/x", "a-1", program, "b")},
 		{"turn-with-budget", one, closing("/turn/x", "a-1", program+"Budget: 9\r\nX-Token-Usage: 1,2\r\n", "b")},
-		{"turn-after-last-event-id", func(a *tiertest.ReceivedRequest) { a.WriteStream("one", "two") }, closing("/kept/x", "a-1", program+"Last-Event-Id: 1\r\n", "b")},
+		{"turn-after-last-event-id", func(a *tiertest.ReceivedRequest) { a.WriteStream("one", "two") }, closing("/resumable-turn/x", "a-1", program+"Last-Event-Id: 1\r\n", "b")},
 		{"rejected-no-route", echo("s"), closing("/none/x", "a-1", "", "b")},
 		{"rejected-no-attempt-id", echo("s"), closing("/plain/x", "", "", "b")},
 		{"rejected-deadline-no-number", echo("s"), closing("/plain/x", "a-1", "X-Deadline-Ms: soon\r\n", "b")},
@@ -108,15 +108,15 @@
 	})
 }
 
-// Each event that comes alone is a chunk of its own.
+// Each event that is received separately is sent as a chunk of its own.
 func TestClientWire_EventFramingIsThatOfEarlierVersion(t *testing.T) {
 	for _, target := range []string{"/stream/x", "/resumable/x", "/turn/x"} {
-		further := make(chan struct{})
+		proceed := make(chan struct{})
 		e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
 			a.WriteStreamHead()
 			for i, data := range []string{"one", "two", "three"} {
 				a.WriteEvent(i+1, data)
-				<-further
+				<-proceed
 			}
 			a.EndStream()
 		})
@@ -126,7 +126,7 @@
 		var got []byte
 		for i, data := range []string{"one", "two", "three"} {
 			got = append(got, readChunk(t, client, i+1, data)...)
-			further <- struct{}{}
+			proceed <- struct{}{}
 		}
 		rest, err := io.ReadAll(client.Conn)
 		assert.NilError(t, err)
@@ -134,7 +134,7 @@
 	}
 }
 
-// A stream that breaks within an event ends without the last chunk, after the events that came whole.
+// A stream that breaks within an event ends without the last chunk, after the complete events.
 func TestClientWire_BrokenStreamIsThatOfEarlierVersion(t *testing.T) {
 	for _, target := range []string{"/stream/x", "/turn/x"} {
 		read := make(chan struct{})
--- a/internal/tier/gateway/configuration_test.go
+++ b/internal/tier/gateway/configuration_test.go
@@ -14,20 +14,20 @@
 	r := startGateway(t, s, deep)
 	const target = "/new/x"
 	c := tiertest.Connect(t, r.ingress)
-	ask := func(id string) tiertest.Reply {
+	send := func(id string) tiertest.Reply {
 		c.Send(tiertest.Post(target, id, "", "b"))
 		return c.ReadReply()
 	}
-	assert.Equal(t, ask("a-1").Status, 404)
+	assert.Equal(t, send("a-1").Status, 404)
 	for i, service := range []string{"s", "deep"} {
 		r.controlPlane.SetConfiguration(configurationOf(2+i, `{"name":"new","hostname":"h.example","path_prefix":"/new/","route_type":"idempotent","service_name":"`+
 			service+`","timeout_ms":20000,"max_attempts":2}`))
 		r.controlPlane.AwaitAcknowledged(t)
-		assertAnswer(t, ask("b-"+service), 200, service+":b")
+		assertAnswer(t, send("b-"+service), 200, service+":b")
 	}
 	r.controlPlane.SetConfiguration(configurationOf(9, ""))
 	r.controlPlane.AwaitAcknowledged(t)
-	assert.Equal(t, ask("a-2").Status, 404)
+	assert.Equal(t, send("a-2").Status, 404)
 }
 
 func TestEndpoints_DrainingGetsNoRequests(t *testing.T) {
@@ -49,10 +49,10 @@
 	assert.Equal(t, len(leaving.Requests()), 1)
 }
 
-// The stream of an endpoint that begins to drain meanwhile goes on.
+// A stream continues when its endpoint begins to drain.
 func TestEndpoints_DrainingCompletesItsStreams(t *testing.T) {
-	begun, further := make(chan struct{}), make(chan struct{})
-	e := tiertest.NewEndpoint(t, "i-1", "s", pausedStream(begun, further))
+	begun, proceed := make(chan struct{}), make(chan struct{})
+	e := tiertest.NewEndpoint(t, "i-1", "s", pausedStream(begun, proceed))
 	r := startGateway(t, e)
 	c := tiertest.Connect(t, r.ingress)
 	c.Send(tiertest.Post("/stream/x", "a-1", "", "b"))
@@ -61,6 +61,6 @@
 	r.controlPlane.AwaitAcknowledged(t)
 	r.controlPlane.SetEndpoints()
 	r.controlPlane.AwaitAcknowledged(t)
-	close(further)
+	close(proceed)
 	assertAnswer(t, c.ReadReply(), 200, events("one", "two"))
 }
--- a/internal/tier/gateway/fault_test.go
+++ b/internal/tier/gateway/fault_test.go
@@ -11,12 +11,12 @@
 	"saffronyard.example/saffronyard/internal/tier/tiertest"
 )
 
-// fault is what happens to one message.
+// fault is a fault of one message.
 type fault struct {
 	name string
-	// call: to a call to the turn store.
+	// call injects it into a call to the turn store; late defers a delivery.
 	call func(m tiertest.RPC, late func(func())) error
-	// answer: to the endpoint's answer, of which say is the part before its end.
+	// answer injects it into the endpoint's answer.
 	answer func(a *tiertest.ReceivedRequest)
 }
 
@@ -45,7 +45,7 @@
 			a.WriteEvent(2, "x")
 			a.Close()
 		}},
-	{name: "another's", call: func(m tiertest.RPC, _ func(func())) error { return tiertest.ErrMessageLost },
+	{name: "answer of another attempt", call: func(m tiertest.RPC, _ func(func())) error { return tiertest.ErrMessageLost },
 		answer: func(a *tiertest.ReceivedRequest) {
 			own := a.AttemptID
 			a.AttemptID = "other"
@@ -56,21 +56,21 @@
 }
 
 // TestTurn_FaultAtEachMessage injects a fault into one message of a program of four turns, whose client retries, and checks that no turn
-// that was acknowledged as complete is lost, that none runs twice, that each success has its signature, and that a budget holds.
+// that was acknowledged as complete is lost, that none runs twice, that each success has its signature, and that the budget is not exceeded.
 func TestTurn_FaultAtEachMessage(t *testing.T) {
-	for _, where := range []string{"Begin", "Settle", "Replicate", "answer"} {
+	for _, target := range []string{"Begin", "Settle", "Replicate", "answer"} {
 		for _, f := range faults {
 			for at := range 4 {
-				if where == "Replicate" && f.call == nil {
+				if target == "Replicate" && f.call == nil {
 					continue
 				}
-				t.Run(fmt.Sprintf("%s %d %s", where, at, f.name), func(t *testing.T) { runProgram(t, where, at, f) })
+				t.Run(fmt.Sprintf("%s %d %s", target, at, f.name), func(t *testing.T) { runProgram(t, target, at, f) })
 			}
 		}
 	}
 }
 
-// faultInjector has a fault happen to one message: the one at a place among those of a method.
+// faultInjector injects a fault into one message: the one with a given index among the calls of a method.
 type faultInjector struct {
 	method string
 	at     int
@@ -78,10 +78,10 @@
 
 	mu   sync.Mutex
 	seen int
-	late []func() // what the fault holds back
+	late []func() // deliveries that the fault delays
 }
 
-// intercept carries a message to a turn store.
+// intercept delivers a message to a turn store, with the fault if it is the selected one.
 func (s *faultInjector) intercept(m tiertest.RPC) error {
 	s.mu.Lock()
 	hit := m.Method == s.method && s.seen == s.at
@@ -92,9 +92,9 @@
 	if !hit {
 		return m.Serve()
 	}
-	return s.fault.call(m, func(again func()) {
+	return s.fault.call(m, func(deliver func()) {
 		s.mu.Lock()
-		s.late = append(s.late, again)
+		s.late = append(s.late, deliver)
 		s.mu.Unlock()
 	})
 }
@@ -102,21 +102,21 @@
 // release delivers the delayed messages.
 func (s *faultInjector) release() {
 	s.mu.Lock()
-	held := s.late
+	delayed := s.late
 	s.late = nil
 	s.mu.Unlock()
-	for _, again := range held {
-		again()
+	for _, deliver := range delayed {
+		deliver()
 	}
 }
 
 // The budget of the program, and the maximum that one turn of it may generate, in tokens.
 const budget, maxTokensPerTurn = 400, 3
 
-func runProgram(t *testing.T, where string, at int, f fault) {
+func runProgram(t *testing.T, target string, at int, f fault) {
 	t.Parallel()
 	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
-	if where == "answer" {
+	if target == "answer" {
 		e.SetHandler(func(a *tiertest.ReceivedRequest) {
 			if a.Order == at {
 				f.answer(a)
@@ -126,26 +126,26 @@
 		})
 	}
 	r := startGateway(t, e)
-	spoil := &faultInjector{method: where, at: at, fault: f}
+	injector := &faultInjector{method: target, at: at, fault: f}
 	for _, store := range r.turnStores.List {
-		store.SetInterceptor(spoil.intercept)
+		store.SetInterceptor(injector.intercept)
 	}
-	chain, previous, granted := sendFourTurns(t, r, spoil)
-	spoil.release()
+	chain, previous, granted := sendFourTurns(t, r, injector)
+	injector.release()
 	got, last := r.retryUntilServed("t-last", previous, "")
 	assertAnswer(t, got, 200, events(twoEvents(last)...))
 	assertRanOnce(t, e, chain+"end", last)
-	// Of the budget, at most what was granted is gone, and at least what the complete turns have.
-	const handed = 2 * 4
-	over, _ := r.retryUntilServed("t-over", "", fmt.Sprintf("Budget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, budget-handed+1))
-	assert.Equal(t, over.Status, 402, "%+v", over)
-	room, _ := r.retryUntilServed("t-room", "", fmt.Sprintf("Budget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, budget-granted-2*20))
-	assert.Equal(t, room.Status, 200, "%+v", room)
+	// The budget is charged at least for the complete turns, and at most for the maximum of each attempt.
+	const delivered = 2 * 4
+	overBudget, _ := r.retryUntilServed("t-over", "", fmt.Sprintf("Budget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, budget-delivered+1))
+	assert.Equal(t, overBudget.Status, 402, "%+v", overBudget)
+	withinBudget, _ := r.retryUntilServed("t-room", "", fmt.Sprintf("Budget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, budget-granted-2*20))
+	assert.Equal(t, withinBudget.Status, 200, "%+v", withinBudget)
 }
 
-// sendFourTurns has a client make four turns, each with retries until it has a complete answer. It returns the text of all, the id of the
-// last and the tokens that were asked for. Delayed messages are delivered after the second turn.
-func sendFourTurns(t *testing.T, r *harness, spoil *faultInjector) (chain, previous string, granted int) {
+// sendFourTurns sends four turns as a client does, each with retries until its answer is complete. It returns the text of all turns, the ID
+// of the last one and the sum of the maximum tokens of all attempts. Delayed messages are delivered after the second turn.
+func sendFourTurns(t *testing.T, r *harness, injector *faultInjector) (chain, previous string, granted int) {
 	for i := range 4 {
 		for try := 0; ; try++ {
 			id := fmt.Sprintf("t-%d-%d", i, try)
@@ -161,13 +161,14 @@
 			assert.Assert(t, try < 20, "turn %d: %+v", i, got)
 		}
 		if i == 1 {
-			spoil.release()
+			injector.release()
 		}
 	}
 	return chain, previous, granted
 }
 
-// retryUntilServed asks as a client does, again after a promise: a machine that is busy may not be sure of its turn stores.
+// retryUntilServed retries a turn, as a client does, after a 503 or a broken connection: on a busy machine a turn store may not answer in
+// time.
 func (r *harness) retryUntilServed(id, previous, fields string) (got tiertest.Reply, last string) {
 	for try := range 20 {
 		last = fmt.Sprintf("%s-%d", id, try)
@@ -178,7 +179,8 @@
 	return got, last
 }
 
-// assertRanOnce checks that no attempt ran twice, that each had a beginning of the program's text, and the last one all of it.
+// assertRanOnce checks that no attempt ran twice, that the prompt of each is a prefix of the program's text, and that of the last one all
+// of it.
 func assertRanOnce(t *testing.T, e *tiertest.Endpoint, text, last string) {
 	t.Helper()
 	runs := map[string]int{}
--- a/internal/tier/gateway/handler_test.go
+++ b/internal/tier/gateway/handler_test.go
@@ -54,7 +54,7 @@
 	assert.Equal(t, len(e.Requests()), 1)
 }
 
-// What no client waits for is no time to wait for.
+// A deadline beyond the route's time-out, however large, is limited to it; one that is not a number from 0 up is rejected.
 func TestHandler_DeadlinesOutOfRange(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", echo("s"))
 	r := startGateway(t, e)
@@ -66,20 +66,20 @@
 	}
 }
 
-// TestRequest_EndsWithClient: the endpoint's connection ends soon after the client's, before and after its first event,
-// whether the client closes or resets.
+// TestRequest_EndsWithClient: the endpoint's connection ends soon after the client's, before and after the first event, whether the
+// client closes or resets its connection.
 func TestRequest_EndsWithClient(t *testing.T) {
 	for _, target := range []string{"/plain/x", "/once/x", "/stream/x", "/turn/x"} {
 		for _, begun := range []bool{false, true} {
 			for _, reset := range []bool{false, true} {
 				t.Run(fmt.Sprint(target, begun, reset), func(t *testing.T) {
 					t.Parallel()
-					at, gone := make(chan struct{}, 1), make(chan time.Time, 1)
+					arrived, gone := make(chan struct{}, 1), make(chan time.Time, 1)
 					e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
 						if begun {
 							beginStream(a, 1)
 						}
-						at <- struct{}{}
+						arrived <- struct{}{}
 						a.AwaitClose()
 						gone <- time.Now()
 					})
@@ -87,14 +87,14 @@
 					eventuallyWithinLimit(t, func(try int) time.Duration {
 						c := tiertest.Connect(t, r.ingress)
 						c.Send(tiertest.Post(target, fmt.Sprintf("a-%d", try), "", "b"))
-						tiertest.WaitFor(t, "the request arrives", at)
+						tiertest.WaitFor(t, "the request arrives", arrived)
 						if reset {
 							c.Conn.(*net.TCPConn).SetLinger(0)
 						}
-						left := time.Now()
+						closedAt := time.Now()
 						c.Conn.Close()
-						took := tiertest.WaitFor(t, "the endpoint's connection ends", gone).Sub(left)
-						assert.Equal(t, len(e.Requests()), try+1, "it was sent again")
+						took := tiertest.WaitFor(t, "the endpoint's connection ends", gone).Sub(closedAt)
+						assert.Equal(t, len(e.Requests()), try+1, "the request was sent again")
 						return took
 					})
 				})
--- a/internal/tier/gateway/harness_test.go
+++ b/internal/tier/gateway/harness_test.go
@@ -16,7 +16,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// configurationOf is a configuration with a route of each kind, of services "s" and "deep".
+// configurationOf returns a configuration with routes of each kind for the services "s" and "deep".
 func configurationOf(revision int, extra string) string {
 	route := func(name, prefix, kind, service, more string) string {
 		return fmt.Sprintf(`{"name":"%s","hostname":"h.example","path_prefix":"%s","route_type":"%s","service_name":"%s",
@@ -29,7 +29,7 @@
 		route("single", "/single/", "idempotent", "s", `,"max_attempts":1`),
 		route("stream", "/stream/", "streaming", "s", ""),
 		route("resumable", "/resumable/", "streaming", "s", `,"resumable":true,"retention_s":60`),
-		route("kept", "/kept/", "streaming", "s", `,"resumable":true,"persisted":true,"retention_s":60`),
+		route("resumable-turn", "/resumable-turn/", "streaming", "s", `,"resumable":true,"persisted":true,"retention_s":60`),
 		route("turn", "/turn/", "streaming", "s", `,"persisted":true,"retention_s":60,"session_affinity":true`),
 	}
 	if extra != "" {
@@ -38,7 +38,7 @@
 	return fmt.Sprintf(`{"revision":%d,"routes":[%s],"services":[{"name":"s"},{"name":"deep"}]}`, revision, strings.Join(routes, ","))
 }
 
-// harness is a gateway with all that is around it.
+// harness is a gateway with its control plane and its turn stores.
 type harness struct {
 	t            *testing.T
 	settings     settings.Settings
@@ -50,7 +50,7 @@
 	done         chan error
 }
 
-// startUnconfigured starts a gateway whose control plane has nothing to send yet.
+// startUnconfigured starts a gateway whose control plane has no updates for it yet.
 func startUnconfigured(t *testing.T, change ...func(*settings.Settings)) *harness {
 	t.Helper()
 	s := tiertest.Settings("edge-1")
@@ -68,13 +68,13 @@
 	t.Cleanup(func() {
 		cancel()
 		for err := range r.done {
-			t.Log("the gateway ended:", err) // seen where the test failed
+			t.Log("the gateway ended:", err) // shown only if the test fails
 		}
 	})
 	return r
 }
 
-// startGateway starts a gateway, and returns when it has taken a configuration, these endpoints and a map of turn stores: turn store 0 is
+// startGateway starts a gateway, and returns when it has acknowledged a configuration, these endpoints and a partition map: turn store 0 is
 // primary, turn store 1 backup.
 func startGateway(t *testing.T, endpoints ...*tiertest.Endpoint) *harness {
 	t.Helper()
@@ -83,7 +83,7 @@
 	return r
 }
 
-// startTwoGateways starts two gateways of the same turn stores, configured as by start.
+// startTwoGateways starts two gateways with the same turn stores, configured as by startGateway.
 func startTwoGateways(t *testing.T, endpoints ...*tiertest.Endpoint) (first, second *harness) {
 	t.Helper()
 	first, second = startUnconfigured(t), startUnconfigured(t)
@@ -94,7 +94,7 @@
 	return first, second
 }
 
-// configure gives the gateway a configuration, these endpoints and a partition map, and returns when it has taken them.
+// configure sends the gateway a configuration, these endpoints and a partition map, and returns when it has acknowledged them.
 func (r *harness) configure(partitionMap *tierv1.PartitionMap, endpoints ...*tiertest.Endpoint) {
 	r.t.Helper()
 	r.controlPlane.SetConfiguration(configurationOf(1, ""))
@@ -103,7 +103,7 @@
 	r.controlPlane.AwaitAcknowledged(r.t)
 }
 
-// listEndpoints has the control plane list these endpoints, and no others.
+// listEndpoints makes the control plane list exactly these endpoints.
 func (r *harness) listEndpoints(endpoints ...*tiertest.Endpoint) {
 	var list []*tierv1.Endpoint
 	for _, e := range endpoints {
@@ -117,13 +117,13 @@
 	return tiertest.Do(r.t, r.ingress, text)
 }
 
-// post is a request by the route of a target.
+// post sends a POST request to a target.
 func (r *harness) post(target, id, fields, body string) tiertest.Reply {
 	r.t.Helper()
 	return r.do(tiertest.Post(target, id, fields, body))
 }
 
-// turnRequest is the text of a turn.
+// turnRequest returns the text of a request for a turn.
 func turnRequest(id, previous, program, fields, body string) string {
 	if previous != "" {
 		fields += "Previous: " + previous + "\r\n"
@@ -131,50 +131,50 @@
 	return tiertest.Post("/turn/x", id, fields+"Program: "+program+"\r\n", body)
 }
 
-// assertAnswer checks an answer; a success must bear the endpoint's signature.
+// assertAnswer checks an answer; a success must have the endpoint's signature.
 func assertAnswer(t *testing.T, got tiertest.Reply, status int, body string) {
 	t.Helper()
 	assert.NilError(t, got.Err)
 	assert.Equal(t, got.Status, status)
 	assert.Equal(t, got.Body, body)
 	if status/100 == 2 {
-		assert.Assert(t, got.Header.Get("X-Response-Signature") != "", "a success without the stamp")
+		assert.Assert(t, got.Header.Get("X-Response-Signature") != "", "a success without a signature")
 	}
 }
 
-// assertNotExecuted checks that an answer says that nothing has run.
+// assertNotExecuted checks that an answer is a 503 with Retry-After: the request was not executed.
 func assertNotExecuted(t *testing.T, got tiertest.Reply) {
 	t.Helper()
 	assert.NilError(t, got.Err)
 	assert.Equal(t, got.Status, 503)
 	assert.Assert(t, got.Header.Get("Retry-After") != "", "503 without Retry-After")
-	assertUnstamped(t, got)
+	assertUnsigned(t, got)
 }
 
-// assertUnstamped checks that an answer of the gateway's own bears no endpoint's signature (MIXED).
-func assertUnstamped(t *testing.T, got tiertest.Reply) {
+// assertUnsigned checks that an answer of the gateway itself has no endpoint's signature (rule MIXED).
+func assertUnsigned(t *testing.T, got tiertest.Reply) {
 	t.Helper()
 	assert.Equal(t, got.Header.Get("X-Response-Signature"), "", "status %d", got.Status)
 }
 
-// echo answers with the endpoint's own name and the body.
+// echo returns a handler that answers with the given name and the body.
 func echo(name string) func(*tiertest.ReceivedRequest) {
 	return func(a *tiertest.ReceivedRequest) { a.Respond(200, "", name+":"+a.BodyText) }
 }
 
-// pausedStream is a script of two events: it closes begun after the first, and goes on when further is closed.
-func pausedStream(begun chan<- struct{}, further <-chan struct{}) func(*tiertest.ReceivedRequest) {
+// pausedStream returns a handler that streams two events: it closes begun after the first, and continues when proceed is closed.
+func pausedStream(begun chan<- struct{}, proceed <-chan struct{}) func(*tiertest.ReceivedRequest) {
 	return func(a *tiertest.ReceivedRequest) {
 		a.WriteStreamHead()
 		a.WriteEvent(1, "one")
 		close(begun)
-		<-further
+		<-proceed
 		a.WriteEvent(2, "two")
 		a.EndStream()
 	}
 }
 
-// resetOf is a script that resets the connection under one attempt, and talks to others.
+// resetOf returns a handler that resets the connection of one attempt, and answers others by streamTwoEvents.
 func resetOf(id string) func(*tiertest.ReceivedRequest) {
 	return func(a *tiertest.ReceivedRequest) {
 		if a.AttemptID == id {
@@ -185,16 +185,16 @@
 	}
 }
 
-// streamTwoEvents streams events that tell the attempt.
+// streamTwoEvents answers with the events of twoEvents for the attempt.
 func streamTwoEvents(a *tiertest.ReceivedRequest) { a.WriteStream(twoEvents(a.AttemptID)...) }
 
-// twoEvents is the data of the events that talk streams for an attempt.
+// twoEvents returns the data of the events that streamTwoEvents streams for an attempt.
 func twoEvents(id string) []string { return []string{"one of " + id, "two of " + id} }
 
-// transcriptOf is what a turn that talk answered adds to a chain.
+// transcriptOf returns the output of a turn that streamTwoEvents has answered.
 func transcriptOf(id string) string { return "one of " + id + "\ntwo of " + id + "\n" }
 
-// beginStream begins a stream with so many events.
+// beginStream writes the head of a stream and its first n events.
 func beginStream(a *tiertest.ReceivedRequest, n int) {
 	a.WriteStreamHead()
 	for i := range n {
@@ -202,7 +202,7 @@
 	}
 }
 
-// events is the body of a stream of these data.
+// events returns the body of a stream with one event for each of the data.
 func events(data ...string) string {
 	var text strings.Builder
 	for i, d := range data {
@@ -211,7 +211,7 @@
 	return text.String()
 }
 
-// sendTurn sends the first turn of program p, and reads its answer but for the end.
+// sendTurn sends the first turn of program p, and reads its answer up to the last event, without the end.
 func sendTurn(t *testing.T, c *tiertest.Client, id string) *http.Response {
 	t.Helper()
 	c.Send(turnRequest(id, "", "p", "", "in"))
@@ -222,7 +222,7 @@
 	return head
 }
 
-// twoEndpoints are endpoints of which the one asked first does as the script says, and the other one answers.
+// twoEndpoints returns two endpoints. The first request is handled by first, at whichever endpoint it arrives; others are answered.
 func twoEndpoints(t *testing.T, first func(*tiertest.ReceivedRequest)) (a, b *tiertest.Endpoint) {
 	script := func(own, other **tiertest.Endpoint) func(*tiertest.ReceivedRequest) {
 		return func(x *tiertest.ReceivedRequest) {
@@ -240,11 +240,11 @@
 	return a, b
 }
 
-// endLimit is the time after its client is gone in which an endpoint's work has to end.
+// endLimit bounds the time from the end of a client's connection, or of a deadline, to the end of the request.
 const endLimit = 500 * time.Millisecond
 
-// eventuallyWithinLimit repeats a measurement until one is within the bound: a busy machine may hold up any one of them, but none is shorter
-// than what the gateway itself waits for.
+// eventuallyWithinLimit repeats a measurement, up to ten times, until one is below endLimit: a busy machine may delay any of them, but none
+// is shorter than the gateway's own delay.
 func eventuallyWithinLimit(t *testing.T, measure func(try int) time.Duration) {
 	t.Helper()
 	var took []time.Duration
@@ -254,10 +254,10 @@
 			return
 		}
 	}
-	t.Fatalf("never within %v: %v", endLimit, took)
+	t.Fatalf("no measurement below %v: %v", endLimit, took)
 }
 
-// settlementsOf tells of the settlements that a turn store has taken.
+// settlementsOf returns a channel of the settlements that a turn store has accepted from then on.
 func settlementsOf(v *tiertest.TurnStore) <-chan *tierv1.SettleRequest {
 	all := make(chan *tierv1.SettleRequest, 1000)
 	v.SetInterceptor(func(m tiertest.RPC) error {
--- a/internal/tier/gateway/metrics_test.go
+++ b/internal/tier/gateway/metrics_test.go
@@ -10,7 +10,7 @@
 	"saffronyard.example/saffronyard/internal/tier/tiertest"
 )
 
-// scrape asks the readiness address for metrics.
+// scrape requests the metrics from the readiness address.
 func (r *harness) scrape() string {
 	r.t.Helper()
 	got := tiertest.Do(r.t, r.probe, "GET /metrics HTTP/1.1\r\nHost: probe\r\n\r\n")
@@ -27,12 +27,12 @@
 	}
 }
 
-// The readiness address serves metrics, and nothing else there changes.
+// The readiness address serves metrics, and the readiness check at any other path or method.
 func TestMetrics_AtReadinessAddress(t *testing.T) {
-	begun, further := make(chan struct{}), make(chan struct{})
+	begun, proceed := make(chan struct{}), make(chan struct{})
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
 		close(begun)
-		<-further
+		<-proceed
 		a.Respond(200, "", "done")
 	})
 	r := startUnconfigured(t)
@@ -48,12 +48,12 @@
 	assert.Equal(t, r.readiness(), 200)
 	post := tiertest.Do(t, r.probe, "POST /metrics HTTP/1.1\r\nHost: probe\r\nContent-Length: 0\r\n\r\n")
 	assert.NilError(t, post.Err)
-	assert.Equal(t, post.Body, "") // as any other question about readiness
-	close(further)
+	assert.Equal(t, post.Body, "") // as any other readiness check
+	close(proceed)
 	assertAnswer(t, <-answer, 200, "done")
 }
 
-// The frontend has no metrics: any path there may be a route's.
+// The frontend serves no metrics: any path there may belong to a route.
 func TestMetrics_NotAtFrontend(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", echo("i-1"))
 	r := startGateway(t, e)
@@ -63,7 +63,7 @@
 	assert.Assert(t, !strings.Contains(got.Body, "saffronyard_"), got.Body)
 }
 
-// Requests are counted by kind and by how their answers ended, sends by how they ended.
+// Requests are counted by kind and outcome, attempts by outcome.
 func TestCounters_Totals(t *testing.T) {
 	a, b := breakFirstAttempt(t, func(x *tiertest.ReceivedRequest) { sendEvents(x, 2); x.Reset() })
 	r := startGateway(t, a, b)
--- a/internal/tier/gateway/prefixaffinity_test.go
+++ b/internal/tier/gateway/prefixaffinity_test.go
@@ -10,7 +10,7 @@
 	"saffronyard.example/saffronyard/internal/tier/ingress"
 )
 
-// The first known key counts, and the least recently used lines are forgotten.
+// The first known key is used, and the least recently used entries are evicted.
 func TestAffinityTable(t *testing.T) {
 	h := newAffinityTable()
 	assert.Equal(t, h.find("a"), "")
@@ -20,7 +20,7 @@
 	assert.Equal(t, h.find("b"), "i2")
 	assert.Equal(t, h.find(""), "")
 	for i := range maxAffinityEntries - 1 {
-		h.record("i3", fmt.Sprint("line ", i))
+		h.record("i3", fmt.Sprint("key ", i))
 		h.find("a")
 	}
 	assert.Equal(t, h.find("a"), "i1")
@@ -28,7 +28,8 @@
 	assert.Equal(t, len(h.entries), maxAffinityEntries)
 }
 
-// A line that branches off is found by the last part of the one it begins with; parts that many share lead nowhere.
+// A conversation that branches off another one is found by the last part of the other's prompt. Parts that many conversations share
+// have no entry.
 func TestAffinityTable_BranchOfConversation(t *testing.T) {
 	k := &Gateway{affinity: newAffinityTable()}
 	of := func(session string, prefix ...string) *clientRequest {
--- a/internal/tier/gateway/reachability_test.go
+++ b/internal/tier/gateway/reachability_test.go
@@ -11,16 +11,16 @@
 func TestReachability_UnansweredFor(t *testing.T) {
 	failure := errorx.ExternalError.New("no answer")
 	var c reachability
-	assert.Equal(t, c.unansweredFor(), time.Duration(0), "none was asked")
+	assert.Equal(t, c.unansweredFor(), time.Duration(0), "no call yet")
 	c.record(nil)
 	assert.Equal(t, c.unansweredFor(), time.Duration(0))
 	c.record(failure)
 	began := c.failingSince
 	assert.Assert(t, !began.IsZero())
 	c.record(failure)
-	assert.Equal(t, c.failingSince, began, "a further failure does not begin the silence anew")
+	assert.Equal(t, c.failingSince, began, "a further failure must not reset the time")
 	c.record(nil)
-	assert.Equal(t, c.unansweredFor(), time.Duration(0), "one answer ends the silence")
+	assert.Equal(t, c.unansweredFor(), time.Duration(0), "an answered call must end the failure")
 }
 
 func TestIsolatedAfter(t *testing.T) {
@@ -37,6 +37,6 @@
 		{window + 1, window + 1, true},
 	} {
 		got := isolatedAfter(window, c.withoutControlPlane, c.withoutTurnStores)
-		assert.Equal(t, got, c.want, "control plane silent for %v, turn stores for %v", c.withoutControlPlane, c.withoutTurnStores)
+		assert.Equal(t, got, c.want, "control plane unanswered for %v, turn stores for %v", c.withoutControlPlane, c.withoutTurnStores)
 	}
 }
--- a/internal/tier/gateway/readiness_test.go
+++ b/internal/tier/gateway/readiness_test.go
@@ -21,7 +21,7 @@
 
 func TestReadiness_NeedsAllViews(t *testing.T) {
 	r := startUnconfigured(t)
-	brought := map[string]func(){
+	updates := map[string]func(){
 		"configuration": func() { r.controlPlane.SetConfiguration(configurationOf(1, "")) },
 		"endpoints":     func() { r.listEndpoints() },
 		"turnstores":    func() { r.controlPlane.SetPartitionMap(r.turnStores.Assign([2]int{0, 1})) },
@@ -29,15 +29,15 @@
 	assert.Equal(t, r.readiness(), 503)
 	assertNotExecuted(t, r.post("/plain/x", "a-1", "", "b"))
 	n := 0
-	for name, bring := range brought { // in any order
-		bring()
+	for name, publish := range updates { // in any order
+		publish()
 		r.controlPlane.AwaitAcknowledged(t)
 		n++
 		want := 503
-		if n == len(brought) {
+		if n == len(updates) {
 			want = 200
 		}
-		assert.Equal(t, r.readiness(), want, "%d have come, %s the last", n, name)
+		assert.Equal(t, r.readiness(), want, "%d views published, %s last", n, name)
 	}
 }
 
--- a/internal/tier/gateway/releases_internal_test.go
+++ b/internal/tier/gateway/releases_internal_test.go
@@ -18,7 +18,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// slowTurnStore settles when it is let.
+// slowTurnStore settles when proceed is closed.
 type slowTurnStore struct {
 	tierv1.TurnStore
 	called, proceed chan struct{}
@@ -34,7 +34,7 @@
 	}
 }
 
-// An attempt that finds the budget spent waits for a reservation of its program that is being given up, and only for that.
+// An attempt that finds the budget spent waits for the pending releases of its program, and only for these.
 func TestAwaitReleases(t *testing.T) {
 	v := slowTurnStore{called: make(chan struct{}), proceed: make(chan struct{})}
 	k := New(Config{Settings: settings.Settings{ContactWindow: time.Minute, MemoryMB: 64}, Log: &log.Logger{Level: log.PanicLevel},
@@ -43,51 +43,51 @@
 		Partitions: []*tierv1.Partition{{Epoch: 1, Primary: "f"}}})
 	ctx := context.Background()
 	assert.Assert(t, !awaitReleases(ctx, k.releasesOf("p")))
-	over := (&clientRequest{gateway: k, attemptID: "t"}).releaseInBackground("p", 0)
+	done := (&clientRequest{gateway: k, attemptID: "t"}).releaseInBackground("p", 0)
 	<-v.called
 	assert.Assert(t, !awaitReleases(ctx, k.releasesOf("another")))
 	ended, cancel := context.WithCancel(ctx)
 	cancel()
-	assert.Assert(t, !awaitReleases(ended, k.releasesOf("p"))) // it is not settled yet
-	before := k.releasesOf("p")
+	assert.Assert(t, !awaitReleases(ended, k.releasesOf("p"))) // the release is still pending
+	pending := k.releasesOf("p")
 	waited := make(chan bool)
-	go func() { waited <- awaitReleases(ctx, before) }()
+	go func() { waited <- awaitReleases(ctx, pending) }()
 	select {
 	case <-waited:
-		t.Fatal("it did not wait")
+		t.Fatal("awaitReleases did not wait")
 	default:
 	}
 	close(v.proceed)
-	<-over
+	<-done
 	assert.Assert(t, <-waited)
 	assert.Assert(t, !awaitReleases(ctx, k.releasesOf("p")))
 	assert.Equal(t, len(k.pendingReleases), 0)
 }
 
-// The time that a turn store allows for a release after a takeover covers a call of a gateway and the pause after it, whatever the
-// contact window is.
+// The time that a turn store allows for a release after a failover covers a call of a gateway and the backoff after it, for any contact
+// window.
 func TestRelease_ArrivesWithinGracePeriod(t *testing.T) {
 	for _, contactWindow := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, time.Minute} {
 		client := newStoreClient(settings.Settings{ContactWindow: contactWindow}, nil)
 		takes := client.callTimeout + client.maxBackoff
 		assert.Assert(t, takes <= turnstore.ReleaseGracePeriod(contactWindow), "contact window %v", contactWindow)
-		if contactWindow >= 4*time.Second { // no more than that: a 402 that is right waits for it
+		if contactWindow >= 4*time.Second { // it must not be longer, as it delays a correct 402
 			assert.Equal(t, takes, turnstore.ReleaseGracePeriod(contactWindow))
 		}
 	}
 	assert.Equal(t, turnstore.ReleaseGracePeriod(4*time.Second), turnstore.DefaultReleaseGracePeriod)
 }
 
-// unclearTurnStore takes no settlement until it is let, and then tells what it took.
+// unclearTurnStore fails settlements until accepting is set, and then accepts them and sends them to taken.
 type unclearTurnStore struct {
 	tierv1.TurnStore
-	lets  *atomic.Bool
-	taken chan *tierv1.SettleRequest
-	begin func() (*tierv1.BeginReply, error)
+	accepting *atomic.Bool
+	taken     chan *tierv1.SettleRequest
+	begin     func() (*tierv1.BeginReply, error)
 }
 
 func (v unclearTurnStore) Settle(_ context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
-	if !v.lets.Load() {
+	if !v.accepting.Load() {
 		return nil, errors.New("no answer")
 	}
 	v.taken <- req
@@ -98,7 +98,7 @@
 	return v.begin()
 }
 
-// newGatewayWith is a gateway whose only turn store is the one given.
+// newGatewayWith returns a gateway whose only turn store is the given one.
 func newGatewayWith(contactWindow time.Duration, turnStore tierv1.TurnStore) *Gateway {
 	k := New(Config{Settings: settings.Settings{ContactWindow: contactWindow, MemoryMB: 64}, Log: &log.Logger{Level: log.PanicLevel},
 		TurnStore: func(string) tierv1.TurnStore { return turnStore }})
@@ -107,46 +107,46 @@
 	return k
 }
 
-// A release that no turn store confirms in its usual time goes on: else its reservation would be charged for as
-// long as the program is known. Meanwhile a spent budget is not sure.
+// A release that no turn store confirms within settleWithRetries continues late: otherwise its reservation would be charged for as long
+// as the turn store keeps the program. Meanwhile it stays pending, so that a spent budget is not final.
 func TestRelease_ContinuesLate(t *testing.T) {
-	v := unclearTurnStore{lets: &atomic.Bool{}, taken: make(chan *tierv1.SettleRequest, 1)}
+	v := unclearTurnStore{accepting: &atomic.Bool{}, taken: make(chan *tierv1.SettleRequest, 1)}
 	k := newGatewayWith(20*time.Millisecond, v)
 	t.Cleanup(k.cancelRun)
-	over := (&clientRequest{gateway: k, attemptID: "t"}).releaseInBackground("p", 7)
-	tiertest.WaitUntil(t, "its usual time is over", func() bool { return len(k.lateReleaseSlots) > 0 || len(k.releasesOf("p")) == 0 })
-	assert.Equal(t, len(k.releasesOf("p")), 1, "it was given up")
-	v.lets.Store(true)
-	tiertest.WaitFor(t, "it is settled", over)
-	got := tiertest.WaitFor(t, "what is settled", v.taken)
+	done := (&clientRequest{gateway: k, attemptID: "t"}).releaseInBackground("p", 7)
+	tiertest.WaitUntil(t, "settleWithRetries is over", func() bool { return len(k.lateReleaseSlots) > 0 || len(k.releasesOf("p")) == 0 })
+	assert.Equal(t, len(k.releasesOf("p")), 1, "the release was given up")
+	v.accepting.Store(true)
+	tiertest.WaitFor(t, "the release is settled", done)
+	got := tiertest.WaitFor(t, "the settlement", v.taken)
 	assert.Assert(t, got.Attempt == "t" && got.Tokens == 7 && !got.Stored)
 	assert.Equal(t, len(k.releasesOf("p")), 0)
 }
 
-// Releases beyond their usual time are bounded, and end with the gateway.
+// The number of late releases is bounded, and they end with the gateway.
 func TestRelease_LateOnesAreBounded(t *testing.T) {
-	v := unclearTurnStore{lets: &atomic.Bool{}}
+	v := unclearTurnStore{accepting: &atomic.Bool{}}
 	k := newGatewayWith(time.Millisecond, v)
 	var list []<-chan struct{}
 	for range maxLateReleases + 10 {
 		list = append(list, (&clientRequest{gateway: k, attemptID: "t"}).releaseInBackground("p", 0))
 	}
-	tiertest.WaitUntil(t, "the usual time of all is over", func() bool { return len(k.releasesOf("p")) == maxLateReleases })
+	tiertest.WaitUntil(t, "settleWithRetries is over for all", func() bool { return len(k.releasesOf("p")) == maxLateReleases })
 	assert.Equal(t, len(k.lateReleaseSlots), maxLateReleases)
 	k.cancelRun()
-	for _, over := range list {
-		tiertest.WaitFor(t, "it ends with the gateway", over)
+	for _, done := range list {
+		tiertest.WaitFor(t, "the release ends with the gateway", done)
 	}
 	assert.Equal(t, len(k.pendingReleases), 0)
 }
 
-// Where a call for a turn had no clear answer, it may have reserved, whatever the next answer says: that is released.
+// If a Begin call had no definite reply, it may have made a reservation, whatever the next reply says. The reservation is released.
 func TestRelease_AfterRejectionWithUnclearAnswer(t *testing.T) {
 	for _, verdict := range []tierv1.Verdict{tierv1.Verdict_SPENT, tierv1.Verdict_UNKNOWN} {
 		for name, unclear := range map[string]error{"no answer": errors.New("no answer"), "busy": nil} {
 			t.Run(fmt.Sprint(verdict, " after ", name), func(t *testing.T) {
-				v := unclearTurnStore{lets: &atomic.Bool{}, taken: make(chan *tierv1.SettleRequest, 1)}
-				v.lets.Store(true)
+				v := unclearTurnStore{accepting: &atomic.Bool{}, taken: make(chan *tierv1.SettleRequest, 1)}
+				v.accepting.Store(true)
 				calls := 0
 				v.begin = func() (*tierv1.BeginReply, error) {
 					if calls++; calls == 1 {
@@ -159,13 +159,13 @@
 				begun := k.storeClient.beginAt(t.Context(), &tierv1.BeginRequest{Program: "p", Attempt: "t"})
 				assert.Equal(t, begun.verdict, verdict)
 				request.rejectTurn("p", begun)
-				assert.Equal(t, tiertest.WaitFor(t, "it is released", v.taken).Attempt, "t")
+				assert.Equal(t, tiertest.WaitFor(t, "the reservation is released", v.taken).Attempt, "t")
 			})
 		}
 	}
 }
 
-// A clear refusal has reserved nothing, and nothing is released.
+// After a definite rejection there is no reservation, and nothing is released.
 func TestRelease_NoneAfterClearRejection(t *testing.T) {
 	for _, verdict := range []tierv1.Verdict{tierv1.Verdict_SPENT, tierv1.Verdict_UNKNOWN} {
 		v := unclearTurnStore{begin: func() (*tierv1.BeginReply, error) { return &tierv1.BeginReply{Verdict: verdict}, nil }}
--- a/internal/tier/gateway/resume_test.go
+++ b/internal/tier/gateway/resume_test.go
@@ -23,10 +23,11 @@
 	a.EndStream()
 }
 
-// fiveEvents is the complete answer of answerResumed.
+// fiveEvents returns the body of the complete answer of answerResumed.
 func fiveEvents() string { return events("event 1", "event 2", "event 3", "event 4", "event 5") }
 
-// breakFirstAttempt has whichever endpoint is asked first do as the script says, and the other one answer as resumed.
+// breakFirstAttempt returns two endpoints. The first request is handled by first, at whichever endpoint it arrives; others are answered
+// by answerResumed.
 func breakFirstAttempt(t *testing.T, first func(*tiertest.ReceivedRequest)) (a, b *tiertest.Endpoint) {
 	a, b = twoEndpoints(t, first)
 	for _, e := range [][2]*tiertest.Endpoint{{a, b}, {b, a}} {
@@ -50,7 +51,7 @@
 	}
 }
 
-// failureModes are those in which an attempt can end before its answer has.
+// failureModes returns the ways in which an attempt can end before its answer is complete.
 func failureModes() map[string]func(*tiertest.ReceivedRequest) {
 	return map[string]func(*tiertest.ReceivedRequest){
 		"reset":          (*tiertest.ReceivedRequest).Reset,
@@ -62,7 +63,7 @@
 	}
 }
 
-// streamBytes is the complete answer of answerResumed to an attempt, as it goes over the connection.
+// streamBytes returns the complete answer of answerResumed to an attempt, as sent on the connection.
 func streamBytes(id string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Response-Signature: s.%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", id, id)
@@ -73,7 +74,7 @@
 	return text.String() + "0\r\n\r\n"
 }
 
-// An answer goes on at another endpoint after whatever event the first one broke off, with the head of the first.
+// After whichever event the first attempt breaks off, another endpoint resumes the answer, which has the head of the first attempt.
 func TestResume_ContinuesElsewhere(t *testing.T) {
 	for name, breaks := range failureModes() {
 		for taken := range 6 {
@@ -93,17 +94,17 @@
 	}
 }
 
-// Wherever in its bytes the first attempt breaks off, the client has each event once and in order: nothing is duplicated at the start of a resumed attempt, nothing is
-// missing.
+// After whichever byte the first attempt breaks off, the client has each event once and in order: at the start of the resuming attempt
+// nothing is duplicated and nothing is missing.
 func TestResume_AfterBreakAtEachByte(t *testing.T) {
 	var mu sync.Mutex
-	first := map[string]int{} // by attempt: bytes of its first upstream attempt; removed when that is made
+	first := map[string]int{} // by attempt ID: bytes that its first upstream attempt writes; removed when that attempt is made
 	script := func(a *tiertest.ReceivedRequest) {
 		mu.Lock()
-		cut, is := first[a.AttemptID]
+		cut, isFirst := first[a.AttemptID]
 		delete(first, a.AttemptID)
 		mu.Unlock()
-		if !is {
+		if !isFirst {
 			answerResumed(a)
 			return
 		}
@@ -142,17 +143,17 @@
 	assert.Equal(t, client.ReadEvent(head.Body), tiertest.EventText(2, "event 2"))
 	_, err := io.ReadAll(head.Body)
 	assert.Assert(t, err != nil, "looks complete")
-	var named []string
+	var lastEventIDs []string
 	for _, e := range []*tiertest.Endpoint{a, b, c} {
 		for _, arrival := range e.Requests() {
-			named = append(named, arrival.Header.Get("Last-Event-Id"))
+			lastEventIDs = append(lastEventIDs, arrival.Header.Get("Last-Event-Id"))
 		}
 	}
-	assert.Equal(t, len(named), 2, "max_attempts is 2")
-	assert.Assert(t, named[0] != named[1] && named[0]+named[1] == "1", "%q", named)
+	assert.Equal(t, len(lastEventIDs), 2, "max_attempts is 2")
+	assert.Assert(t, lastEventIDs[0] != lastEventIDs[1] && lastEventIDs[0]+lastEventIDs[1] == "1", "%q", lastEventIDs)
 }
 
-// A second attempt that does not resume where the first one ended is no part of the answer.
+// The events of a second attempt that does not resume where the first one ended are not sent to the client.
 func TestResume_AbortsAtGap(t *testing.T) {
 	for name, second := range map[string]func(*tiertest.ReceivedRequest){
 		"from the beginning": func(x *tiertest.ReceivedRequest) { sendEvents(x, 5); x.EndStream() },
@@ -186,7 +187,7 @@
 	}
 }
 
-// What the client may have is charged once, over all attempts.
+// The events that the client may have received are charged once, over all attempts.
 func TestResume_ChargedForEventsWritten(t *testing.T) {
 	a, b := breakFirstAttempt(t, func(x *tiertest.ReceivedRequest) { sendEvents(x, 3); x.Reset() })
 	r := startGateway(t, a, b)
@@ -197,12 +198,12 @@
 	assert.Equal(t, r.do(turnWithBudget("/resumable/x", "t-3", 9, 4)).Status, 200)
 }
 
-// The text of a stored turn is what its client has, from whichever attempts.
+// The text of a stored turn has the events that its client received, from all attempts.
 func TestResume_TranscriptOfTurn(t *testing.T) {
 	a, b := breakFirstAttempt(t, func(x *tiertest.ReceivedRequest) { sendEvents(x, 3); x.Reset() })
 	r := startGateway(t, a, b)
 	post := func(id, fields, body string) tiertest.Reply {
-		return r.post("/kept/x", id, "Program: p\r\n"+fields, body)
+		return r.post("/resumable-turn/x", id, "Program: p\r\n"+fields, body)
 	}
 	assertAnswer(t, post("t-1", "", "in 1;"), 200, fiveEvents())
 	assertAnswer(t, post("t-2", "Previous: t-1\r\n", "in 2;"), 200, fiveEvents())
@@ -217,23 +218,24 @@
 	assert.Assert(t, texts[0] == want || texts[1] == want || texts[2] == want, "%q", texts)
 }
 
-// A client that comes back with the last event it has gets what follows. If the text is stored, the attempt that makes it is a complete one.
+// A client that reconnects with the ID of its last event gets the events after it. If the turn is stored, the endpoint still generates the
+// complete stream, as the transcript must be complete.
 func TestResume_ClientReconnectsForRest(t *testing.T) {
 	rest := fiveEvents()[len(events("event 1", "event 2")):]
-	for target, passed := range map[string]string{"/resumable/x": "2", "/kept/x": ""} {
+	for target, passed := range map[string]string{"/resumable/x": "2", "/resumable-turn/x": ""} {
 		e := tiertest.NewEndpoint(t, "i-1", "s", answerResumed)
 		r := startGateway(t, e)
 		got := r.post(target, "a-1", "Program: p\r\nLast-Event-Id: 2\r\n", "in;")
 		assertAnswer(t, got, 200, rest)
 		assert.Equal(t, e.Requests()[0].Header.Get("Last-Event-Id"), passed)
-		if target == "/kept/x" {
+		if target == "/resumable-turn/x" {
 			assertAnswer(t, r.post(target, "a-2", "Program: p\r\nPrevious: a-1\r\n", "more"), 200, fiveEvents())
 			assert.Equal(t, e.Requests()[1].BodyText, "in;event 1\nevent 2\nevent 3\nevent 4\nevent 5\nmore")
 		}
 	}
 }
 
-// No attempt follows for a client that is gone.
+// No further attempt is made for a client that is gone.
 func TestResume_NoneAfterClientIsGone(t *testing.T) {
 	gone := make(chan struct{})
 	a, b := breakFirstAttempt(t, func(x *tiertest.ReceivedRequest) { sendEvents(x, 1); x.AwaitClose(); close(gone) })
@@ -244,7 +246,7 @@
 	c.ReadEvent(head.Body)
 	c.Conn.Close()
 	tiertest.WaitFor(t, "the endpoint's connection ends", gone)
-	assertAnswer(t, r.post("/plain/x", "a-2", "", "b"), 200, fiveEvents()) // and nothing of a-1 comes in between
+	assertAnswer(t, r.post("/plain/x", "a-2", "", "b"), 200, fiveEvents()) // a-1 is not sent again meanwhile, as checked below
 	for _, e := range []*tiertest.Endpoint{a, b} {
 		for _, arrival := range e.Requests() {
 			assert.Assert(t, arrival.AttemptID == "a-2" || arrival.Header.Get("Last-Event-Id") == "")
--- a/internal/tier/gateway/resumption_test.go
+++ b/internal/tier/gateway/resumption_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestProgress_NextStep goes through each way in which an attempt can end, at each stage of an answer.
+// TestProgress_NextStep checks each way in which an attempt can end at each stage of an answer.
 func TestProgress_NextStep(t *testing.T) {
 	type stage struct {
 		name      string
@@ -21,7 +21,7 @@
 	commented := func(p *progress) { p.accept("1", true); p.accept("", false) }
 	for _, c := range []struct {
 		stage   stage
-		partial nextStep // the attempt broke off, may be repeated, and attempts are left
+		partial nextStep // expected if the attempt broke off, is retryable and attempts are left
 	}{
 		{stage{"resumable, nothing taken", true, nothing}, retry},
 		{stage{"resumable, two events taken", true, numbered}, resume},
@@ -50,7 +50,7 @@
 	}
 }
 
-// At the start of a resumed attempt no event may be missing; within an attempt ids only rise, which the stream itself checks.
+// At the start of a resuming attempt no event may be missing. Within an attempt IDs must increase, which upstream.Stream checks.
 func TestProgress_NoGapBetweenAttempts(t *testing.T) {
 	for _, c := range []struct {
 		before []string
@@ -62,7 +62,7 @@
 		{[]string{"1", "2"}, "3", true},
 		{[]string{"1", "2"}, "4", false},
 		{[]string{"1", "2"}, "", false},
-		{[]string{"10", "20"}, "30", true}, // ids go by steps that are not known
+		{[]string{"10", "20"}, "30", true}, // IDs are not consecutive, so a gap cannot be detected
 		{[]string{"a", "b"}, "c", true},
 		{[]string{"1", "2"}, "c", false},
 	} {
@@ -76,7 +76,7 @@
 	}
 }
 
-// A client that comes back with the id of the last event that it has is served from the next one on.
+// A client that reconnects with the ID of its last event is served from the next event on.
 func TestProgress_ClientThatReconnects(t *testing.T) {
 	p := newProgress(true, "4")
 	p.beginAttempt()
@@ -86,22 +86,22 @@
 	assert.Assert(t, !p.accept("7", true))
 }
 
-// simulateAttempts simulates attempts that are truncated, duplicated, reordered and emptied, and returns the IDs that were accepted. rises is the check that a stream
-// itself makes of its ids.
-func simulateAttempts(seed uint64, total int, p *progress, take func(id string) bool, rises bool) (got []string) {
+// simulateAttempts simulates attempts that are truncated, duplicated, reordered and emptied, and returns the IDs that were accepted.
+// checkIDs enables the check of upstream.Stream that IDs increase.
+func simulateAttempts(seed uint64, total int, p *progress, take func(id string) bool, checkIDs bool) (got []string) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	for range 6 {
 		p.beginAttempt()
 		from := len(got) + 1
 		switch random.IntN(6) {
-		case 0: // begins too early, as one that does not know where it should
+		case 0: // begins too early, as if Last-Event-Id was ignored
 			from = 1
-		case 1: // leaves something out
+		case 1: // skips events
 			from += 1 + random.IntN(3)
 		}
 		for id := from; id <= min(total, from+random.IntN(6)); id++ {
 			last, _ := strconv.Atoi(p.lastEventID)
-			if rises && id <= last { // the stream ends as malformed
+			if checkIDs && id <= last { // the stream ends as malformed
 				break
 			}
 			if !take(strconv.Itoa(id)) {
@@ -113,7 +113,7 @@
 	return got
 }
 
-// ascending reports whether ids are those of an answer from its beginning, each once. Where a first attempt begins is up to the endpoint.
+// ascending reports whether IDs that begin with 1 are consecutive. The endpoint decides with which ID the first attempt begins.
 func ascending(got []string) bool {
 	for i, id := range got {
 		if got[0] == "1" && id != strconv.Itoa(i+1) {
@@ -123,7 +123,7 @@
 	return true
 }
 
-// FuzzProgress holds what was taken over several attempts against the answer.
+// FuzzProgress checks that the events accepted over several attempts have no gap and no duplicate.
 func FuzzProgress(f *testing.F) {
 	f.Add(uint64(1), uint8(5))
 	f.Add(uint64(99), uint8(20))
@@ -134,14 +134,15 @@
 	})
 }
 
-// Planted: a machine that does not look at the start of a resumed attempt, and a stream whose ids are not looked at, are found within 200 seeds.
-func TestInjectedSeamFaults_AreFound(t *testing.T) {
-	for name, rises := range map[string]bool{"a gap at the seam": true, "a piece doubled at the seam": false} {
+// The simulation must find two injected faults within 200 seeds: a progress that does not check the start of a resuming attempt, and a
+// stream whose IDs are not checked.
+func TestSimulateAttempts_FindsInjectedFaults(t *testing.T) {
+	for name, checkIDs := range map[string]bool{"a gap between attempts": true, "an event duplicated between attempts": false} {
 		found := false
 		for seed := uint64(0); seed < 200 && !found; seed++ {
 			p := newProgress(true, "")
 			blind := func(id string) bool { p.lastEventID = id; return true }
-			found = !ascending(simulateAttempts(seed, 20, &p, blind, rises))
+			found = !ascending(simulateAttempts(seed, 20, &p, blind, checkIDs))
 		}
 		assert.Assert(t, found, name)
 	}
--- a/internal/tier/gateway/shutdown_test.go
+++ b/internal/tier/gateway/shutdown_test.go
@@ -13,8 +13,8 @@
 )
 
 func TestShutdown_CompletesRequests(t *testing.T) {
-	begun, further := make(chan struct{}), make(chan struct{})
-	e := tiertest.NewEndpoint(t, "i-1", "s", pausedStream(begun, further))
+	begun, proceed := make(chan struct{}), make(chan struct{})
+	e := tiertest.NewEndpoint(t, "i-1", "s", pausedStream(begun, proceed))
 	r := startUnconfigured(t, func(s *settings.Settings) { s.GracePeriod = 10 * time.Second })
 	r.configure(r.turnStores.Assign([2]int{0, 1}), e)
 	assert.Equal(t, r.readiness(), 200)
@@ -24,24 +24,24 @@
 	r.stop()
 	tiertest.WaitUntil(t, "not ready", func() bool { return r.readiness() == 503 })
 	// The platform may still send clients: they are served, with Connection: close.
-	tiertest.WaitUntil(t, "clients are told to go", func() bool {
+	tiertest.WaitUntil(t, "answers have Connection: close", func() bool {
 		got := r.post("/none/x", "a-2", "", "b")
 		assert.Equal(t, got.Status, 404)
 		return got.Close
 	})
-	close(further)
+	close(proceed)
 	assertAnswer(t, c.ReadReply(), 200, events("one", "two"))
-	assert.NilError(t, tiertest.WaitFor(t, "it ends", r.done))
+	assert.NilError(t, tiertest.WaitFor(t, "Run returns", r.done))
 	assert.Equal(t, r.readiness(), 503)
 }
 
-// A reservation of a request under way is ended before the process does, and control hears that it leaves.
+// The reservation of a request in flight is settled before the process ends, and the control plane is notified that the gateway drains.
 func TestShutdown_ReleasesReservations(t *testing.T) {
-	begun, further := make(chan struct{}), make(chan struct{})
+	begun, proceed := make(chan struct{}), make(chan struct{})
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
 		beginStream(a, 2)
 		close(begun)
-		<-further
+		<-proceed
 		a.Reset()
 	})
 	r := startUnconfigured(t, func(s *settings.Settings) { s.GracePeriod = 10 * time.Second })
@@ -52,7 +52,7 @@
 		if !ok {
 			return m.Serve()
 		}
-		// It takes until the gateway accepts nothing more.
+		// The settlement is delayed until the gateway accepts no connections.
 		tiertest.WaitUntil(t, "no listener", func() bool {
 			conn, err := net.Dial("tcp", r.ingress)
 			if err == nil {
@@ -70,14 +70,14 @@
 	c.Send(turnRequest("t-1", "", "p", "", "in"))
 	tiertest.WaitFor(t, "the stream begins", begun)
 	r.stop()
-	r.controlPlane.Await(t, "it is leaving", func(q *tierv1.WatchRequest) bool { return q.Role == "gateway" && q.Draining })
-	close(further)
+	r.controlPlane.Await(t, "the gateway is draining", func(q *tierv1.WatchRequest) bool { return q.Role == "gateway" && q.Draining })
+	close(proceed)
 	assert.Assert(t, c.ReadReply().Err != nil)
-	tiertest.WaitFor(t, "it ends", r.done)
+	tiertest.WaitFor(t, "Run returns", r.done)
 	select {
 	case got := <-ends:
 		assert.Equal(t, got.Tokens, uint64(2))
 	default:
-		t.Fatal("the process has ended, its reservation has not")
+		t.Fatal("Run returned before the reservation was settled")
 	}
 }
--- a/internal/tier/gateway/streaming_test.go
+++ b/internal/tier/gateway/streaming_test.go
@@ -33,7 +33,7 @@
 		assert.Equal(t, head.Header.Get("Content-Type"), "text/event-stream")
 		for i, d := range []string{"one", "two", "three"} {
 			assert.Equal(t, c.ReadEvent(head.Body), tiertest.EventText(i+1, d))
-			next <- struct{}{} // only now the next one is made
+			next <- struct{}{} // only now the endpoint writes the next event
 		}
 		rest, err := io.ReadAll(head.Body)
 		assert.NilError(t, err)
@@ -73,12 +73,12 @@
 	}
 }
 
-// A stream that breaks right after its events is not passed on as a complete answer either.
+// A stream that breaks right after its events is not relayed as a complete answer either.
 func TestStream_BrokenAtOnce(t *testing.T) {
-	for _, said := range []int{0, 1, 2} {
+	for _, written := range []int{0, 1, 2} {
 		e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
 			a.WriteStreamHead()
-			for i := range said {
+			for i := range written {
 				a.WriteEvent(i+1, "x")
 			}
 			a.Close()
@@ -86,7 +86,7 @@
 		r := startGateway(t, e)
 		for _, target := range []string{"/stream/x", "/turn/x"} {
 			got := r.post(target, "a"+target, "", "b")
-			assert.Assert(t, got.Err != nil || got.Status == 502, "%d events: %+v", said, got)
+			assert.Assert(t, got.Err != nil || got.Status == 502, "%d events: %+v", written, got)
 		}
 		assert.Equal(t, len(e.Requests()), 2)
 	}
@@ -99,7 +99,7 @@
 	assertAnswer(t, r.post("/turn/x", "a-2", "", "b"), 200, "")
 }
 
-// The endpoint's connection ends with the client's, so that it drops the request.
+// The endpoint's connection ends with the client's, so that the endpoint aborts the request.
 func TestStream_ClientGone(t *testing.T) {
 	gone := make(chan struct{})
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
@@ -117,11 +117,11 @@
 	tiertest.WaitFor(t, "the endpoint's connection ends", gone)
 }
 
-// A client that takes nothing of a stream, and leaves, ends the endpoint's work too.
+// The endpoint's connection also ends if the client closes its own without having read the events.
 func TestStream_AbortedForClientThatReadsNothing(t *testing.T) {
-	at, gone := make(chan struct{}, 1), make(chan time.Time, 1)
+	arrived, gone := make(chan struct{}, 1), make(chan time.Time, 1)
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
-		at <- struct{}{}
+		arrived <- struct{}{}
 		a.WriteStreamHead()
 		text := tiertest.EventText(1, strings.Repeat("x", 1<<16))
 		for n := 1; ; n++ {
@@ -136,10 +136,10 @@
 	eventuallyWithinLimit(t, func(try int) time.Duration {
 		c := tiertest.Connect(t, r.ingress)
 		c.Send(tiertest.Post("/stream/x", fmt.Sprintf("a-%d", try), "", "b"))
-		tiertest.WaitFor(t, "the request arrives", at)
+		tiertest.WaitFor(t, "the request arrives", arrived)
 		assert.Equal(t, c.ReadHead().StatusCode, http.StatusOK)
-		left := time.Now()
+		closedAt := time.Now()
 		c.Conn.Close()
-		return tiertest.WaitFor(t, "the endpoint's connection ends", gone).Sub(left)
+		return tiertest.WaitFor(t, "the endpoint's connection ends", gone).Sub(closedAt)
 	})
 }
--- a/internal/tier/gateway/turns_test.go
+++ b/internal/tier/gateway/turns_test.go
@@ -24,7 +24,7 @@
 	assertAnswer(t, r.do(turnRequest("t-2", "t-1", "p", "", "in 2;")), 200, events(twoEvents("t-2")...))
 	want["t-3"] = want["t-2"] + transcriptOf("t-2") + "in 3;"
 	assertAnswer(t, r.do(turnRequest("t-3", "t-2", "p", "", "in 3;")), 200, events(twoEvents("t-3")...))
-	want["t-2b"] = want["t-1"] + transcriptOf("t-1") + "in 2b;" // beside t-2
+	want["t-2b"] = want["t-1"] + transcriptOf("t-1") + "in 2b;" // branches off t-1, as t-2 does
 	assertAnswer(t, r.do(turnRequest("t-2b", "t-1", "p", "", "in 2b;")), 200, events(twoEvents("t-2b")...))
 	for _, a := range e.Requests() {
 		assert.Equal(t, a.BodyText, want[a.AttemptID], a.AttemptID)
@@ -34,7 +34,7 @@
 	assert.Equal(t, len(e.Requests()), 4)
 }
 
-// The data lines of an event count, joined by line feeds; what has none counts for nothing.
+// The transcript has the data lines of each event, joined by line feeds. An event without data adds nothing.
 func TestTurn_TranscriptHasOnlyData(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
 		a.WriteStreamHead()
@@ -51,19 +51,19 @@
 func TestTurn_EndOnlyWhenStored(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
-	asked, release := make(chan struct{}, 16), make(chan struct{})
+	called, release := make(chan struct{}, 16), make(chan struct{})
 	var released atomic.Bool
 	r.turnStores.List[0].SetInterceptor(func(m tiertest.RPC) error {
 		if m.Method == "Settle" {
-			asked <- struct{}{}
+			called <- struct{}{}
 			<-release
 		}
 		return m.Serve()
 	})
 	c := tiertest.Connect(t, r.ingress)
 	head := sendTurn(t, c, "t-1")
-	tiertest.WaitFor(t, "the turn store is asked to keep the turn", asked)
-	assert.Assert(t, !c.EndsSoon(), "the end left before the turn was kept")
+	tiertest.WaitFor(t, "the turn store is called to store the turn", called)
+	assert.Assert(t, !c.EndsSoon(), "the end was sent before the turn was stored")
 	released.Store(true)
 	close(release)
 	rest, err := io.ReadAll(head.Body)
@@ -72,16 +72,16 @@
 	assert.Equal(t, r.do(turnRequest("t-2", "t-1", "p", "", "more")).Status, 200)
 }
 
-// The end waits for the backup, too.
+// The end of the answer also waits for the backup.
 func TestTurn_EndOnlyWhenBackupHasIt(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
-	var off atomic.Bool
-	refused := make(chan struct{}, 1000)
+	var unreachable atomic.Bool
+	dropped := make(chan struct{}, 1000)
 	r.turnStores.List[1].SetInterceptor(func(m tiertest.RPC) error {
-		if off.Load() {
+		if unreachable.Load() {
 			select {
-			case refused <- struct{}{}:
+			case dropped <- struct{}{}:
 			default:
 			}
 			return tiertest.ErrMessageLost
@@ -89,14 +89,14 @@
 		return m.Serve()
 	})
 	e.SetHandler(func(a *tiertest.ReceivedRequest) {
-		off.Store(true)
+		unreachable.Store(true)
 		streamTwoEvents(a)
 	})
 	c := tiertest.Connect(t, r.ingress)
 	head := sendTurn(t, c, "t-1")
-	tiertest.WaitFor(t, "the backup is asked", refused)
-	assert.Assert(t, !c.EndsSoon(), "the end left before the backup had the turn")
-	off.Store(false)
+	tiertest.WaitFor(t, "the backup is called", dropped)
+	assert.Assert(t, !c.EndsSoon(), "the end was sent before the backup had the turn")
+	unreachable.Store(false)
 	_, err := io.ReadAll(head.Body)
 	assert.NilError(t, err)
 }
@@ -122,14 +122,14 @@
 func TestTurn_BudgetSpent(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
-	ask := func(id string, most int) int {
-		return r.do(turnRequest(id, "", "p", fmt.Sprintf("Budget: 10\r\nX-Token-Usage: 5,%d\r\n", most), "in")).Status
+	send := func(id string, maxTokens int) int {
+		return r.do(turnRequest(id, "", "p", fmt.Sprintf("Budget: 10\r\nX-Token-Usage: 5,%d\r\n", maxTokens), "in")).Status
 	}
-	assert.Equal(t, ask("t-1", 11), 402)
+	assert.Equal(t, send("t-1", 11), 402)
 	assert.Equal(t, len(e.Requests()), 0)
-	assert.Equal(t, ask("t-2", 10), 200) // two events: 2 tokens
-	assert.Equal(t, ask("t-3", 9), 402)
-	assert.Equal(t, ask("t-4", 8), 200)
+	assert.Equal(t, send("t-2", 10), 200) // two events: 2 tokens
+	assert.Equal(t, send("t-3", 9), 402)
+	assert.Equal(t, send("t-4", 8), 200)
 	assert.Equal(t, len(e.Requests()), 2)
 	assert.Equal(t, r.do(turnRequest("t-5", "", "p", "Budget: ten\r\n", "in")).Status, 400)
 	assert.Equal(t, len(e.Requests()), 2)
@@ -176,7 +176,7 @@
 	}
 }
 
-// A client that goes pays for what it may have.
+// A turn whose client is gone is charged for the events that the client may have received.
 func TestTurn_ClientGoneIsCharged(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) { beginStream(a, 2); a.AwaitClose() })
 	r := startGateway(t, e)
@@ -190,7 +190,7 @@
 	assert.Equal(t, tiertest.WaitFor(t, "the reservation ends", ends).Tokens, uint64(2))
 }
 
-// A program continues the turn of another one, whichever partition that lies in.
+// A turn can continue a turn of another program, in whichever partition that is.
 func TestTurn_ContinuesAnotherProgram(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startUnconfigured(t)
@@ -211,12 +211,12 @@
 	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startUnconfigured(t)
 	r.configure(r.turnStores.Assign([2]int{0, 1}, [2]int{1, 0}, [2]int{2, 0}), e)
-	ask := func(program string) tiertest.Reply {
+	send := func(program string) tiertest.Reply {
 		return r.do(turnRequest("t-"+program, "t-none", program, "X-Deadline-Ms: 900\r\n", "in"))
 	}
 	r.turnStores.List[2].SetUnreachable(true)
 	for i := range 6 {
-		assertNotExecuted(t, ask(fmt.Sprintf("p-%d", i)))
+		assertNotExecuted(t, send(fmt.Sprintf("p-%d", i)))
 	}
 	r.turnStores.List[2].SetUnreachable(false)
 	for i := range 6 {
@@ -229,32 +229,32 @@
 func TestTurn_NotSentWithoutTurnStore(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
-	for name, via := range map[string]func(tiertest.RPC) error{
+	for name, interceptor := range map[string]func(tiertest.RPC) error{
 		"silent": func(m tiertest.RPC) error { <-m.Ctx.Done(); return m.Ctx.Err() },
 		"error":  func(tiertest.RPC) error { return errors.New("no") },
 	} {
-		r.turnStores.List[0].SetInterceptor(via)
+		r.turnStores.List[0].SetInterceptor(interceptor)
 		assertNotExecuted(t, r.do(turnRequest("t-"+name, "", "p", "X-Deadline-Ms: 600\r\n", "in")))
 	}
 	assert.Equal(t, len(e.Requests()), 0)
 }
 
-// The primary turn store loses its power while the endpoint answers; the turn is stored at the one that a new map names.
+// The primary turn store becomes unreachable while the endpoint answers. The turn is stored at the primary of the next partition map.
 func TestTurn_TurnStoreDiesWithinTurn(t *testing.T) {
-	begun, further := make(chan struct{}), make(chan struct{})
+	begun, proceed := make(chan struct{}), make(chan struct{})
 	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
 	assert.Equal(t, r.do(turnRequest("t-1", "", "p", "", "in 1;")).Status, 200)
-	e.SetHandler(pausedStream(begun, further))
+	e.SetHandler(pausedStream(begun, proceed))
 	c := tiertest.Connect(t, r.ingress)
 	c.Send(turnRequest("t-2", "t-1", "p", "", "in 2;"))
 	tiertest.WaitFor(t, "the stream begins", begun)
 	r.turnStores.List[0].SetUnreachable(true)
-	close(further)
+	close(proceed)
 	head := c.ReadHead()
 	c.ReadEvent(head.Body)
 	c.ReadEvent(head.Body)
-	assert.Assert(t, !c.EndsSoon(), "the end left before the turn was kept")
+	assert.Assert(t, !c.EndsSoon(), "the end was sent before the turn was stored")
 	r.controlPlane.SetPartitionMap(r.turnStores.Assign([2]int{1, 2}))
 	_, err := io.ReadAll(head.Body)
 	assert.NilError(t, err)
@@ -263,19 +263,19 @@
 	assert.Equal(t, e.Requests()[2].BodyText, "in 1;"+transcriptOf("t-1")+"in 2;one\ntwo\nin 3;")
 }
 
-// TestTurn_WaitEndsWithClient: a client that closes its connection while its turn waits for the turn store has it end there. Nothing of
-// it reaches an endpoint, and what may have been reserved is released.
+// TestTurn_WaitEndsWithClient: if a client closes its connection while its turn waits for the turn store, that call is canceled. The turn
+// is not sent to an endpoint, and a reservation that it may have is released.
 func TestTurn_WaitEndsWithClient(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
-	asked, ended, settled := make(chan struct{}, 100), make(chan time.Time, 100), make(chan *tierv1.SettleRequest, 100)
+	called, ended, settled := make(chan struct{}, 100), make(chan time.Time, 100), make(chan *tierv1.SettleRequest, 100)
 	r.turnStores.List[0].SetInterceptor(func(m tiertest.RPC) error {
 		switch q := m.Request.(type) {
 		case *tierv1.BeginRequest:
 			if err := m.Serve(); err != nil {
 				return err
 			}
-			asked <- struct{}{}
+			called <- struct{}{}
 			<-m.Ctx.Done()
 			ended <- time.Now()
 			return m.Ctx.Err()
@@ -288,10 +288,10 @@
 		id := fmt.Sprintf("t-%d", try)
 		c := tiertest.Connect(t, r.ingress)
 		c.Send(turnRequest(id, "", "p", "", "in"))
-		tiertest.WaitFor(t, "the turn store is asked", asked)
-		left := time.Now()
+		tiertest.WaitFor(t, "the turn store is called", called)
+		closedAt := time.Now()
 		c.Conn.Close()
-		took := tiertest.WaitFor(t, "the question ends", ended).Sub(left)
+		took := tiertest.WaitFor(t, "the call ends", ended).Sub(closedAt)
 		got := tiertest.WaitFor(t, "the reservation is released", settled)
 		assert.Assert(t, got.Attempt == id && !got.Stored && got.Tokens == 0)
 		return took
@@ -299,7 +299,7 @@
 	assert.Equal(t, len(e.Requests()), 0)
 }
 
-// TestTurn_AttemptRunsOnce: the id of a turn that has been settled, stored or not, is never run once more, whatever comes with it.
+// TestTurn_AttemptRunsOnce: an attempt ID whose turn has been settled, stored or not, is never executed again.
 func TestTurn_AttemptRunsOnce(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", resetOf("t-1"))
 	r := startGateway(t, e)
@@ -311,9 +311,9 @@
 	assert.Equal(t, len(e.Requests()), 2)
 }
 
-// TestTurn_RetriedThroughAnotherGateway: while a turn may still run, its budget holds against the next attempt at another
-// gateway; once its client is gone, that gateway's release makes room for it, less what was written, and its own id never
-// runs once more anywhere.
+// TestTurn_RetriedThroughAnotherGateway: while a turn may still run, its reservation counts against the next attempt at another
+// gateway. Once the turn's client is gone, its gateway releases the reservation except for the events written, and the next attempt
+// fits the budget. The ID of the first attempt is never executed again at any gateway.
 func TestTurn_RetriedThroughAnotherGateway(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
 		if a.AttemptID == "t-1" {
@@ -325,8 +325,8 @@
 	})
 	first, second := startTwoGateways(t, e)
 	ends := settlementsOf(first.turnStores.List[0])
-	text := func(id string, most int) string {
-		return turnRequest(id, "", "p", fmt.Sprintf("Budget: 20\r\nX-Token-Usage: 9,%d\r\n", most), "in")
+	text := func(id string, maxTokens int) string {
+		return turnRequest(id, "", "p", fmt.Sprintf("Budget: 20\r\nX-Token-Usage: 9,%d\r\n", maxTokens), "in")
 	}
 	c := tiertest.Connect(t, first.ingress)
 	c.Send(text("t-1", 20))
@@ -343,7 +343,7 @@
 	assert.Equal(t, len(e.Requests()), 2)
 }
 
-// A turn that could not be stored in time charges what its client may have, not its maximum.
+// A turn that could not be stored in time is charged for the events that its client may have received, not for its maximum.
 func TestTurn_NotStoredIsChargedForEventsWritten(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
@@ -371,7 +371,7 @@
 	assert.Equal(t, r.do(turnRequest("t-3", "", "p", fmt.Sprintf(budget, 8), "in")).Status, 200)
 }
 
-// A stream that lasts longer than its time has its end soon after, though no turn store takes its release.
+// A stream that exceeds its deadline is ended soon after the deadline, even if no turn store confirms its release.
 func TestTurn_OverdueEndsThoughReleaseIsDelayed(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) { beginStream(a, 1); a.AwaitClose() })
 	r := startUnconfigured(t, func(s *settings.Settings) { s.ContactWindow = time.Minute })
