--- a/internal/tier/loadbalancer/outcomes.go
+++ b/internal/tier/loadbalancer/outcomes.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// recordLatency updates the time-outs of the route: only served first attempts are samples (Karn's algorithm), and an expired time-out is doubled.
+// recordLatency updates the time-outs of the route: only served first attempts are samples (Karn's algorithm), and an expired time-out
+// is doubled.
 func (balancer *Balancer) recordLatency(now time.Duration, call *Call, outcome Outcome) {
 	if outcome.Kind == Served && outcome.LongestGap > 0 {
 		call.gapOracle.AddSample(outcome.LongestGap, 1, false)
--- a/internal/tier/loadbalancer/outlier_ejection.go
+++ b/internal/tier/loadbalancer/outlier_ejection.go
@@ -5,7 +5,7 @@
 const (
 	minProbeBackoff        = 250 * time.Millisecond // from an ejection to the first probe; doubles with each failed one
 	maxProbeBackoff        = 4 * time.Second
-	maxSharedProbeBackoff  = time.Second // maxProbeBackoff of an endpoint that other senders do not probe
+	maxSharedProbeBackoff  = time.Second // replaces maxProbeBackoff for an endpoint that other senders do not probe
 	nonRetryableProbeDelay = time.Second // added before a request that can't be retried is used as a probe
 )
 
@@ -76,7 +76,7 @@
 	return endpoint.ejected && endpoint.probesInFlight == 0 && now >= due
 }
 
-// Reports are the changes that other senders should learn of.
+// Reports are the changes to be shared with other senders.
 type Reports struct {
 	Ejected  []string // instances ejected by this sender's own observations, including ejected ones whose probe has failed
 	Restored []string // instances that other senders had reported as ejected, and that have responded to this one
--- a/internal/tier/loadbalancer/selection_policies.go
+++ b/internal/tier/loadbalancer/selection_policies.go
@@ -203,7 +203,7 @@
 	local, remote := &candidates.local, &candidates.remote
 	mean := (local.totalCost + remote.totalCost) / float64(max(1, local.count+remote.count))
 	// A session that moves is prefilled again and evicts cached prefixes of other sessions. The more of the caches is in use, the more
-	// likely is that.
+	// likely that is.
 	displaced := mean * min(1, mean)
 	if endpoint.cost(pick.now) > max(stickyCostFactor*mean, mean+displaced+stickyCostMargin/float64(endpoint.capacity())) {
 		return nil
--- a/internal/tier/loadbalancer/selection_policies_test.go
+++ b/internal/tier/loadbalancer/selection_policies_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Sessions go to the same endpoints from different senders. While other endpoints are replaced, a session stays at its endpoint or
-// moves to a new one.
+// Different senders send a session to the same endpoint. While other endpoints are replaced, a session stays at its endpoint or moves
+// to a new one.
 func TestAffinityPolicy_StableThroughRelease(t *testing.T) {
 	r, other := newHarness(t, 6, 96), newHarness(t, 6, 96)
 	previous := map[int]string{}
@@ -96,7 +96,7 @@
 		}
 	}
 	assert.Assert(t, remaining > 60)
-	assert.Assert(t, float64(stayed) > 0.35*float64(remaining), "%d of %d", stayed, remaining) // three new endpoints beside three old ones get half of the sessions
+	assert.Assert(t, float64(stayed) > 0.35*float64(remaining), "%d of %d", stayed, remaining) // half go to the three new ones
 }
 
 // A session's endpoint gets no more than its bounded load. The sender's zone is preferred until it is loaded.
