--- a/internal/tier/gateway/attempts.go
+++ b/internal/tier/gateway/attempts.go
@@ -51,8 +51,8 @@
 	return upstreamRequest
 }
 
-// mayStillSend reports whether the endpoint list is current, and has the selected instance, not draining. It is called right before
-// the request is written.
+// mayStillSend reports whether the endpoint list is current and the selected instance is listed and not draining. It is called right
+// before the request is written.
 func (gateway *Gateway) mayStillSend(selection loadbalancer.Selection) bool {
 	if !gateway.session.Current() {
 		return false
@@ -78,7 +78,7 @@
 	if result.Outcome != upstream.Streaming {
 		request.gateway.counters.countAttempt(result)
 		outcome := callOutcome(result, time.Since(request.sentAt))
-		if outcome.Kind == loadbalancer.NotSent && !request.gateway.session.Current() { // the endpoint list is not current, which is no failure of the endpoint
+		if outcome.Kind == loadbalancer.NotSent && !request.gateway.session.Current() { // not a failure of the endpoint
 			outcome.Kind = loadbalancer.Canceled
 		}
 		request.gateway.callDone(selection.Call, outcome)
--- a/internal/tier/gateway/attempts_internal_test.go
+++ b/internal/tier/gateway/attempts_internal_test.go
@@ -26,15 +26,15 @@
 			return &tierv1.Endpoint{Instance: instance, Service: "s", Address: "127.0.0.1:1", Capacity: 8, Draining: draining}
 		}
 		control.SetEndpoints(entry("i-1", false), entry("i-2", false))
-		k := New(Config{Settings: tiertest.Settings("edge-1"), Log: tiertest.DiscardLogger(),
+		gateway := New(Config{Settings: tiertest.Settings("edge-1"), Log: tiertest.DiscardLogger(),
 			ControlPlane: func(string) tierv1.ControlPlane { return control }})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go k.session.Run(ctx)
+		go gateway.session.Run(ctx)
 		control.AwaitAcknowledged(t)
 		synctest.Wait()
 
-		request := &clientRequest{gateway: k, exchange: &ingress.Exchange{Method: "GET", Target: "/"}, service: "s", ctx: ctx,
+		request := &clientRequest{gateway: gateway, exchange: &ingress.Exchange{Method: "GET", Target: "/"}, service: "s", ctx: ctx,
 			route: &routing.Route{Name: "r", LatencyTarget: 400 * time.Millisecond, MaxAttempts: 2}, deadline: time.Now().Add(time.Hour)}
 		picked := request.selectEndpoint()
 		assert.Equal(t, picked.Decision, loadbalancer.Send)
@@ -66,9 +66,9 @@
 
 // The endpoint list is checked right before a request is written, not only when its endpoint is selected.
 func TestAttempts_EndpointListIsCheckedBeforeWrite(t *testing.T) {
-	k := New(Config{Settings: tiertest.Settings("edge-1"), Log: tiertest.DiscardLogger()})
-	w := &clientRequest{gateway: k, exchange: &ingress.Exchange{Method: "GET", Target: "/"}, route: &routing.Route{}}
-	permit := w.upstreamRequest(loadbalancer.Selection{Instance: "i-1"}).Permit
+	gateway := New(Config{Settings: tiertest.Settings("edge-1"), Log: tiertest.DiscardLogger()})
+	request := &clientRequest{gateway: gateway, exchange: &ingress.Exchange{Method: "GET", Target: "/"}, route: &routing.Route{}}
+	permit := request.upstreamRequest(loadbalancer.Selection{Instance: "i-1"}).Permit
 	entry := func(draining bool) *tierv1.Endpoint {
 		return &tierv1.Endpoint{Instance: "i-1", Service: "s", Address: "127.0.0.1:1", Draining: draining}
 	}
@@ -83,7 +83,7 @@
 		{nil, false},
 		{[]*tierv1.Endpoint{{Instance: "i-2", Service: "s", Address: "127.0.0.1:1"}}, false}, // another instance at the address
 	} {
-		k.applyEndpoints(&tierv1.Endpoints{Version: uint64(i + 1), List: c.list})
+		gateway.applyEndpoints(&tierv1.Endpoints{Version: uint64(i + 1), List: c.list})
 		assert.Equal(t, permit(), c.want, "list %d", i+1)
 	}
 }
--- a/internal/tier/gateway/attempts_test.go
+++ b/internal/tier/gateway/attempts_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// If the first attempt may have been executed, a rejection of the second one is no proof that the request was not executed.
+// If the first attempt may have been executed, the answer is a 502 even if the second attempt is rejected.
 func TestAttempts_RejectionAfterBreakIsBadGateway(t *testing.T) {
 	a, b := twoEndpoints(t, (*tiertest.ReceivedRequest).Reset)
 	refuse := func(own, other *tiertest.Endpoint) func(*tiertest.ReceivedRequest) {
--- a/internal/tier/gateway/budgets_test.go
+++ b/internal/tier/gateway/budgets_test.go
@@ -93,7 +93,7 @@
 	r.turnStores.List[0].SetInterceptor(func(tiertest.RPC) error { return tiertest.ErrMessageLost })
 	assertNotExecuted(t, r.do(tiertest.Post("/stream/x", "t-1", "Program: p\r\nX-Deadline-Ms: 600\r\nBudget: 10\r\nX-Token-Usage: 5,9\r\n", "in")))
 	assert.Equal(t, len(e.Requests()), 0)
-	assertAnswer(t, r.do(tiertest.Post("/stream/x", "t-2", "Program: p\r\n", "in")), 200, events(twoEvents("t-2")...)) // without a budget no turn store is called
+	assertAnswer(t, r.do(tiertest.Post("/stream/x", "t-2", "Program: p\r\n", "in")), 200, events(twoEvents("t-2")...)) // no budget: no turn store is called
 }
 
 // The end of an answer waits only briefly for a turn store that does not answer, as only the budget depends on it.
--- a/internal/tier/gateway/doc.go
+++ b/internal/tier/gateway/doc.go
@@ -1,5 +1,5 @@
 // Package gateway implements the role of the serving tier that carries the traffic: a reverse proxy that forwards requests of agent
-// programs to endpoints, stores turns and enforces token budgets.
+// programs to endpoints, and supports stored turns and token budgets.
 //
 // # Request path
 //
--- a/internal/tier/gateway/ejections_test.go
+++ b/internal/tier/gateway/ejections_test.go
@@ -20,7 +20,7 @@
 	for i := range 3 {
 		assert.Equal(t, first.post("/once/x", fmt.Sprint("a-", i), "", "b").Status, 502)
 	}
-	first.controlPlane.Await(t, "the first gateway receives its report", func(r *tierv1.WatchRequest) bool { return r.EjectionsVersion > 0 })
+	first.controlPlane.Await(t, "the first gateway receives the ejection that it reported", func(r *tierv1.WatchRequest) bool { return r.EjectionsVersion > 0 })
 	first.controlPlane.Update(func(v *tierv1.WatchReply) { assert.Equal(t, v.Ejections.List[0].Instance, "i-bad") })
 	second.listEndpoints(bad, good)
 	second.controlPlane.AwaitAcknowledged(t)
--- a/internal/tier/gateway/fault_test.go
+++ b/internal/tier/gateway/fault_test.go
@@ -11,7 +11,7 @@
 	"saffronyard.example/saffronyard/internal/tier/tiertest"
 )
 
-// fault is a fault of one message.
+// fault is a fault to inject into one message.
 type fault struct {
 	name string
 	// call injects it into a call to the turn store; late defers a delivery.
--- a/internal/tier/gateway/harness_test.go
+++ b/internal/tier/gateway/harness_test.go
@@ -60,9 +60,9 @@
 	r := &harness{t: t, settings: s, controlPlane: tiertest.NewControlPlane(), turnStores: tiertest.NewTurnStores(t, 3), ingress: s.Frontend, probe: s.Readiness, done: make(chan error, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
-	k := gateway.New(gateway.Config{Settings: s, ControlPlane: func(string) tierv1.ControlPlane { return r.controlPlane }, TurnStore: func(address string) tierv1.TurnStore { return r.turnStores.Dial(address) }, Log: tiertest.DiscardLogger()})
+	instance := gateway.New(gateway.Config{Settings: s, ControlPlane: func(string) tierv1.ControlPlane { return r.controlPlane }, TurnStore: func(address string) tierv1.TurnStore { return r.turnStores.Dial(address) }, Log: tiertest.DiscardLogger()})
 	go func() {
-		r.done <- k.Run(ctx)
+		r.done <- instance.Run(ctx)
 		close(r.done)
 	}()
 	t.Cleanup(func() {
@@ -258,9 +258,9 @@
 }
 
 // settlementsOf returns a channel of the settlements that a turn store has accepted from then on.
-func settlementsOf(v *tiertest.TurnStore) <-chan *tierv1.SettleRequest {
+func settlementsOf(store *tiertest.TurnStore) <-chan *tierv1.SettleRequest {
 	all := make(chan *tierv1.SettleRequest, 1000)
-	v.SetInterceptor(func(m tiertest.RPC) error {
+	store.SetInterceptor(func(m tiertest.RPC) error {
 		err := m.Serve()
 		if q, ok := m.Request.(*tierv1.SettleRequest); ok && err == nil {
 			all <- q
--- a/internal/tier/gateway/releases_internal_test.go
+++ b/internal/tier/gateway/releases_internal_test.go
@@ -24,10 +24,10 @@
 	called, proceed chan struct{}
 }
 
-func (v slowTurnStore) Settle(ctx context.Context, _ *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
-	close(v.called)
+func (store slowTurnStore) Settle(ctx context.Context, _ *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
+	close(store.called)
 	select {
-	case <-v.proceed:
+	case <-store.proceed:
 		return &tierv1.SettleReply{Verdict: tierv1.Verdict_OK}, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -36,20 +36,20 @@
 
 // An attempt that finds the budget spent waits for the pending releases of its program, and only for these.
 func TestAwaitReleases(t *testing.T) {
-	v := slowTurnStore{called: make(chan struct{}), proceed: make(chan struct{})}
-	k := New(Config{Settings: settings.Settings{ContactWindow: time.Minute, MemoryMB: 64}, Log: &log.Logger{Level: log.PanicLevel},
-		TurnStore: func(string) tierv1.TurnStore { return v }})
-	k.storeClient.apply(&tierv1.PartitionMap{Version: 1, StoreNodes: []*tierv1.StoreNode{{Folder: "f", Address: "a"}},
+	store := slowTurnStore{called: make(chan struct{}), proceed: make(chan struct{})}
+	gateway := New(Config{Settings: settings.Settings{ContactWindow: time.Minute, MemoryMB: 64}, Log: &log.Logger{Level: log.PanicLevel},
+		TurnStore: func(string) tierv1.TurnStore { return store }})
+	gateway.storeClient.apply(&tierv1.PartitionMap{Version: 1, StoreNodes: []*tierv1.StoreNode{{Folder: "f", Address: "a"}},
 		Partitions: []*tierv1.Partition{{Epoch: 1, Primary: "f"}}})
 	ctx := context.Background()
-	assert.Assert(t, !awaitReleases(ctx, k.releasesOf("p")))
-	done := (&clientRequest{gateway: k, attemptID: "t"}).releaseInBackground("p", 0)
-	<-v.called
-	assert.Assert(t, !awaitReleases(ctx, k.releasesOf("another")))
+	assert.Assert(t, !awaitReleases(ctx, gateway.releasesOf("p")))
+	done := (&clientRequest{gateway: gateway, attemptID: "t"}).releaseInBackground("p", 0)
+	<-store.called
+	assert.Assert(t, !awaitReleases(ctx, gateway.releasesOf("another")))
 	ended, cancel := context.WithCancel(ctx)
 	cancel()
-	assert.Assert(t, !awaitReleases(ended, k.releasesOf("p"))) // the release is still pending
-	pending := k.releasesOf("p")
+	assert.Assert(t, !awaitReleases(ended, gateway.releasesOf("p"))) // the release is still pending
+	pending := gateway.releasesOf("p")
 	waited := make(chan bool)
 	go func() { waited <- awaitReleases(ctx, pending) }()
 	select {
@@ -57,11 +57,11 @@
 		t.Fatal("awaitReleases did not wait")
 	default:
 	}
-	close(v.proceed)
+	close(store.proceed)
 	<-done
 	assert.Assert(t, <-waited)
-	assert.Assert(t, !awaitReleases(ctx, k.releasesOf("p")))
-	assert.Equal(t, len(k.pendingReleases), 0)
+	assert.Assert(t, !awaitReleases(ctx, gateway.releasesOf("p")))
+	assert.Equal(t, len(gateway.pendingReleases), 0)
 }
 
 // The time that a turn store allows for a release after a failover covers a call of a gateway and the backoff after it, for any contact
@@ -86,58 +86,58 @@
 	begin     func() (*tierv1.BeginReply, error)
 }
 
-func (v unclearTurnStore) Settle(_ context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
-	if !v.accepting.Load() {
+func (store unclearTurnStore) Settle(_ context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
+	if !store.accepting.Load() {
 		return nil, errors.New("no answer")
 	}
-	v.taken <- req
+	store.taken <- req
 	return &tierv1.SettleReply{Verdict: tierv1.Verdict_OK}, nil
 }
 
-func (v unclearTurnStore) Begin(context.Context, *tierv1.BeginRequest) (*tierv1.BeginReply, error) {
-	return v.begin()
+func (store unclearTurnStore) Begin(context.Context, *tierv1.BeginRequest) (*tierv1.BeginReply, error) {
+	return store.begin()
 }
 
 // newGatewayWith returns a gateway whose only turn store is the given one.
 func newGatewayWith(contactWindow time.Duration, turnStore tierv1.TurnStore) *Gateway {
-	k := New(Config{Settings: settings.Settings{ContactWindow: contactWindow, MemoryMB: 64}, Log: &log.Logger{Level: log.PanicLevel},
+	gateway := New(Config{Settings: settings.Settings{ContactWindow: contactWindow, MemoryMB: 64}, Log: &log.Logger{Level: log.PanicLevel},
 		TurnStore: func(string) tierv1.TurnStore { return turnStore }})
-	k.storeClient.apply(&tierv1.PartitionMap{Version: 1, StoreNodes: []*tierv1.StoreNode{{Folder: "f", Address: "a"}},
+	gateway.storeClient.apply(&tierv1.PartitionMap{Version: 1, StoreNodes: []*tierv1.StoreNode{{Folder: "f", Address: "a"}},
 		Partitions: []*tierv1.Partition{{Epoch: 1, Primary: "f"}}})
-	return k
+	return gateway
 }
 
 // A release that no turn store confirms within settleWithRetries continues late: otherwise its reservation would be charged for as long
 // as the turn store keeps the program. Meanwhile it stays pending, so that a spent budget is not final.
 func TestRelease_ContinuesLate(t *testing.T) {
-	v := unclearTurnStore{accepting: &atomic.Bool{}, taken: make(chan *tierv1.SettleRequest, 1)}
-	k := newGatewayWith(20*time.Millisecond, v)
-	t.Cleanup(k.cancelRun)
-	done := (&clientRequest{gateway: k, attemptID: "t"}).releaseInBackground("p", 7)
-	tiertest.WaitUntil(t, "settleWithRetries is over", func() bool { return len(k.lateReleaseSlots) > 0 || len(k.releasesOf("p")) == 0 })
-	assert.Equal(t, len(k.releasesOf("p")), 1, "the release was given up")
-	v.accepting.Store(true)
+	store := unclearTurnStore{accepting: &atomic.Bool{}, taken: make(chan *tierv1.SettleRequest, 1)}
+	gateway := newGatewayWith(20*time.Millisecond, store)
+	t.Cleanup(gateway.cancelRun)
+	done := (&clientRequest{gateway: gateway, attemptID: "t"}).releaseInBackground("p", 7)
+	tiertest.WaitUntil(t, "settleWithRetries is over", func() bool { return len(gateway.lateReleaseSlots) > 0 || len(gateway.releasesOf("p")) == 0 })
+	assert.Equal(t, len(gateway.releasesOf("p")), 1, "the release was given up")
+	store.accepting.Store(true)
 	tiertest.WaitFor(t, "the release is settled", done)
-	got := tiertest.WaitFor(t, "the settlement", v.taken)
+	got := tiertest.WaitFor(t, "the settlement", store.taken)
 	assert.Assert(t, got.Attempt == "t" && got.Tokens == 7 && !got.Stored)
-	assert.Equal(t, len(k.releasesOf("p")), 0)
+	assert.Equal(t, len(gateway.releasesOf("p")), 0)
 }
 
 // The number of late releases is bounded, and they end with the gateway.
 func TestRelease_LateOnesAreBounded(t *testing.T) {
-	v := unclearTurnStore{accepting: &atomic.Bool{}}
-	k := newGatewayWith(time.Millisecond, v)
+	store := unclearTurnStore{accepting: &atomic.Bool{}}
+	gateway := newGatewayWith(time.Millisecond, store)
 	var list []<-chan struct{}
 	for range maxLateReleases + 10 {
-		list = append(list, (&clientRequest{gateway: k, attemptID: "t"}).releaseInBackground("p", 0))
+		list = append(list, (&clientRequest{gateway: gateway, attemptID: "t"}).releaseInBackground("p", 0))
 	}
-	tiertest.WaitUntil(t, "settleWithRetries is over for all", func() bool { return len(k.releasesOf("p")) == maxLateReleases })
-	assert.Equal(t, len(k.lateReleaseSlots), maxLateReleases)
-	k.cancelRun()
+	tiertest.WaitUntil(t, "settleWithRetries is over for all", func() bool { return len(gateway.releasesOf("p")) == maxLateReleases })
+	assert.Equal(t, len(gateway.lateReleaseSlots), maxLateReleases)
+	gateway.cancelRun()
 	for _, done := range list {
 		tiertest.WaitFor(t, "the release ends with the gateway", done)
 	}
-	assert.Equal(t, len(k.pendingReleases), 0)
+	assert.Equal(t, len(gateway.pendingReleases), 0)
 }
 
 // If a Begin call had no definite reply, it may have made a reservation, whatever the next reply says. The reservation is released.
@@ -145,21 +145,21 @@
 	for _, verdict := range []tierv1.Verdict{tierv1.Verdict_SPENT, tierv1.Verdict_UNKNOWN} {
 		for name, unclear := range map[string]error{"no answer": errors.New("no answer"), "busy": nil} {
 			t.Run(fmt.Sprint(verdict, " after ", name), func(t *testing.T) {
-				v := unclearTurnStore{accepting: &atomic.Bool{}, taken: make(chan *tierv1.SettleRequest, 1)}
-				v.accepting.Store(true)
+				store := unclearTurnStore{accepting: &atomic.Bool{}, taken: make(chan *tierv1.SettleRequest, 1)}
+				store.accepting.Store(true)
 				calls := 0
-				v.begin = func() (*tierv1.BeginReply, error) {
+				store.begin = func() (*tierv1.BeginReply, error) {
 					if calls++; calls == 1 {
 						return &tierv1.BeginReply{Verdict: tierv1.Verdict_BUSY}, unclear
 					}
 					return &tierv1.BeginReply{Verdict: verdict}, nil
 				}
-				k := newGatewayWith(10*time.Second, v)
-				request := &clientRequest{gateway: k, attemptID: "t", exchange: &ingress.Exchange{}}
-				begun := k.storeClient.beginAt(t.Context(), &tierv1.BeginRequest{Program: "p", Attempt: "t"})
+				gateway := newGatewayWith(10*time.Second, store)
+				request := &clientRequest{gateway: gateway, attemptID: "t", exchange: &ingress.Exchange{}}
+				begun := gateway.storeClient.beginAt(t.Context(), &tierv1.BeginRequest{Program: "p", Attempt: "t"})
 				assert.Equal(t, begun.verdict, verdict)
 				request.rejectTurn("p", begun)
-				assert.Equal(t, tiertest.WaitFor(t, "the reservation is released", v.taken).Attempt, "t")
+				assert.Equal(t, tiertest.WaitFor(t, "the reservation is released", store.taken).Attempt, "t")
 			})
 		}
 	}
@@ -168,11 +168,11 @@
 // After a definite rejection there is no reservation, and nothing is released.
 func TestRelease_NoneAfterClearRejection(t *testing.T) {
 	for _, verdict := range []tierv1.Verdict{tierv1.Verdict_SPENT, tierv1.Verdict_UNKNOWN} {
-		v := unclearTurnStore{begin: func() (*tierv1.BeginReply, error) { return &tierv1.BeginReply{Verdict: verdict}, nil }}
-		k := newGatewayWith(10*time.Second, v)
-		begun := k.storeClient.beginAt(t.Context(), &tierv1.BeginRequest{Program: "p", Attempt: "t"})
+		store := unclearTurnStore{begin: func() (*tierv1.BeginReply, error) { return &tierv1.BeginReply{Verdict: verdict}, nil }}
+		gateway := newGatewayWith(10*time.Second, store)
+		begun := gateway.storeClient.beginAt(t.Context(), &tierv1.BeginRequest{Program: "p", Attempt: "t"})
 		assert.Assert(t, begun.verdict == verdict && !begun.maybeReserved)
-		(&clientRequest{gateway: k, attemptID: "t", exchange: &ingress.Exchange{}}).rejectTurn("p", begun)
-		assert.Equal(t, len(k.releasesOf("p")), 0)
+		(&clientRequest{gateway: gateway, attemptID: "t", exchange: &ingress.Exchange{}}).rejectTurn("p", begun)
+		assert.Equal(t, len(gateway.releasesOf("p")), 0)
 	}
 }
--- a/internal/tier/gateway/selection.go
+++ b/internal/tier/gateway/selection.go
@@ -37,7 +37,7 @@
 		select {
 		case <-freed:
 		case <-timer.C:
-		case <-request.ctx.Done(): // one more pick; an attempt would be canceled at once
+		case <-request.ctx.Done(): // picks once more; an attempt would be canceled at once
 			rejectAt = time.Time{}
 		}
 		timer.Stop()
--- a/internal/tier/gateway/streaming.go
+++ b/internal/tier/gateway/streaming.go
@@ -24,7 +24,7 @@
 	clientGone     bool             // a write has failed
 }
 
-// forwardStream serves a request whose answer is passed on event by event.
+// forwardStream serves a request whose answer is relayed event by event.
 func (request *clientRequest) forwardStream(accounting accounting) {
 	after := request.exchange.Header.Get(lastEventIDHeader)
 	relay := &streamRelay{request: request, accounting: accounting, progress: newProgress(request.route.Resumable, after)}
@@ -218,7 +218,7 @@
 	}
 	accounting.transcript.instance = instance
 	if !request.storeTurn(accounting.transcript, tokens) {
-		accounting.reservation.releaseInBackground(tokens) // if the turn was stored nevertheless, the settlement that stored it takes precedence
+		accounting.reservation.releaseInBackground(tokens) // if the turn was stored nevertheless, that settlement takes precedence
 		request.exchange.Abort()
 		return
 	}
