--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// usageBuckets is the granularity of a usage log: a cool-down is divided into so many buckets, and uses within one count as one, at its
-// end. So the log of a million units is no longer than that of a thousand, at the cost of four thousandths of what could be used.
+// usageBuckets is the number of buckets per cool-down in a usage log. Uses within one bucket are merged and count from its end, so the log
+// of a million units is no longer than that of a thousand, at the cost of four thousandths of the usable units.
 const usageBuckets = 256
 
-// Allowance is what a sender may use of one limit. It is asked at the moment at which a call is written. It is not safe for concurrent use;
-// see Allowances.
+// Allowance is the number of units of one limit that a sender may use. It is checked when a call is written. It is not safe for concurrent
+// use; see Allowances.
 type Allowance struct {
 	limit    Limit
 	drift    float64
-	coolDown time.Duration // of what is in the usage log; longer than the limit's if that was so when it was used
+	coolDown time.Duration // of units in the usage log; longer than the limit's if they were used under a longer cool-down
 
 	granted       int64         // by the owner
 	expiresAt     time.Duration // of the grant
-	peakGranted   int64         // the most units that were granted while what cools down now was used
-	reserve       int64         // the sender's own units
-	reserveFrom   time.Duration // until then an earlier process may have used the reserve or the extra
-	usageLog      []usageRecord // that cool down, oldest first
-	cooling       int64         // units of the usage log
+	peakGranted   int64         // maximum of granted while the units that cool down now were used
+	reserve       int64         // units that this sender has without a grant
+	reserveFrom   time.Duration // before it, an earlier process may still be using reserve or PartitionExtra
+	usageLog      []usageRecord // uses that cool down, oldest first
+	cooling       int64         // units in usageLog
 	inFlight      int64         // Concurrent: units of calls in flight
-	spent         int64         // Daily: units that this process has used in all
-	spentReported int64         // of those, as the last request told
+	spent         int64         // Daily: units used by this process
+	spentReported int64         // spent, as of the last request
 }
 
 type usageRecord struct {
@@ -30,15 +30,15 @@
 	units     int64
 }
 
-// NewAllowance makes the allowance of a process that begins now: nothing is granted. reserved is whether the sender is among those that have a
-// reserve.
+// NewAllowance returns the allowance of a process that starts now, without a grant. reserved reports whether the sender is among those with
+// a reserve.
 func NewAllowance(l Limit, drift float64, reserved bool, now time.Duration) *Allowance {
 	a := &Allowance{reserveFrom: now}
 	a.SetLimit(l, drift, reserved, now)
 	return a
 }
 
-// SetLimit replaces the limit. What was used goes on cooling down, for the longer of both cool-downs.
+// SetLimit replaces the limit. Used units continue to cool down, for the longer of both cool-downs.
 func (a *Allowance) SetLimit(l Limit, drift float64, reserved bool, now time.Duration) {
 	former := a.limit
 	a.limit, a.drift, a.coolDown, a.reserve = l, drift, max(l.CoolDown(drift), a.coolDown), 0
@@ -50,7 +50,7 @@
 	}
 }
 
-// expireUsage drops from the usage log what has cooled down.
+// expireUsage removes units that have cooled down from the usage log.
 func (a *Allowance) expireUsage(now time.Duration) {
 	n := 0
 	for n < len(a.usageLog) && a.usageLog[n].bucketEnd+a.coolDown <= now {
@@ -68,7 +68,7 @@
 	}
 }
 
-// grantedAt is how many units are granted at a time.
+// grantedAt returns the number of granted units at a time; 0 once the grant has expired.
 func (a *Allowance) grantedAt(now time.Duration) int64 {
 	if now >= a.expiresAt {
 		return 0
@@ -76,10 +76,10 @@
 	return a.granted
 }
 
-// grantedInUse is how many of the granted units are in flight or cooling: the reserve is used first.
+// grantedInUse returns the number of granted units in flight or cooling; the reserve is used before granted units.
 func (a *Allowance) grantedInUse() int64 { return max(0, a.cooling+a.inFlight-a.reserve) }
 
-// capacity is how many units may be in flight and cooling in all.
+// capacity returns the maximum number of units in flight and cooling.
 func (a *Allowance) capacity(now time.Duration) int64 {
 	all := a.grantedAt(now)
 	if now >= a.reserveFrom {
@@ -91,7 +91,7 @@
 	return all
 }
 
-// Take uses units, or returns false if so many are not available.
+// Take uses units, or returns false if fewer units are available.
 func (a *Allowance) Take(units int64, now time.Duration) bool {
 	a.expireUsage(now)
 	if a.cooling+a.inFlight+units > a.capacity(now) {
@@ -109,7 +109,7 @@
 	return true
 }
 
-// recordUsage starts the cool-down of units, as of the end of the bucket that now lies in.
+// recordUsage starts the cool-down of units at the end of the current bucket.
 func (a *Allowance) recordUsage(units int64, now time.Duration) {
 	bucket := max(1, a.coolDown/usageBuckets)
 	at := (now/bucket + 1) * bucket
@@ -129,7 +129,7 @@
 	}
 }
 
-// Undo gives units back that were taken for a call which was not written. Units of a bucket that is over cool down as if they were used.
+// Undo returns units that were taken for a call which was not written. Units of a bucket that has ended cool down as if they were used.
 func (a *Allowance) Undo(units int64, now time.Duration) {
 	switch a.limit.Kind {
 	case Concurrent:
@@ -147,7 +147,8 @@
 	}
 }
 
-// Available is how many units may be used now, and, if none, when the next one may: Never if it takes another grant.
+// Available returns the number of units that may be used now and, if there are none, when the next unit becomes available; Never if that
+// requires another grant.
 func (a *Allowance) Available(now time.Duration) (units int64, next time.Duration) {
 	a.expireUsage(now)
 	all := a.capacity(now)
@@ -166,8 +167,8 @@
 // Never is a time that does not come.
 const Never = time.Duration(1<<63 - 1)
 
-// Relinquish gives up granted units, for a request to tell: from now on the client holds no more than held, and cooling of those it gave up
-// cool down for another coolingTime. It holds keep units, or more if they are in use by calls in flight.
+// Relinquish gives up granted units and returns the values to report in a request: from now on the client holds at most held units, and
+// cooling of the units given up cool down for another coolingTime. held is at most keep, or more if calls in flight use more units.
 func (a *Allowance) Relinquish(keep int64, now time.Duration) (held, cooling int64, coolingTime time.Duration) {
 	a.expireUsage(now)
 	granted := a.grantedAt(now)
@@ -177,7 +178,7 @@
 	}
 	keep = max(0, min(keep, granted))
 	held = max(keep, min(a.peakGranted, max(0, a.inFlight-a.reserve)))
-	if cooling = min(a.peakGranted, a.grantedInUse()) - held; cooling > 0 { // the newest use cools down last
+	if cooling = min(a.peakGranted, a.grantedInUse()) - held; cooling > 0 { // the latest use is the last to cool down
 		coolingTime = a.usageLog[len(a.usageLog)-1].bucketEnd + a.coolDown - now
 	} else {
 		cooling = 0
@@ -186,20 +187,20 @@
 	return held, cooling, coolingTime
 }
 
-// Renew replaces what was granted by the owner's answer to a request that was sent at requestedAt; the grant lasts for duration from then.
+// Renew replaces the grant by the owner's reply to a request sent at requestedAt; the new grant expires duration after requestedAt.
 func (a *Allowance) Renew(units int64, requestedAt, duration, now time.Duration) {
 	a.expireUsage(now)
 	if requestedAt+duration <= now {
 		return
 	}
-	if a.limit.Kind == Daily { // some of it was used since the request
+	if a.limit.Kind == Daily { // subtract units used since the request
 		units -= a.spent - a.spentReported
 	}
 	a.granted, a.expiresAt = units, requestedAt+duration
 	a.peakGranted = max(a.peakGranted, units)
 }
 
-// RecentUsage is how many units are used within a cool-down, extrapolated from the last half of one, and those in flight.
+// RecentUsage returns the number of units used per cool-down, extrapolated from the last half of one, plus the units in flight.
 func (a *Allowance) RecentUsage(now time.Duration) (units int64) {
 	for i := len(a.usageLog) - 1; i >= 0 && a.usageLog[i].bucketEnd > now-a.coolDown/2; i-- {
 		units += a.usageLog[i].units
@@ -207,10 +208,10 @@
 	return 2*units + a.inFlight
 }
 
-// Spent is how many units of a daily quota this process has used.
+// Spent returns the number of units of a daily quota that this process has used.
 func (a *Allowance) Spent() int64 { return a.spent }
 
-// Status is how many units are granted, how many of them are in flight or cooling, and when the grant expires.
+// Status returns the number of granted units, how many of them are in flight or cooling, and when the grant expires.
 func (a *Allowance) Status(now time.Duration) (granted, inUse int64, expiresAt time.Duration) {
 	a.expireUsage(now)
 	return a.grantedAt(now), a.grantedInUse(), a.expiresAt
--- a/internal/quota/allowances.go
+++ b/internal/quota/allowances.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// Allowances is a sender's allowance of each limit. It is safe for concurrent use: calls take units in their own goroutines, at the moment of
-// writing, the event loop tells the backlog, and the Client renews what is granted. Each entry has its own mutex, held for some
-// instructions; the map of entries is replaced as a whole.
+// Allowances contains a sender's allowance of each limit. It is safe for concurrent use: calls take units in their own goroutines when they
+// are written, the event loop updates the backlog, and the Client renews the grants. Each entry has its own mutex, held only for a few
+// instructions; the map of entries is replaced, never modified.
 type Allowances struct {
 	drift   float64
 	entries atomic.Pointer[map[string]*allowanceEntry]
 	wanted  func(key string) // called when units of a limit are wanted; it does not block
 }
 
-// allowanceEntry is one limit; mu guards the fields below it but for waiting.
+// allowanceEntry is the state of one limit; mu guards the fields below it, except waiting.
 type allowanceEntry struct {
 	mu         sync.Mutex
 	limit      Limit
 	allowance  *Allowance
 	reserved   bool
-	missing    int64        // the most units that a call lacked since the last request
-	rotating   bool         // there are not enough units for all senders: they rotate
+	missing    int64        // units of the largest call rejected since the last request
+	rotating   bool         // there are not enough units for all senders: they rotate among senders
 	waiting    atomic.Int64 // units of the backlog
-	largestUse int64        // units of the largest message of late
+	largestUse int64        // units of the largest recent message
 
-	used, rejected uint64        // units, and calls, in all
-	underusedSince time.Duration // 0: it uses what it is granted
-	observedLimit  float64       // calls per second, as the receiver reported; 0: it did not
+	used, rejected uint64        // total units used and total calls rejected
+	underusedSince time.Duration // since when granted units are underused despite a backlog; 0: they are not
+	observedLimit  float64       // calls per second, as reported by the receiver; 0: none was reported
 	observedAt     time.Duration
 }
 
-// NewAllowances makes allowances without limits. wanted is called, from any goroutine, as soon as units of a limit are wanted.
+// NewAllowances returns allowances without limits. wanted is called, from any goroutine, as soon as units of a limit are wanted.
 func NewAllowances(drift float64, wanted func(key string)) *Allowances {
 	a := &Allowances{drift: drift, wanted: wanted}
 	a.entries.Store(&map[string]*allowanceEntry{})
@@ -62,14 +62,14 @@
 
 func (a *Allowances) entry(key string) *allowanceEntry { return (*a.entries.Load())[key] }
 
-// Usage is units of one limit that a call uses.
+// Usage is the units of one limit that a call uses.
 type Usage struct {
 	Key   string
 	Units int64
 }
 
-// Take uses units of several limits, all or none. If some are not available, exhausted is the key of the first such limit. Limits that do not
-// exist any more are skipped.
+// Take uses units of several limits, either all or none. If units of a limit are not available, exhausted is the key of the first such
+// limit. Limits that do not exist any more are skipped.
 func (a *Allowances) Take(uses []Usage, now time.Duration) (ok bool, exhausted string) {
 	for i, u := range uses {
 		e := a.entry(u.Key)
@@ -97,7 +97,7 @@
 	return true, ""
 }
 
-// Release records that a call has ended which took these units.
+// Release records the end of a call that took these units.
 func (a *Allowances) Release(uses []Usage, now time.Duration) {
 	for _, u := range uses {
 		if e := a.entry(u.Key); e != nil {
@@ -108,7 +108,7 @@
 	}
 }
 
-// Undo gives back units that were taken for a call which was not written.
+// Undo returns units that were taken for a call which was not written.
 func (a *Allowances) Undo(uses []Usage, now time.Duration) {
 	for _, u := range uses {
 		if e := a.entry(u.Key); e != nil {
@@ -120,7 +120,7 @@
 	}
 }
 
-// AddWaiting changes the backlog of a limit by units, which may be negative; perMessage is what one message needs.
+// AddWaiting changes the backlog of a limit by units, which may be negative; perMessage is the number of units that one message needs.
 func (a *Allowances) AddWaiting(key string, units, perMessage int64) {
 	e := a.entry(key)
 	if e == nil {
@@ -145,7 +145,7 @@
 	}
 }
 
-// ObserveLimit records the limit that a receiver reported to this sender, in calls per second.
+// ObserveLimit records a limit that a receiver reported to this sender, in calls per second.
 func (a *Allowances) ObserveLimit(key string, perSecond float64, now time.Duration) {
 	if e := a.entry(key); e != nil {
 		e.mu.Lock()
--- a/internal/quota/allowances_report.go
+++ b/internal/quota/allowances_report.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Share is what this sender may use of a limit now: Units in any CoolDown.
+// Share is this sender's current share of a limit: it may use Units within any CoolDown.
 type Share struct {
 	Key       string
 	Units     int64         // granted and reserved
@@ -15,7 +15,7 @@
 	Rotating  bool
 }
 
-// Share is this sender's share of a limit; ok is false if there is no such limit.
+// Share returns this sender's share of a limit; ok is false if there is no such limit.
 func (a *Allowances) Share(key string, now time.Duration) (share Share, ok bool) {
 	e := a.entry(key)
 	if e == nil {
@@ -27,7 +27,7 @@
 	return Share{key, e.allowance.capacity(now), e.limit.CoolDown(a.drift), e.allowance.expiresAt, e.rotating}, true
 }
 
-// NextAvailable is when a unit may be used at the earliest: Never if it takes another grant.
+// NextAvailable returns the earliest time at which a unit may be used; Never if that requires another grant.
 func (a *Allowances) NextAvailable(key string, now time.Duration) time.Duration {
 	e := a.entry(key)
 	if e == nil {
@@ -39,24 +39,24 @@
 	return next
 }
 
-// Keys are the keys of all limits, sorted.
+// Keys returns the keys of all limits, sorted.
 func (a *Allowances) Keys() []string {
 	return slices.Sorted(maps.Keys(*a.entries.Load()))
 }
 
-// AllowanceStatus is a limit as this sender has it; units but for Rejected.
+// AllowanceStatus is the state of a limit at this sender. Counts are in units, except Rejected.
 type AllowanceStatus struct {
 	Limit     Limit
 	Granted   int64
-	InUse     int64         // of those, in flight or cooling
+	InUse     int64         // granted units in flight or cooling
 	Remaining time.Duration // of the grant
 	Waiting   int64         // backlog
 	Used      uint64        // by this process
-	Rejected  uint64        // calls that were not written for want of a unit
+	Rejected  uint64        // calls that were not written because no unit was available
 	Rotating  bool
 }
 
-// Statuses shows all limits, by key.
+// Statuses returns the state of all limits, sorted by key.
 func (a *Allowances) Statuses(now time.Duration) []AllowanceStatus {
 	var all []AllowanceStatus
 	for _, e := range *a.entries.Load() {
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -10,9 +10,9 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Client keeps a sender's allowances renewed: it requests units from the owners of limits before what it holds expires, and gives up
-// what it does not need. Each owner has one request at a time, and a reply counts only if no later request was sent, as with each request this
-// sender promises to apply no older reply. It is stepped by one goroutine.
+// Client renews a sender's allowances: it requests units from the owners of limits before its grants expire, and gives up units that it
+// does not need. At most one request to each owner is outstanding. A reply is applied only if no later request was sent, because each
+// request declares that no older reply will be applied. Client is stepped by one goroutine.
 type Client struct {
 	me         lease.HolderID
 	terms      Terms
@@ -21,11 +21,11 @@
 	epoch         uint64
 	ownership     *coordinator.Ownership
 	outstanding   map[string]*pendingRequest // by owner's name
-	dueAt         map[string]time.Duration   // when a limit's next request is due
-	granted       map[string]int64           // units, as granted last
-	wanted        map[string]int64
-	reported      map[string]Share         // as SharesChanged announced them
-	expiries      map[string]time.Duration // of grants
+	dueAt         map[string]time.Duration   // when a limit's next request is due, by key
+	granted       map[string]int64           // units of the last grant, by key
+	wanted        map[string]int64           // units wanted in the last request, by key
+	reported      map[string]Share           // as announced by SharesChanged, by key
+	expiries      map[string]time.Duration   // of grants, by key
 	sequence      uint64
 	grantDuration func(time.Duration) time.Duration // identity; a test may replace it
 }
@@ -38,24 +38,24 @@
 }
 
 const (
-	idleInterval       = 500 * time.Millisecond // between requests for a limit of which enough is held
-	busyInterval       = 100 * time.Millisecond // and for one of which more is wanted
-	minRequestInterval = 5 * time.Millisecond   // from a request to the next that has something new to tell
+	idleInterval       = 500 * time.Millisecond // between requests for a limit of which enough units are held
+	busyInterval       = 100 * time.Millisecond // between requests for a limit of which more units are wanted
+	minRequestInterval = 5 * time.Millisecond   // minimum interval between requests with new demands
 	maxKeysPerRequest  = 1000                   // limits in one request
 )
 
-// NewClient makes a client that knows of no owner yet.
+// NewClient returns a client without a membership; see SetMembership.
 func NewClient(me lease.HolderID, t Terms, allowances *Allowances) *Client {
 	return &Client{me: me, terms: t, allowances: allowances, outstanding: map[string]*pendingRequest{}, dueAt: map[string]time.Duration{}, granted: map[string]int64{}, wanted: map[string]int64{}, reported: map[string]Share{}, expiries: map[string]time.Duration{},
 		grantDuration: func(d time.Duration) time.Duration { return d }}
 }
 
-// OverrideGrantDuration replaces how long grants last at this client: fault injection for tests.
+// OverrideGrantDuration replaces the duration of grants at this client. It injects faults in tests.
 func (c *Client) OverrideGrantDuration(duration func(time.Duration) time.Duration) {
 	c.grantDuration = duration
 }
 
-// SetMembership replaces the owners. Requests to former owners are abandoned.
+// SetMembership replaces the owners of limits. Outstanding requests are abandoned.
 func (c *Client) SetMembership(s *pb.MembershipState) {
 	if c.ownership != nil && c.epoch == s.GetEpoch() {
 		return
@@ -67,10 +67,10 @@
 	}
 }
 
-// Timeout is how long a reply is waited for.
+// Timeout returns the time-out of a request.
 func (c *Client) Timeout() time.Duration { return min(c.terms.Duration/4, 400*time.Millisecond) }
 
-// Step takes events in and returns what is to be done, and when it wants to be called at the latest.
+// Step processes events and returns the actions to execute. alarm is the latest time of the next call.
 func (c *Client) Step(now time.Duration, events []ClientEvent) (actions []ClientAction, alarm time.Duration) {
 	touched := map[string]struct{}{} // limits of which this sender's share may have changed
 	for _, e := range events {
@@ -91,7 +91,7 @@
 			touched[key] = struct{}{}
 			delete(c.expiries, key)
 		} else {
-			alarm = min(alarm, at) // so that the expiry of a share is announced
+			alarm = min(alarm, at) // to announce the expiry of the grant
 		}
 	}
 	if changed := c.changedShares(touched, now); len(changed) > 0 {
@@ -106,7 +106,7 @@
 		for key := range *c.allowances.entries.Load() {
 			touched[key] = struct{}{}
 		}
-		for key := range c.reported { // limits that do not exist any more
+		for key := range c.reported { // includes limits that do not exist any more
 			touched[key] = struct{}{}
 		}
 	case UnitsWanted:
@@ -119,7 +119,7 @@
 	}
 }
 
-// abandonLate has requests sent again whose reply is late.
+// abandonLate abandons requests that have timed out and makes their limits due again.
 func (c *Client) abandonLate(now time.Duration) {
 	for owner, r := range c.outstanding {
 		if now-r.sentAt >= c.Timeout() {
@@ -131,7 +131,8 @@
 	}
 }
 
-// dueByOwner is the limits whose request is due, by owner, without those of owners that have an outstanding request; and when the next one is.
+// dueByOwner returns the limits whose request is due, by owner, except owners with an outstanding request. next is when the next request
+// is due.
 func (c *Client) dueByOwner(now time.Duration) (due map[string][]string, next time.Duration) {
 	due, next = map[string][]string{}, Never
 	for _, key := range slices.Sorted(maps.Keys(c.dueAt)) {
@@ -141,7 +142,7 @@
 		}
 		owner := c.ownership.Owner(key)
 		if owner == nil || c.outstanding[owner.Name] != nil {
-			continue // once that request is over
+			continue // until the outstanding request ends
 		}
 		if at := c.dueAt[key]; at > now {
 			next = min(next, at)
@@ -152,7 +153,7 @@
 	return due, next
 }
 
-// changedShares are the limits among touched of which this sender's share differs from what was announced.
+// changedShares returns the limits in touched whose share differs from the share announced last.
 func (c *Client) changedShares(touched map[string]struct{}, now time.Duration) (keys []string) {
 	for key := range touched {
 		share, limited := c.allowances.Share(key, now)
@@ -177,7 +178,7 @@
 	delete(c.wanted, key)
 }
 
-// buildRequest makes the request to one owner; ok is false if there is nothing to tell it.
+// buildRequest returns the request to one owner; ok is false if there is no demand to send.
 func (c *Client) buildRequest(owner string, keys []string, now time.Duration) (request SendRequest, ok bool) {
 	c.sequence++
 	r := &pb.QuotaRequest{Name: c.me.Name, Incarnation: c.me.Incarnation, Epoch: c.epoch, Sequence: c.sequence}
@@ -188,7 +189,7 @@
 		d, idle := c.allowances.entry(key).demand(key, c.granted[key], now)
 		c.wanted[key] = d.Wanted
 		if idle {
-			c.forget(key) // until units of it are wanted
+			c.forget(key) // until units of the limit are wanted again
 			continue
 		}
 		r.Demands, requested = append(r.Demands, d), append(requested, key)
@@ -210,7 +211,7 @@
 	}
 	delete(c.outstanding, e.Owner)
 	if e.Reply == nil || e.Reply.Epoch != c.epoch {
-		return // the request is due again soon
+		return // the limits are due again busyInterval after this request
 	}
 	for _, g := range e.Reply.Grants {
 		if entry := c.allowances.entry(g.Key); entry != nil && slices.Contains(r.keys, g.Key) {
@@ -220,7 +221,7 @@
 	}
 }
 
-// applyGrant renews an allowance by the answer to a request that was sent at sentAt, and sets when the next one is due.
+// applyGrant renews an allowance by the reply to a request sent at sentAt, and schedules the next request.
 func (c *Client) applyGrant(e *allowanceEntry, g *pb.QuotaGrant, sentAt, now time.Duration) {
 	duration := c.grantDuration(min(c.terms.Duration, time.Duration(g.DurationUs)*time.Microsecond))
 	e.mu.Lock()
@@ -233,7 +234,7 @@
 	if granted > 0 {
 		c.expiries[g.Key] = sentAt + duration
 	}
-	if g.Units < before { // it has given some up: it says so at once
+	if g.Units < before { // report at once that units were given up
 		c.dueAt[g.Key] = now
 		return
 	}
--- a/internal/quota/client_events.go
+++ b/internal/quota/client_events.go
@@ -6,7 +6,7 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// ClientEvent is what a Client reacts to.
+// ClientEvent is an input of a Client.
 //
 //sumtype:decl
 type ClientEvent interface{ clientEvent() }
@@ -16,13 +16,13 @@
 	UnitsWanted struct{ Key string }
 	// LimitsChanged reports that SetLimits replaced the limits.
 	LimitsChanged struct{}
-	// ReplyReceived is what became of a request.
+	// ReplyReceived reports the outcome of a request.
 	ReplyReceived struct {
 		Owner    string
 		Sequence uint64
-		Reply    *pb.QuotaReply // nil: there was none in time
+		Reply    *pb.QuotaReply // nil: the request failed or timed out
 	}
-	// Wake has the client look at what SetMembership set.
+	// Wake makes the client act on a membership set by SetMembership.
 	Wake struct{}
 )
 
@@ -31,19 +31,19 @@
 func (ReplyReceived) clientEvent() {}
 func (Wake) clientEvent()          {}
 
-// ClientAction is what a Client wants done.
+// ClientAction is an action that a Client asks its caller to execute.
 //
 //sumtype:decl
 type ClientAction interface{ clientAction() }
 
 type (
-	// SendRequest goes to the owner of the limits that it names.
+	// SendRequest sends a request to the owner of its limits.
 	SendRequest struct {
 		To      *pb.Participant
 		Request *pb.QuotaRequest
 		Timeout time.Duration // a later reply is ignored
 	}
-	// SharesChanged names limits of which this sender's share changed.
+	// SharesChanged announces the limits whose share changed at this sender.
 	SharesChanged struct{ Keys []string }
 )
 
--- a/internal/quota/daily_pool_test.go
+++ b/internal/quota/daily_pool_test.go
@@ -13,139 +13,139 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// A daily quota under replies that are lost, clients that crash and restart, owners that are replaced, and days that begin: never more is
-// used than the day has, but for what was granted as it began; and with nothing lost it is used to the last unit.
+// Checks a daily quota while requests and replies are lost, clients restart, owners are replaced and a new day starts. The units used in a
+// day must never exceed the quota plus the units granted before the day started. Without faults the quota must be used up exactly.
 func TestDailyPool_NeverExceedsQuota(t *testing.T) {
 	t.Parallel()
 	day := Limit{Key: "x", Kind: Daily, Units: 1000}
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		log, index, epoch := coordinator.NewMachine(), uint64(0), uint64(0)
+		machine, index, epoch := coordinator.NewMachine(), uint64(0), uint64(0)
 		apply := func(r *pb.MembershipCommand) (int64, string) {
 			raw, err := proto.Marshal(r)
 			if err != nil {
 				t.Fatal(err)
 			}
 			index++
-			result, refused, err := log.Apply(index, raw)
+			result, rejection, err := machine.Apply(index, raw)
 			if err != nil {
 				t.Fatal(err)
 			}
 			units, _ := binary.Varint(result)
-			return units, refused
+			return units, rejection
 		}
-		pot := NewDailyPool(day, simTerms)
-		replace := func() {
+		pool := NewDailyPool(day, simTerms)
+		replaceOwner := func() {
 			apply(&pb.MembershipCommand{Command: &pb.MembershipCommand_Propose{Propose: &pb.ProposeMembership{BaseEpoch: epoch}}})
 			epoch++
-			if _, refused := apply(&pb.MembershipCommand{Command: &pb.MembershipCommand_Activate{Activate: &pb.ActivateMembership{Epoch: epoch}}}); refused != "" {
-				t.Fatal(refused)
+			if _, rejection := apply(&pb.MembershipCommand{Command: &pb.MembershipCommand_Activate{Activate: &pb.ActivateMembership{Epoch: epoch}}}); rejection != "" {
+				t.Fatal(rejection)
 			}
-			pot = NewDailyPool(day, simTerms)
+			pool = NewDailyPool(day, simTerms)
 		}
-		replace()
+		replaceOwner()
 		now, period := time.Hour, int64(10)
-		pot.StartPeriod(period)
-		type one struct {
-			who   lease.HolderID
-			purse *Allowance
-			seq   uint64
+		pool.StartPeriod(period)
+		type client struct {
+			id        lease.HolderID
+			allowance *Allowance
+			sequence  uint64
 		}
-		holders := make([]one, 3)
-		lives := uint64(0)
-		begin := func(i int) {
-			lives++
-			holders[i] = one{lease.HolderID{Name: string(rune('a' + i)), Incarnation: lives}, NewAllowance(day, simTerms.MaxDrift, false, now), 0}
+		clients := make([]client, 3)
+		incarnations := uint64(0)
+		start := func(i int) {
+			incarnations++
+			clients[i] = client{lease.HolderID{Name: string(rune('a' + i)), Incarnation: incarnations}, NewAllowance(day, simTerms.MaxDrift, false, now), 0}
 		}
-		for i := range holders {
-			begin(i)
+		for i := range clients {
+			start(i)
 		}
-		used, carried, sound := int64(0), int64(0), seed%3 == 0
+		used, outstanding, faultless := int64(0), int64(0), seed%3 == 0
 		for step := range 3000 {
 			now += time.Duration(rng.Int64N(int64(200 * time.Millisecond)))
-			h, n := &holders[rng.IntN(len(holders))], rng.IntN(40)
-			if sound {
-				h, n = &holders[step%len(holders)], 10 // all ask in time
+			c, n := &clients[rng.IntN(len(clients))], rng.IntN(40)
+			if faultless {
+				c, n = &clients[step%len(clients)], 10 // all clients request in time
 			}
 			switch {
-			case !sound && n == 0:
-				begin(rng.IntN(len(holders)))
-			case !sound && n == 1:
-				replace()
-				pot.StartPeriod(period)
-			case !sound && n == 2 && step > 1500 && period == 10:
-				carried = 0
-				for i := range holders {
-					carried += holders[i].purse.grantedAt(now)
+			case !faultless && n == 0:
+				start(rng.IntN(len(clients)))
+			case !faultless && n == 1:
+				replaceOwner()
+				pool.StartPeriod(period)
+			case !faultless && n == 2 && step > 1500 && period == 10:
+				outstanding = 0
+				for i := range clients {
+					outstanding += clients[i].allowance.grantedAt(now)
 				}
 				period, used = 11, 0
-				pot.StartPeriod(period)
+				pool.StartPeriod(period)
 			case n < 20:
-				h.seq++
-				asked := now
-				q := Request{Sequence: h.seq, Wanted: 30, MinUseful: 1}
-				q.Held, q.Cooling, q.CoolingTime = h.purse.Relinquish(30, now)
-				q.Spent = h.purse.Spent()
-				if !sound && rng.IntN(5) == 0 {
-					continue // the question is lost
+				c.sequence++
+				requestedAt := now
+				r := Request{Sequence: c.sequence, Wanted: 30, MinUseful: 1}
+				r.Held, r.Cooling, r.CoolingTime = c.allowance.Relinquish(30, now)
+				r.Spent = c.allowance.Spent()
+				if !faultless && rng.IntN(5) == 0 {
+					continue // the request is lost
 				}
-				lent, draw, ok := pot.Grant(h.who, q, now)
+				grant, draw, ok := pool.Grant(c.id, r, now)
 				if !ok {
-					t.Fatalf("seed %d: a new question is taken for an old one", seed)
+					t.Fatalf("seed %d: a new request is rejected as old", seed)
 				}
 				if draw > 0 {
 					units, _ := apply(&pb.MembershipCommand{Command: &pb.MembershipCommand_Draw{Draw: &pb.DrawQuota{Epoch: epoch, Key: "x", Period: period, Units: draw, Limit: day.Units}}})
-					if !sound && rng.IntN(5) == 0 {
-						units = 0 // the answer is lost, and so are they
+					if !faultless && rng.IntN(5) == 0 {
+						units = 0 // the result is lost, and with it the units
 					}
-					pot.AddDrawn(period, units)
+					pool.AddDrawn(period, units)
 				}
-				for range rng.IntN(4) { // used between question and answer
-					if h.purse.Take(1, now) {
+				for range rng.IntN(4) { // used between request and reply
+					if c.allowance.Take(1, now) {
 						used++
 					}
 				}
-				if !sound && rng.IntN(5) == 0 {
-					continue // the answer is lost
+				if !faultless && rng.IntN(5) == 0 {
+					continue // the reply is lost
 				}
-				h.purse.Renew(lent.Units, asked, lent.Duration, now)
+				c.allowance.Renew(grant.Units, requestedAt, grant.Duration, now)
 			default:
-				if h.purse.Take(1, now) {
+				if c.allowance.Take(1, now) {
 					used++
 				}
 			}
-			if used > day.Units+carried {
-				t.Fatalf("seed %d: %d are used of a day's %d, and %d were lent as it began", seed, used, day.Units, carried)
+			if used > day.Units+outstanding {
+				t.Fatalf("seed %d: %d units used of a daily quota of %d, and %d were granted when the day started", seed, used, day.Units, outstanding)
 			}
 		}
-		if sound && used != day.Units {
-			t.Errorf("seed %d: %d are used of %d, with nothing lost", seed, used, day.Units)
+		if faultless && used != day.Units {
+			t.Errorf("seed %d: %d units used of %d, without faults", seed, used, day.Units)
 		}
 		if used == 0 {
-			t.Errorf("seed %d: nothing is used", seed)
+			t.Errorf("seed %d: no units used", seed)
 		}
-		// A former owner, and a day that is over, get nothing.
-		if _, refused := apply(&pb.MembershipCommand{Command: &pb.MembershipCommand_Draw{Draw: &pb.DrawQuota{Epoch: epoch - 1, Key: "x", Period: period, Units: 1, Limit: 1 << 30}}}); refused == "" {
-			t.Errorf("seed %d: an authority of before draws", seed)
+		// Draws by a former owner and for an earlier day must be rejected.
+		if _, rejection := apply(&pb.MembershipCommand{Command: &pb.MembershipCommand_Draw{Draw: &pb.DrawQuota{Epoch: epoch - 1, Key: "x", Period: period, Units: 1, Limit: 1 << 30}}}); rejection == "" {
+			t.Errorf("seed %d: a draw by a former owner is accepted", seed)
 		}
-		if _, refused := apply(&pb.MembershipCommand{Command: &pb.MembershipCommand_Draw{Draw: &pb.DrawQuota{Epoch: epoch, Key: "x", Period: period - 1, Units: 1, Limit: 1 << 30}}}); refused == "" {
-			t.Errorf("seed %d: a day that is over is drawn from", seed)
+		if _, rejection := apply(&pb.MembershipCommand{Command: &pb.MembershipCommand_Draw{Draw: &pb.DrawQuota{Epoch: epoch, Key: "x", Period: period - 1, Units: 1, Limit: 1 << 30}}}); rejection == "" {
+			t.Errorf("seed %d: a draw for an earlier day is accepted", seed)
 		}
 	}
 }
 
-// A sender with a day's quota goes on to want all that waits, however long it has held some.
+// The demand for a daily quota must stay the backlog, however long the sender has held units: the underuse rule must not reduce it.
 func TestClient_DailyDemand(t *testing.T) {
 	t.Parallel()
-	till := NewAllowances(simTerms.MaxDrift, func(string) {})
-	till.SetLimits([]Limit{{Key: "x", Kind: Daily, Units: 1000}}, func(Limit) bool { return false }, 0)
-	till.AddWaiting("x", 50, 1)
-	s := till.entry("x")
+	allowances := NewAllowances(simTerms.MaxDrift, func(string) {})
+	allowances.SetLimits([]Limit{{Key: "x", Kind: Daily, Units: 1000}}, func(Limit) bool { return false }, 0)
+	allowances.AddWaiting("x", 50, 1)
+	entry := allowances.entry("x")
 	for i := range 5 {
 		now := time.Hour + time.Duration(i)*time.Second
-		s.allowance.Renew(20, now, simTerms.Duration, now)
-		if q, _ := s.demand("x", 20, now); q.Wanted != 50 {
-			t.Fatalf("after %d s it wants %d of 50", i, q.Wanted)
+		entry.allowance.Renew(20, now, simTerms.Duration, now)
+		if d, _ := entry.demand("x", 20, now); d.Wanted != 50 {
+			t.Fatalf("after %d s it wants %d units, want 50", i, d.Wanted)
 		}
 	}
 }
--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -6,8 +6,8 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// demand is what a request says of one limit; idle is that there is nothing to say of it any more. It gives up what is not needed; granted is
-// how many units the owner granted last.
+// demand returns the demand to send for one limit and gives up units that are not needed. granted is the number of units that the owner
+// granted last. idle reports that no units are wanted, held or in use, so that no request is needed.
 func (e *allowanceEntry) demand(key string, granted int64, now time.Duration) (d *pb.QuotaDemand, idle bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -35,18 +35,18 @@
 	return d, d.Wanted == 0 && held == 0 && inUse == 0 && waiting == 0
 }
 
-// wanted is how many units this sender could use within a cool-down.
+// wanted returns the number of units that this sender could use within a cool-down.
 func (e *allowanceEntry) wanted(minUseful, held, inUse, waiting int64, now time.Duration) int64 {
-	// What was used of late is wanted again, so that demand does not oscillate.
+	// Recent usage counts as demand, so that demand does not oscillate.
 	wanted := min(e.limit.maxGrantable(), waiting+e.allowance.RecentUsage(now))
 	if e.limit.Kind == Daily {
 		wanted = min(e.limit.Grantable(), waiting)
 	}
-	// A sender that used little of what it held, though more waited, can't use it: its calls fail, or something else bounds them.
+	// A sender that uses less than half of its units despite a backlog can't use them: its calls fail or are limited by something else.
 	switch {
 	case waiting == 0 || held > 0 && inUse*2 >= held:
 		e.underusedSince = 0
-	case e.limit.Kind == Daily: // use does not show in what is held of a daily quota
+	case e.limit.Kind == Daily: // inUse is no measure here: used units of a daily quota are not held any more
 	case held > minUseful && e.underusedSince == 0:
 		e.underusedSince = now
 	}
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,34 +1,35 @@
-// Package quota shares limits that no sender can check alone among the senders of a fleet. It does no I/O and reads no clock.
+// Package quota enforces limits that apply to all senders of a fleet together. It does no I/O and reads no clock.
 //
-// A limit is a number of units. One sender at a time owns it (package coordinator): its Server grants units to the Client of each
-// sender for a bounded time, as a lease does. A unit that was used cools down for the limit's span before anybody may use it again.
-// So in no span are there more uses than units, however they are spread, and no sender has to see what the others do. (Compare
-// the hierarchical token allocation of Raghavan et al., "Cloud control with distributed rate limiting", SIGCOMM 2007; here units are
-// leased, so that the bound holds under partitions as well.)
+// A limit is a number of units. One sender at a time owns it (package coordinator): the owner's Server grants units to the Client of
+// each sender for a bounded time, like a lease. A used unit cools down for the limit's span before any sender may use it again. So in
+// no span are there more uses than units, however the uses are distributed among senders, and no sender has to observe the others.
+// (Compare the hierarchical token allocation of Raghavan et al., "Cloud control with distributed rate limiting", SIGCOMM 2007; here
+// units are leased, so that the bound holds under partitions as well.)
 //
-// A grant expires. A client counts it from before its request; the server counts it from when it granted, longer by how far two clocks
-// may drift apart, and then for the units' cool-down, as they may have been used at the last moment (Limit.ReclaimDelay). With each request a
-// client promises how many units it keeps at the most; what it gives up is free at once, but for what still cools down.
+// A grant expires. The client counts its duration from before the request. The server counts it from the time of granting, adds the
+// maximum drift between two clocks, and then the cool-down of the units, as they may have been used at the last moment
+// (Limit.ReclaimDelay). Each request declares the maximum number of units that the client keeps; units that it gives up are free at
+// once, except those that still cool down.
 //
-// A new owner knows nothing of what the former one granted. During its grace period it confirms what clients say that they hold, which
-// together is no more than was granted, and grants nothing else.
+// A new owner has no record of the grants of the former owner. During its grace period it only confirms the units that clients
+// report to hold, which together are no more than the former owner granted, and grants no other units.
 //
-// States of a unit, as the server's GrantTable accounts for it:
+// States of a unit in the server's GrantTable:
 //
 //	state     event                                                  next
 //	free      granted to a client                                    granted
 //	granted   the client's next request gives it up, unused          free
-//	granted   the client's next request gives it up, used            cooling, for the time that the request tells
+//	granted   the client's next request gives it up, used            cooling, for the time given in the request
 //	granted   the grant expires without a request                    reclaiming, for ReclaimDelay
 //	cooling   the time has passed                                    free
 //	reclaiming the time has passed                                   free
 //
-// States of a unit at the client's Allowance: available, in flight (Concurrent only, until Release), cooling (an entry of the usage log),
-// available again while the grant lasts.
+// States of a unit in the client's Allowance: available, in flight (Concurrent only, until Release), cooling (an entry of the usage log),
+// available again until the grant expires.
 //
-// A daily quota (kind Daily) is different: a unit is used once. What outlasts every process is how many units were drawn for the day,
-// which the replicated log counts; a DailyPool draws some before it grants them.
+// A unit of a daily quota (kind Daily) is used only once. The replicated log counts the units drawn for the day, so that the count
+// survives every process; a DailyPool draws units from the log before it grants them.
 //
-// Calls take units from Allowances in their own goroutines; Client and Server are state machines, each stepped by one goroutine. Nothing but
-// the drawn daily units is persisted.
+// Calls take units from Allowances in their own goroutines; Client and Server are state machines, each stepped by one goroutine. Only the
+// drawn daily units are persisted.
 package quota
--- a/internal/quota/fair_shares.go
+++ b/internal/quota/fair_shares.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Demand is what one client wants of a limit.
+// Demand is one client's demand for units of a limit.
 type Demand struct {
-	Units     int64 // that it could use within a cool-down
-	MinUseful int64 // with fewer units it can do nothing: those of its next message, or of one call
-	// WaitingSince is from when it has held less than MinUseful, or 0: the client that waits longest comes first.
+	Units     int64 // units that it could use within a cool-down
+	MinUseful int64 // units of its next message, or of one call: it can't use fewer
+	// WaitingSince is since when it has held less than MinUseful, or 0. The client that waits longest comes first.
 	WaitingSince time.Duration
-	HasTurn      bool // it holds MinUseful, and its turn is not over
+	HasTurn      bool // it holds MinUseful and its turn has not ended
 }
 
-// FairShares divides units by max-min fairness: no client gets more than it wants, and none gets less than another unless it wants no more. Units
-// are whole. Where there are not enough for MinUseful each, the units rotate: clients whose turn lasts keep theirs, then those come that have
-// waited longest.
+// FairShares divides units by max-min fairness: no client gets more units than it wants, and a client gets fewer units than another only if
+// it wants no more. Shares are integers. If there are not enough units for every client's MinUseful, the units rotate: clients whose turn
+// has not ended keep their units, then the clients that have waited longest get theirs.
 func FairShares(units int64, all []Demand) []int64 {
 	shares := make([]int64, len(all))
 	order := make([]int, 0, len(all))
@@ -52,9 +52,9 @@
 		}
 		return shares
 	}
-	// Water-filling: the highest whole level for which there are enough units, each client having its MinUseful at least.
+	// Water-filling: find the highest integer level for which there are enough units, where each client gets at least its MinUseful.
 	at := func(i int, level int64) int64 { return max(all[i].MinUseful, min(all[i].Units, level)) }
-	low, high := int64(0), units+1 // there are enough for low, and not for high unless nobody wants that much
+	low, high := int64(0), units+1 // invariant: there are enough units for low, but not for high unless no client wants that many
 	for low+1 < high {
 		level, need := (low+high)/2, int64(0)
 		for _, i := range order {
@@ -70,7 +70,7 @@
 		shares[i] = at(i, low)
 		units -= shares[i]
 	}
-	for _, i := range order { // fewer units are left than clients that want one more
+	for _, i := range order { // the remaining units are fewer than the clients that want one more
 		if units > 0 && at(i, low+1) > shares[i] {
 			shares[i]++
 			units--
--- a/internal/quota/grant_table.go
+++ b/internal/quota/grant_table.go
@@ -8,79 +8,80 @@
 	"saffronyard.example/saffronyard/internal/lease"
 )
 
-// Request is what a client says of one limit.
+// Request is a client's request for one limit.
 type Request struct {
-	Sequence    uint64        // of the client's requests: one that is not newer than the last is ignored
-	Held        int64         // from now on it holds no more units than this, whatever was granted before
-	Cooling     int64         // units beyond those that it gave up and that still cool down
-	CoolingTime time.Duration // until the last of those has cooled down
+	Sequence    uint64        // of the client's requests: a request that is not newer than the last one is ignored
+	Held        int64         // from now on the client holds at most this many units, whatever was granted before
+	Cooling     int64         // units in addition to Held that it gave up and that still cool down
+	CoolingTime time.Duration // until the last of the Cooling units has cooled down
 	Wanted      int64         // units that it could use within a cool-down
-	MinUseful   int64         // with fewer units it can do nothing
-	Spent       int64         // of a daily quota, by its process in all
+	MinUseful   int64         // it can't use fewer units
+	Spent       int64         // units of a daily quota used by the client's process in total
 }
 
-// Grant is the owner's answer.
+// Grant is the owner's reply to a Request.
 type Grant struct {
 	Units      int64
 	Duration   time.Duration // counted from before the request
-	Rotating   bool          // there are not enough units for all clients: one is given up as soon as it is used
-	RetryAfter time.Duration // when a client that waits for more asks again; 0: at its usual interval
+	Rotating   bool          // there are not enough units for all clients: the client gives up units as soon as they are used
+	RetryAfter time.Duration // when a client that waits for more units requests again; 0: at its usual interval
 }
 
-// GrantTable is what the owner of a limit has granted of it. It is not safe for concurrent use.
+// GrantTable records the units of a limit that its owner has granted. It is not safe for concurrent use.
 type GrantTable struct {
 	limit      Limit
 	terms      Terms
-	graceUntil time.Duration // until then grants of an earlier owner may exist, which this one does not know of
+	graceUntil time.Duration // before it, unknown grants of an earlier owner may exist
 	clients    map[lease.HolderID]*clientState
 
 	shares      map[lease.HolderID]int64 // as computed at sharesAt
-	slack       int64                    // that each client which wants some gets beyond its share
+	slack       int64                    // units that each client with a demand gets in addition to its share
 	sharesAt    time.Duration
-	scarce      bool // there are not enough units for what each client needs at least: they rotate
-	sharesStale bool // demands or the limit changed since
+	scarce      bool // there are not enough units for every client's minUseful: they rotate
+	sharesStale bool // demands or the limit changed since sharesAt
 }
 
-// clientState is one process of a sender, as its requests told.
+// clientState is the state of one process of a sender, as of its requests.
 type clientState struct {
 	sequence     uint64
 	grants       []issuedGrant // by expiry; each is smaller than those that expire before it
 	cooling      int64
-	coolUntil    time.Duration // of the cooling units
+	coolUntil    time.Duration // end of the cool-down of the cooling units
 	wanted       int64
 	minUseful    int64
 	requestedAt  time.Duration // of its last request
-	waitingSince time.Duration // it holds less than minUseful and wants more; 0: it does not
-	turnStart    time.Duration // of its turn at rotating units; 0: it has none
+	waitingSince time.Duration // since when it holds less than minUseful and wants more; 0: it does not wait
+	turnStart    time.Duration // start of its turn with rotating units; 0: it has no turn
 }
 
-// issuedGrant is a grant as the owner counts it, reclaim delay included.
+// issuedGrant is a grant as recorded by the owner; expiresAt includes the reclaim delay.
 type issuedGrant struct {
 	units     int64
 	expiresAt time.Duration
 }
 
 const (
-	shareInterval = 10 * time.Millisecond // at which shares are computed anew, unless demands changed
-	// turnCoolDowns is how long a grant of rotating units lasts, in cool-downs: a client that can't use its unit gives way soon.
+	shareInterval = 10 * time.Millisecond // interval for recomputing shares; changed demands are applied at once
+	// turnCoolDowns is the duration of a grant of rotating units, in cool-downs. It is short so that a client which can't use its unit soon
+	// gives it up to the next client.
 	turnCoolDowns     = 1
-	maxReturnsCounted = 64  // units of one client's cool-down, for retryAfter
-	headroomDivisor   = 100 // one unit in so many is kept free for new clients, where there are so many
+	maxReturnsCounted = 64  // maximum number of cooling units per client that retryAfter considers
+	headroomDivisor   = 100 // 1/headroomDivisor of the units is kept free for new clients, if there are at least headroomDivisor units
 )
 
-// NewGrantTable makes the table of an owner that begins now; until graceUntil grants of an earlier owner may last.
+// NewGrantTable returns the table of a new owner. Grants of an earlier owner may exist until graceUntil.
 func NewGrantTable(l Limit, t Terms, graceUntil time.Duration) *GrantTable {
 	return &GrantTable{limit: l, terms: t, graceUntil: graceUntil, clients: map[lease.HolderID]*clientState{}, sharesStale: true}
 }
 
-// SetLimit replaces the limit. What is granted stays granted; where that is too much, it comes back with the clients' requests.
+// SetLimit replaces the limit. Existing grants stay valid; units in excess of the new limit are reclaimed with the clients' next requests.
 func (t *GrantTable) SetLimit(l Limit) { t.limit, t.sharesStale = l, true }
 
-// outstanding is how many units a client may be using or cooling down at the most.
+// outstanding returns the maximum number of units that a client may be using or cooling down.
 func (c *clientState) outstanding(now time.Duration) (units int64) {
-	c.grants = slices.DeleteFunc(c.grants, func(l issuedGrant) bool { return l.expiresAt <= now })
-	for _, l := range c.grants {
-		units = max(units, l.units)
+	c.grants = slices.DeleteFunc(c.grants, func(g issuedGrant) bool { return g.expiresAt <= now })
+	for _, g := range c.grants {
+		units = max(units, g.units)
 	}
 	if now < c.coolUntil {
 		units += c.cooling
@@ -88,12 +89,12 @@
 	return units
 }
 
-// active reports whether a client still sends requests.
+// active reports whether a client has sent a request within the duration of a grant.
 func (t *GrantTable) active(c *clientState, now time.Duration) bool {
 	return now-c.requestedAt < t.terms.Duration
 }
 
-// Grant takes a client's request and answers it. ok is false for a request that is not newer than the last: it gets no answer.
+// Grant processes a client's request. ok is false for a request that is not newer than the last one: it gets no reply.
 func (t *GrantTable) Grant(id lease.HolderID, r Request, now time.Duration) (g Grant, ok bool) {
 	c := t.clients[id]
 	if c != nil && r.Sequence <= c.sequence {
@@ -102,7 +103,7 @@
 	if c == nil {
 		c = &clientState{}
 		t.clients[id] = c
-		if now < t.graceUntil && r.Held > 0 { // granted by an earlier owner: a client claims only what it holds
+		if now < t.graceUntil && r.Held > 0 { // granted by an earlier owner: a client reports only units that it holds
 			c.grants = []issuedGrant{{r.Held, t.graceUntil}}
 		}
 	}
@@ -126,31 +127,32 @@
 	return g, true
 }
 
-// unitsFor is how many units a client is granted, of which share is its due.
+// unitsFor returns the number of units to grant to a client whose fair share is share.
 func (t *GrantTable) unitsFor(c *clientState, share int64, now time.Duration) int64 {
 	cooling := c.coolingAt(now)
 	has, others := c.outstanding(now)-cooling, t.outstandingExcept(c, now)
 	pool := t.limit.Grantable()
 	free := max(0, pool-others-cooling)
 	exceeded := has+others+cooling > pool
-	if now < t.graceUntil { // it keeps what it has, until all grants are known
+	if now < t.graceUntil { // until all grants are known, the client keeps the units that it has and gets no others
 		if exceeded {
 			return min(has, share)
 		}
 		return has
 	}
-	// It keeps its share of what it has even where too much is granted, as after a limit was lowered: the others come down likewise.
+	// Even if too many units are granted, as after the limit was lowered, the client keeps its units up to its share: the other clients
+	// are reduced to their shares in the same way.
 	units := min(share, max(free, has))
 	if c.wanted > 0 {
-		units = max(units, min(share+t.slack, free)) // so that it need not ask again as soon as it wants a little more
+		units = max(units, min(share+t.slack, free)) // slack saves a new request when the client wants slightly more
 	}
 	if !exceeded && !t.underserved(now) {
-		units = max(units, has) // nobody else needs it: it keeps what it has
+		units = max(units, has) // no other client needs the units that this client has
 	}
 	return units
 }
 
-// recordTurn records whether the client has what it needs at least, or waits.
+// recordTurn records whether the client has at least minUseful units, or waits for them.
 func (c *clientState) recordTurn(granted int64, now time.Duration) {
 	switch {
 	case granted >= c.minUseful:
@@ -166,23 +168,23 @@
 
 func (t *GrantTable) reclaimDelay() time.Duration { return t.limit.ReclaimDelay(t.terms.MaxDrift) }
 
-// recordRequest records what a client says.
-func (t *GrantTable) recordRequest(c *clientState, q Request, now time.Duration) {
+// recordRequest updates a client's state from its request.
+func (t *GrantTable) recordRequest(c *clientState, r Request, now time.Duration) {
 	for i := range c.grants {
-		c.grants[i].units = min(c.grants[i].units, q.Held)
+		c.grants[i].units = min(c.grants[i].units, r.Held)
 	}
-	c.sequence, c.requestedAt = q.Sequence, now
+	c.sequence, c.requestedAt = r.Sequence, now
 	c.cooling, c.coolUntil = 0, 0
-	if q.Cooling > 0 && q.CoolingTime > 0 {
-		c.cooling, c.coolUntil = q.Cooling, now+driftBound(q.CoolingTime, t.terms.MaxDrift)
+	if r.Cooling > 0 && r.CoolingTime > 0 {
+		c.cooling, c.coolUntil = r.Cooling, now+driftBound(r.CoolingTime, t.terms.MaxDrift)
 	}
-	if c.wanted != q.Wanted || c.minUseful != q.MinUseful {
+	if c.wanted != r.Wanted || c.minUseful != r.MinUseful {
 		t.sharesStale = true
 	}
-	c.wanted, c.minUseful = q.Wanted, max(1, q.MinUseful)
-	if q.Held < c.minUseful && c.turnStart > 0 { // its turn ended
+	c.wanted, c.minUseful = r.Wanted, max(1, r.MinUseful)
+	if r.Held < c.minUseful && c.turnStart > 0 { // its turn has ended
 		c.turnStart, t.sharesStale = 0, true
-		if q.Wanted > 0 {
+		if r.Wanted > 0 {
 			c.waitingSince = now
 		}
 	}
@@ -195,7 +197,8 @@
 	return 0
 }
 
-// outstandingExcept is how many units all clients but one may be using or cooling down. It forgets clients that are gone.
+// outstandingExcept returns the maximum number of units that all clients except one may be using or cooling down. It removes clients that
+// have no outstanding units and have stopped sending requests.
 func (t *GrantTable) outstandingExcept(except *clientState, now time.Duration) (units int64) {
 	for id, c := range t.clients {
 		if c == except {
@@ -209,7 +212,7 @@
 	return units
 }
 
-// currentShares is each active client's share of the limit, computed anew at most every shareInterval unless demands changed.
+// currentShares returns each active client's share of the limit, recomputed at most once per shareInterval unless demands changed.
 func (t *GrantTable) currentShares(now time.Duration) map[lease.HolderID]int64 {
 	if !t.sharesStale && now-t.sharesAt < shareInterval {
 		return t.shares
@@ -221,7 +224,7 @@
 		if t.active(c, now) {
 			active = append(active, id)
 		} else {
-			pool -= c.outstanding(now) // nobody's until it expires
+			pool -= c.outstanding(now) // not available to other clients before the grants expire
 		}
 	}
 	if pool >= headroomDivisor {
@@ -247,7 +250,7 @@
 			wanting++
 		}
 	}
-	t.slack = max(0, pool) / 2 / max(1, wanting) // half of what nobody wants: the other half is for new clients
+	t.slack = max(0, pool) / 2 / max(1, wanting) // half of the unclaimed units; the other half is for new clients
 	return t.shares
 }
 
@@ -255,7 +258,7 @@
 	return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Incarnation, y.Incarnation))
 }
 
-// underserved reports whether a client has less than its share, or more units are outstanding than there are.
+// underserved reports whether an active client has less than its share, or more units are outstanding than the limit allows.
 func (t *GrantTable) underserved(now time.Duration) bool {
 	outstanding := int64(0)
 	for id, c := range t.clients {
@@ -267,10 +270,11 @@
 	return outstanding > t.limit.Grantable()
 }
 
-// retryAfter is when a client that waits asks again: as soon as a unit may have come back that is then its turn.
+// retryAfter returns after what time a waiting client should request again: when enough units may have been returned for it and for the
+// clients that have waited longer.
 func (t *GrantTable) retryAfter(waiting *clientState, now time.Duration) time.Duration {
 	before := 0                 // clients that have waited longer
-	var returns []time.Duration // when units come back
+	var returns []time.Duration // when units are returned
 	for _, c := range t.clients {
 		if c != waiting && c.waitingSince > 0 && t.active(c, now) && c.waitingSince < waiting.waitingSince {
 			before++
--- a/internal/quota/grant_table_report.go
+++ b/internal/quota/grant_table_report.go
@@ -7,20 +7,20 @@
 	"saffronyard.example/saffronyard/internal/lease"
 )
 
-// Outstanding is how many units may be in use or cooling down now at the most. It never exceeds the limit.
+// Outstanding returns the maximum number of units that may be in use or cooling down now. It never exceeds the limit.
 func (t *GrantTable) Outstanding(now time.Duration) int64 { return t.outstandingExcept(nil, now) }
 
-// ClientReport is one process of a sender, as commands show it.
+// ClientReport is the state of one process of a sender, as operators' commands print it.
 type ClientReport struct {
 	lease.HolderID
 	Units     int64         // granted
-	Cooling   int64         // given up, and cooling down
-	Remaining time.Duration // until all of it is free at the latest
+	Cooling   int64         // given up and cooling down
+	Remaining time.Duration // maximum time until all of its units are free
 	Wanted    int64
-	Waiting   time.Duration // for how long it has held less than it needs
+	Waiting   time.Duration // for how long it has held fewer units than it needs
 }
 
-// Clients shows all clients, by name.
+// Clients returns the state of all clients, sorted by name.
 func (t *GrantTable) Clients(now time.Duration) []ClientReport {
 	reports := make([]ClientReport, 0, len(t.clients))
 	for id, c := range t.clients {
@@ -40,7 +40,7 @@
 	return reports
 }
 
-// idle reports whether no client is known, so that the table may be dropped.
+// idle reports whether the grace period is over and no clients or grants are left, so that the table may be dropped.
 func (t *GrantTable) idle(now time.Duration) bool {
 	return now >= t.graceUntil && t.Outstanding(now) == 0 && len(t.clients) == 0
 }
--- a/internal/quota/model_state_test.go
+++ b/internal/quota/model_state_test.go
@@ -9,9 +9,10 @@
 	"saffronyard.example/saffronyard/internal/lease"
 )
 
-// The methods in this file serve the model checker: copies of a state, and encodings that are equal for states that can't be told apart from now on.
+// The methods in this file are for the model checker: they copy a state, and encode it so that states with the same possible futures have
+// equal encodings.
 
-// Clone is an allowance with the same state.
+// Clone returns a copy of the allowance.
 func (a *Allowance) Clone() *Allowance {
 	c := *a
 	c.usageLog = slices.Clone(a.usageLog)
@@ -34,48 +35,48 @@
 	return append(b, ';')
 }
 
-// Clone is a grant table with the same state.
+// Clone returns a copy of the grant table.
 func (t *GrantTable) Clone() *GrantTable {
 	c := *t
 	c.clients = make(map[lease.HolderID]*clientState, len(t.clients))
-	for w, a := range t.clients {
-		d := *a
-		d.grants = slices.Clone(a.grants)
-		c.clients[w] = &d
+	for id, former := range t.clients {
+		clone := *former
+		clone.grants = slices.Clone(former.grants)
+		c.clients[id] = &clone
 	}
 	c.shares = maps.Clone(t.shares)
 	return &c
 }
 
 // AppendState appends the encoded state.
-func (t *GrantTable) AppendState(to []byte, now time.Duration) []byte {
-	to = binary.AppendVarint(to, int64(max(0, t.graceUntil-now)))
-	whos := make([]lease.HolderID, 0, len(t.clients))
-	for w := range t.clients {
-		whos = append(whos, w)
+func (t *GrantTable) AppendState(b []byte, now time.Duration) []byte {
+	b = binary.AppendVarint(b, int64(max(0, t.graceUntil-now)))
+	ids := make([]lease.HolderID, 0, len(t.clients))
+	for id := range t.clients {
+		ids = append(ids, id)
 	}
-	slices.SortFunc(whos, func(x, y lease.HolderID) int {
+	slices.SortFunc(ids, func(x, y lease.HolderID) int {
 		if x.Name != y.Name {
 			return int(x.Name[0]) - int(y.Name[0])
 		}
 		return int(x.Incarnation) - int(y.Incarnation)
 	})
-	for _, w := range whos {
-		a := t.clients[w]
-		a.outstanding(now)
-		to = binary.AppendUvarint(append(to, w.Name...), w.Incarnation)
-		since := func(at time.Duration) int64 { // before that it is all one
+	for _, id := range ids {
+		c := t.clients[id]
+		c.outstanding(now)
+		b = binary.AppendUvarint(append(b, id.Name...), id.Incarnation)
+		since := func(at time.Duration) int64 { // ages beyond ServerDuration make no difference
 			if at == 0 {
 				return -1
 			}
 			return int64(min(now-at, t.terms.ServerDuration()))
 		}
-		for _, v := range []int64{int64(a.sequence), a.coolingAt(now), int64(max(0, a.coolUntil-now)), a.wanted, a.minUseful, since(a.requestedAt), since(a.waitingSince), since(a.turnStart)} {
-			to = binary.AppendVarint(to, v)
+		for _, v := range []int64{int64(c.sequence), c.coolingAt(now), int64(max(0, c.coolUntil-now)), c.wanted, c.minUseful, since(c.requestedAt), since(c.waitingSince), since(c.turnStart)} {
+			b = binary.AppendVarint(b, v)
 		}
-		for _, l := range a.grants {
-			to = binary.AppendVarint(binary.AppendVarint(to, int64(l.expiresAt-now)), l.units)
+		for _, g := range c.grants {
+			b = binary.AppendVarint(binary.AppendVarint(b, int64(g.expiresAt-now)), g.units)
 		}
 	}
-	return append(to, ';')
+	return append(b, ';')
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -15,29 +15,29 @@
 	"saffronyard.example/saffronyard/internal/modelcheck"
 )
 
-// The model plays one limit with the code that ships (Purse, Book) against every order of what can happen, breadth first: questions and
-// answers are late, lost or come twice, clients stand still, use what they have at any moment, crash and restart; the owner
-// is replaced by one that knows nothing, once the old one lends no more, while its answers are still under way. What a
-// receiver sees is kept beside: in no span are there more uses than units.
+// The model runs the production code of one limit (Allowance, GrantTable) under every order of events, breadth first: requests and replies
+// are delayed, lost or duplicated; clients pause, use available units at any moment, crash and restart; the owner is replaced by one without
+// its state, after the former owner has stopped granting but while its replies are still in flight. The model records the uses that a
+// receiver sees: in no span may there be more uses than units.
 
 const tick = time.Second
 
-// fault is what a wrong program does.
+// fault is a defect injected into the protocol.
 type fault string
 
 const (
-	none                fault = ""
-	countedFromReply    fault = "a loan is counted from its answer"
-	noGracePeriod       fault = "a new authority starts from full"
-	noReclaimDelay      fault = "what lapses does not rest"
-	noCoolDown          fault = "a unit is used again at once"
-	checkedAtWake       fault = "a loan is looked at when the holder wakes, not when it writes"
-	staleReplies        fault = "an answer to an older question is taken"
-	staleRequests       fault = "a question that was overtaken counts"
-	coolingReportedFree fault = "what is let go is said to be free while it rests"
-	incarnationIgnored  fault = "a new process is taken for the old one"
-	keepsMoreThanTold   fault = "a holder goes on with more than it promised"
-	confirmsAndGrants   fault = "what is held is claimed, and the free units are lent as well"
+	none                  fault = ""
+	countedFromReply      fault = "a grant is counted from its reply"
+	noGracePeriod         fault = "a new owner has no grace period"
+	noReclaimDelay        fault = "units of an expired grant are free at once"
+	noCoolDown            fault = "a used unit is available at once"
+	checkedAtWake         fault = "a grant's expiry is checked when the client wakes, not when it uses a unit"
+	staleReplies          fault = "a reply to an older request is applied"
+	staleRequests         fault = "an overtaken request is applied"
+	coolingReportedFree   fault = "cooling units are reported as free"
+	incarnationIgnored    fault = "a new incarnation is treated as the former one"
+	keepsMoreThanReported fault = "a client keeps more units than it reported"
+	confirmsAndGrants     fault = "a new owner grants free units during its grace period"
 )
 
 type modelRequest struct {
@@ -51,7 +51,7 @@
 type modelGrant struct {
 	incarnation uint64
 	sequence    uint64
-	at          time.Duration
+	requestedAt time.Duration
 	epoch       int
 	grant       Grant
 }
@@ -60,9 +60,9 @@
 	incarnation  uint64
 	allowance    *Allowance
 	sequence     uint64
-	requestedAt  time.Duration // when it asked last
-	requestEpoch int           // under which epoch
-	epoch        int           // that it knows
+	requestedAt  time.Duration // of its last request
+	requestEpoch int           // of its last request
+	epoch        int           // newest epoch that the client has received
 	wokeAt       time.Duration
 	request      *modelRequest
 	grant        *modelGrant
@@ -75,7 +75,7 @@
 	clients [2]modelClient
 	crashes int
 	repeats int
-	uses    []int // ticks of uses that are within a span
+	uses    []int // ticks of the uses within the last span
 }
 
 type model struct {
@@ -90,7 +90,7 @@
 
 var modelTerms = Terms{Duration: 2 * tick}
 
-// First is the state before the first step.
+// First returns the initial state.
 func (m *model) First() *world {
 	w := &world{table: NewGrantTable(m.limit, modelTerms, 0)}
 	for i := range w.clients {
@@ -109,7 +109,7 @@
 
 var seed = maphash.MakeSeed()
 
-// Key encodes the state as it matters from now on.
+// Key encodes the state; states with the same possible futures have equal keys.
 func (m *model) Key(w *world) modelcheck.Key {
 	now := w.clock()
 	b := []byte{byte(w.now), byte(w.epoch), byte(w.crashes), byte(w.repeats)}
@@ -118,36 +118,36 @@
 	}
 	b = w.table.AppendState(b, now)
 	for i := range w.clients {
-		h := &w.clients[i]
-		b = h.allowance.AppendState(append(b, byte(h.incarnation), byte(h.sequence), byte(h.requestEpoch), byte(h.epoch), byte((now-h.requestedAt)/tick)), now)
+		c := &w.clients[i]
+		b = c.allowance.AppendState(append(b, byte(c.incarnation), byte(c.sequence), byte(c.requestEpoch), byte(c.epoch), byte((now-c.requestedAt)/tick)), now)
 		if m.fault == checkedAtWake {
-			b = append(b, byte(h.wokeAt/tick))
+			b = append(b, byte(c.wokeAt/tick))
 		}
-		if a := h.request; a != nil && (!a.received || w.repeats < m.repeats || m.fault == staleRequests) {
-			b = append(b, 'a', byte(a.incarnation), byte((now-a.at)/tick), byte(a.epoch), byte(a.request.Sequence), byte(a.request.Held), byte(a.request.Cooling), byte(a.request.CoolingTime/(tick/4)), byte(a.request.Wanted))
-			if a.received {
+		if r := c.request; r != nil && (!r.received || w.repeats < m.repeats || m.fault == staleRequests) {
+			b = append(b, 'a', byte(r.incarnation), byte((now-r.at)/tick), byte(r.epoch), byte(r.request.Sequence), byte(r.request.Held), byte(r.request.Cooling), byte(r.request.CoolingTime/(tick/4)), byte(r.request.Wanted))
+			if r.received {
 				b = append(b, 'h')
 			}
 		}
-		if l := h.grant; l != nil {
-			b = append(b, 'l', byte(l.incarnation), byte((now-l.at)/tick), byte(l.epoch), byte(l.sequence), byte(l.grant.Units), byte(l.grant.Duration/(tick/4)))
+		if g := c.grant; g != nil {
+			b = append(b, 'l', byte(g.incarnation), byte((now-g.requestedAt)/tick), byte(g.epoch), byte(g.sequence), byte(g.grant.Units), byte(g.grant.Duration/(tick/4)))
 		}
 	}
 	return modelcheck.Key{maphash.Bytes(seed, b), maphash.Bytes(seed, append(b, '#'))}
 }
 
-// Next is all that can happen.
-func (m *model) Next(w *world, visit func(what string, n *world, broken string)) {
-	do := func(what string, change func(n *world) string) {
+// Next visits the results of all events that are possible in a state.
+func (m *model) Next(w *world, visit func(step string, n *world, violation string)) {
+	do := func(step string, change func(n *world) string) {
 		n := w.clone()
-		if broken := change(n); broken != "-" {
-			visit(what, n, broken)
+		if violation := change(n); violation != "-" {
+			visit(step, n, violation)
 		}
 	}
 	if w.now < m.ticks {
-		do("a second goes by", func(n *world) string {
+		do("a second passes", func(n *world) string {
 			n.now++
-			n.table = n.table.Clone() // what is over is let go of as it is looked at, and the clocks of two worlds differ
+			n.table = n.table.Clone() // reading a table drops expired grants, and the clocks of the two worlds differ
 			for i := range n.clients {
 				n.clients[i].allowance = n.clients[i].allowance.Clone()
 			}
@@ -156,13 +156,13 @@
 		})
 	}
 	if w.epoch < m.epochs {
-		do("another authority begins", func(n *world) string {
+		do("a new owner starts", func(n *world) string {
 			n.epoch++
-			quiet := n.clock() + modelTerms.GracePeriod(m.limit)
+			graceUntil := n.clock() + modelTerms.GracePeriod(m.limit)
 			if m.fault == noGracePeriod {
-				quiet = 0
+				graceUntil = 0
 			}
-			n.table = NewGrantTable(m.limit, modelTerms, quiet)
+			n.table = NewGrantTable(m.limit, modelTerms, graceUntil)
 			return ""
 		})
 	}
@@ -172,127 +172,128 @@
 }
 
 func (m *model) clientEvents(w *world, i int, do func(string, func(*world) string)) {
-	h := &w.clients[i]
+	c := &w.clients[i]
 	name := string(rune('a' + i))
-	if h.epoch < w.epoch {
-		do(name+" hears of the new authority", func(n *world) string {
-			t := &n.clients[i]
-			t.epoch, t.wokeAt = n.epoch, n.clock()
+	if c.epoch < w.epoch {
+		do(name+" receives the new epoch", func(n *world) string {
+			c := &n.clients[i]
+			c.epoch, c.wokeAt = n.epoch, n.clock()
 			if m.fault != staleReplies {
-				t.requestedAt = -1 // its question is over
+				c.requestedAt = -1 // abandon the outstanding request
 			}
 			return ""
 		})
 	}
-	if h.request == nil || h.request.at != w.clock() || h.request.epoch != h.epoch || h.request.incarnation != h.incarnation {
+	if c.request == nil || c.request.at != w.clock() || c.request.epoch != c.epoch || c.request.incarnation != c.incarnation {
 		for _, keep := range []int64{m.limit.Units, 0} {
-			do(fmt.Sprintf("%s asks, and keeps up to %d", name, keep), func(n *world) string {
-				t := &n.clients[i]
-				t.allowance = t.allowance.Clone()
-				t.sequence++
-				t.requestedAt, t.requestEpoch, t.wokeAt = n.clock(), t.epoch, n.clock()
-				before := t.allowance.Clone()
-				q := Request{Sequence: t.sequence, Wanted: m.wants[i], MinUseful: 1}
-				q.Held, q.Cooling, q.CoolingTime = t.allowance.Relinquish(keep, n.clock())
+			do(fmt.Sprintf("%s sends a request and keeps up to %d", name, keep), func(n *world) string {
+				c := &n.clients[i]
+				c.allowance = c.allowance.Clone()
+				c.sequence++
+				c.requestedAt, c.requestEpoch, c.wokeAt = n.clock(), c.epoch, n.clock()
+				before := c.allowance.Clone()
+				r := Request{Sequence: c.sequence, Wanted: m.wants[i], MinUseful: 1}
+				r.Held, r.Cooling, r.CoolingTime = c.allowance.Relinquish(keep, n.clock())
 				switch m.fault {
 				case coolingReportedFree:
-					q.Cooling = 0
-				case keepsMoreThanTold:
-					t.allowance = before
+					r.Cooling = 0
+				case keepsMoreThanReported:
+					c.allowance = before
 				default:
 				}
-				t.request = &modelRequest{t.incarnation, t.requestedAt, q, t.epoch, false}
+				c.request = &modelRequest{c.incarnation, c.requestedAt, r, c.epoch, false}
 				return ""
 			})
 		}
 	}
-	if a := h.request; a != nil && (!a.received || w.repeats < m.repeats) && a.epoch == w.epoch {
-		do("the authority hears "+name, func(n *world) string {
-			t := &n.clients[i]
+	if r := c.request; r != nil && (!r.received || w.repeats < m.repeats) && r.epoch == w.epoch {
+		do("the owner receives the request of "+name, func(n *world) string {
+			c := &n.clients[i]
 			n.table = n.table.Clone()
-			q := *t.request
-			if q.received {
+			r := *c.request
+			if r.received {
 				n.repeats++
 			}
-			q.received = true
-			t.request = &q
-			life := q.incarnation
+			r.received = true
+			c.request = &r
+			incarnation := r.incarnation
 			if m.fault == incarnationIgnored {
-				life = 0
+				incarnation = 0
 			}
 			if m.fault == noReclaimDelay || m.fault == noCoolDown {
 				n.table.limit.Span = 0
 			}
-			if acc := n.table.clients[lease.HolderID{Name: name, Incarnation: life}]; acc != nil && (m.fault == staleRequests || m.fault == incarnationIgnored) {
-				acc.sequence = 0
+			if client := n.table.clients[lease.HolderID{Name: name, Incarnation: incarnation}]; client != nil && (m.fault == staleRequests || m.fault == incarnationIgnored) {
+				client.sequence = 0
 			}
 			if m.fault == confirmsAndGrants && n.clock() < n.table.graceUntil {
 				n.table.graceUntil = 0
 			}
-			l, ok := n.table.Grant(lease.HolderID{Name: name, Incarnation: life}, q.request, n.clock())
+			grant, ok := n.table.Grant(lease.HolderID{Name: name, Incarnation: incarnation}, r.request, n.clock())
 			n.table.limit.Span = m.limit.Span
 			if ok {
-				t.grant = &modelGrant{q.incarnation, q.request.Sequence, q.at, q.epoch, l}
+				c.grant = &modelGrant{r.incarnation, r.request.Sequence, r.at, r.epoch, grant}
 			}
 			return ""
 		})
 	}
-	if l := h.grant; l != nil && l.incarnation == h.incarnation {
-		do(name+" hears what it is lent", func(n *world) string {
-			t := &n.clients[i]
-			t.grant, t.wokeAt = nil, n.clock()
-			if m.fault != staleReplies && (t.requestedAt != l.at || t.sequence != l.sequence || t.epoch != l.epoch) {
-				return "" // not the answer to what it asked last
+	if g := c.grant; g != nil && g.incarnation == c.incarnation {
+		do(name+" receives its grant", func(n *world) string {
+			c := &n.clients[i]
+			c.grant, c.wokeAt = nil, n.clock()
+			if m.fault != staleReplies && (c.requestedAt != g.requestedAt || c.sequence != g.sequence || c.epoch != g.epoch) {
+				return "" // not the reply to its last request
 			}
-			at := l.at
+			requestedAt := g.requestedAt
 			if m.fault == countedFromReply {
-				at = n.clock()
+				requestedAt = n.clock()
 			}
-			t.allowance = t.allowance.Clone()
-			t.allowance.Renew(l.grant.Units, at, l.grant.Duration, n.clock())
+			c.allowance = c.allowance.Clone()
+			c.allowance.Renew(g.grant.Units, requestedAt, g.grant.Duration, n.clock())
 			return ""
 		})
 	}
 	do(name+" uses a unit", func(n *world) string {
-		t := &n.clients[i]
-		t.allowance = t.allowance.Clone()
+		c := &n.clients[i]
+		c.allowance = c.allowance.Clone()
 		now := n.clock()
 		if m.fault == checkedAtWake {
-			now = max(t.wokeAt, t.allowance.expiresAt-2*tick)
+			now = max(c.wokeAt, c.allowance.expiresAt-2*tick)
 		}
 		if m.fault == noCoolDown {
-			t.allowance.usageLog, t.allowance.cooling = nil, 0
+			c.allowance.usageLog, c.allowance.cooling = nil, 0
 		}
-		if !t.allowance.Take(1, now) {
+		if !c.allowance.Take(1, now) {
 			return "-"
 		}
 		n.uses = append(n.uses, n.now)
 		if int64(len(n.uses)) > m.limit.Units {
-			return fmt.Sprintf("%d uses in a span, of %d units", len(n.uses), m.limit.Units)
+			return fmt.Sprintf("%d uses in a span with %d units", len(n.uses), m.limit.Units)
 		}
 		return ""
 	})
 	if w.crashes < m.crashes {
-		do(name+" crashes and comes back", func(n *world) string {
+		do(name+" crashes and restarts", func(n *world) string {
 			n.crashes++
-			t := &n.clients[i]
-			t.incarnation++
-			t.allowance, t.requestedAt, t.wokeAt = NewAllowance(m.limit, 0, false, n.clock()), -1, n.clock()
-			t.sequence = 0
+			c := &n.clients[i]
+			c.incarnation++
+			c.allowance, c.requestedAt, c.wokeAt = NewAllowance(m.limit, 0, false, n.clock()), -1, n.clock()
+			c.sequence = 0
 			return ""
 		})
 	}
 }
 
-var one = Limit{Key: "x", Units: 1, Span: tick}
+var oneUnit = Limit{Key: "x", Units: 1, Span: tick}
 
-// No order of events breaks a limit, within the steps named. SAFFRONYARD_MODEL_STEPS goes further (docs/design/quota.md has counts).
+// Checks that no order of events within the number of steps exceeds a limit. SAFFRONYARD_MODEL_STEPS sets a larger number of steps
+// (docs/design/quota.md has the counts of states).
 func TestModel_LimitHolds(t *testing.T) {
 	for name, m := range map[string]*model{
-		"one unit":                  {limit: one, ticks: 6, wants: [2]int64{1, 1}},
-		"one unit, a new authority": {limit: one, ticks: 5, epochs: 1, wants: [2]int64{1, 1}},
-		"one unit, a crash":         {limit: one, ticks: 5, crashes: 1, repeats: 1, wants: [2]int64{1, 1}},
-		"three units":               {limit: Limit{Key: "x", Units: 3, Span: tick}, ticks: 4, epochs: 1, wants: [2]int64{2, 3}},
+		"one unit":              {limit: oneUnit, ticks: 6, wants: [2]int64{1, 1}},
+		"one unit, a new owner": {limit: oneUnit, ticks: 5, epochs: 1, wants: [2]int64{1, 1}},
+		"one unit, a crash":     {limit: oneUnit, ticks: 5, crashes: 1, repeats: 1, wants: [2]int64{1, 1}},
+		"three units":           {limit: Limit{Key: "x", Units: 3, Span: tick}, ticks: 4, epochs: 1, wants: [2]int64{2, 3}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -309,12 +310,12 @@
 	}
 }
 
-// Each wrong program is found, by a shortest trace.
+// Checks that the model finds each injected fault, with a shortest trace.
 func TestModel_FindsFaults(t *testing.T) {
-	for _, f := range []fault{countedFromReply, noGracePeriod, noReclaimDelay, noCoolDown, checkedAtWake, staleReplies, staleRequests, coolingReportedFree, incarnationIgnored, keepsMoreThanTold, confirmsAndGrants} {
+	for _, f := range []fault{countedFromReply, noGracePeriod, noReclaimDelay, noCoolDown, checkedAtWake, staleReplies, staleRequests, coolingReportedFree, incarnationIgnored, keepsMoreThanReported, confirmsAndGrants} {
 		t.Run(string(f), func(t *testing.T) {
 			t.Parallel()
-			m := &model{fault: f, limit: one, ticks: 2, wants: [2]int64{1, 1}}
+			m := &model{fault: f, limit: oneUnit, ticks: 2, wants: [2]int64{1, 1}}
 			switch f {
 			case noGracePeriod, confirmsAndGrants, staleReplies:
 				m.epochs = 1
--- a/internal/quota/server.go
+++ b/internal/quota/server.go
@@ -8,11 +8,11 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Server is a sender as the owner of some limits. It is stepped by one goroutine.
+// Server grants units of the limits that a sender owns. It is stepped by one goroutine.
 //
-// Membership and limits are to be set as of a state under which the sender may act, at a moment at which its lease on that state lasts. A
-// step that stands still after that moment does no harm: grants are counted from before their requests, and the next owner's grace period is
-// longer than that and begins later.
+// The caller must set membership and limits from a state under which the sender may act, at a moment at which its lease on that state has
+// not expired. A step that is paused after that moment is safe: clients count grants from before their requests, and the next owner's grace
+// period is longer than a grant and begins later.
 type Server struct {
 	me             lease.HolderID
 	terms          Terms
@@ -22,33 +22,35 @@
 	tables         map[string]*GrantTable
 	dailyPools     map[string]*DailyPool
 	day            int64                             // by this sender's calendar
-	draws          []Draw                            // to ask of the log
-	observedLimits map[string]observedLimit          // that receivers reported, by key
-	slowStartAt    map[string]time.Duration          // when a limit that grows was first seen
+	draws          []Draw                            // to submit to the log
+	observedLimits map[string]observedLimit          // reported by receivers, by key
+	slowStartAt    map[string]time.Duration          // when a limit with slow start was first seen, by key
 	gracePeriod    func(time.Duration) time.Duration // identity; a test may replace it
 }
 
-// observedLimit is a limit that a receiver reported, in calls per second.
+// observedLimit is a limit reported by a receiver, in calls per second.
 type observedLimit struct {
 	perSecond  float64
 	observedAt time.Duration
 }
 
-// NewServer makes a server that owns nothing yet.
+// NewServer returns a server without a membership or limits.
 func NewServer(me lease.HolderID, t Terms) *Server {
 	return &Server{me: me, terms: t, limits: map[string]Limit{}, tables: map[string]*GrantTable{}, dailyPools: map[string]*DailyPool{}, observedLimits: map[string]observedLimit{}, slowStartAt: map[string]time.Duration{}, gracePeriod: func(d time.Duration) time.Duration { return d }}
 }
 
-// OverrideGracePeriod replaces how long the grace period is: fault injection for tests.
-func (s *Server) OverrideGracePeriod(quiet func(time.Duration) time.Duration) { s.gracePeriod = quiet }
+// OverrideGracePeriod replaces the length of the grace period. It injects faults in tests.
+func (s *Server) OverrideGracePeriod(override func(time.Duration) time.Duration) {
+	s.gracePeriod = override
+}
 
 // SetLimits replaces the limits.
 func (s *Server) SetLimits(all []Limit, now time.Duration) {
 	s.limits = make(map[string]Limit, len(all))
-	for _, one := range all {
-		s.limits[one.Key] = one
-		if _, ok := s.slowStartAt[one.Key]; !ok && one.SlowStartUnits > 0 {
-			s.slowStartAt[one.Key] = now
+	for _, limit := range all {
+		s.limits[limit.Key] = limit
+		if _, ok := s.slowStartAt[limit.Key]; !ok && limit.SlowStartUnits > 0 {
+			s.slowStartAt[limit.Key] = now
 		}
 	}
 	for key := range s.slowStartAt {
@@ -56,14 +58,14 @@
 			delete(s.slowStartAt, key)
 		}
 	}
-	for key, b := range s.tables {
-		if one, ok := s.limits[key]; ok {
-			b.SetLimit(s.adapted(one, b.limit.Units))
-		} // otherwise it is kept until its grants have expired: the limit may come back
+	for key, t := range s.tables {
+		if limit, ok := s.limits[key]; ok {
+			t.SetLimit(s.adapted(limit, t.limit.Units))
+		} // otherwise the table is kept until its grants have expired, as the limit may be added again
 	}
 }
 
-// Grant answers a client under the membership and the limits set last. The error is an *EpochError or a *NoParticipantError.
+// Grant processes a client's request under the membership and limits set last. The error is an *EpochError or a *NoParticipantError.
 func (s *Server) Grant(r *pb.QuotaRequest, now time.Duration) (*pb.QuotaReply, error) {
 	if s.Epoch() != r.Epoch || r.ToIncarnation != s.me.Incarnation {
 		return nil, &EpochError{ServerEpoch: s.Epoch(), RequestEpoch: r.Epoch, ServerIncarnation: s.me.Incarnation, RequestIncarnation: r.ToIncarnation}
@@ -79,7 +81,7 @@
 			continue
 		}
 		if s.nextOwnership != nil && !s.owns(s.nextOwnership, d.Key) {
-			continue // it moves to another owner
+			continue // the limit is about to move to another owner
 		}
 		var grant *pb.QuotaGrant
 		var ok bool
@@ -95,7 +97,7 @@
 	return reply, nil
 }
 
-// grantFromTable answers a request for a limit of any kind but Daily.
+// grantFromTable processes a demand for a limit of any kind except Daily.
 func (s *Server) grantFromTable(limit Limit, id lease.HolderID, sequence uint64, d *pb.QuotaDemand, now time.Duration) (*pb.QuotaGrant, bool) {
 	if d.ObservedLimit > 0 {
 		observed := observedLimit{d.ObservedLimit, now - max(0, time.Duration(d.ObservedAgeUs)*time.Microsecond)}
@@ -117,14 +119,15 @@
 		LimitUnits: t.limit.Units}, ok
 }
 
-// effectiveLimit is a limit as it applies now: grown by its slow start, and lowered to what its receiver reported if it is adaptive.
+// effectiveLimit returns the limit that applies now: increased by its slow start and, if it is adaptive, lowered to the limit that its
+// receiver reported.
 func (s *Server) effectiveLimit(limit Limit, now time.Duration) Limit {
 	if limit.SlowStartUnits > limit.Units && limit.SlowStartTime > 0 {
 		grown := float64(limit.SlowStartUnits-limit.Units) * min(1, (now-s.slowStartAt[limit.Key]).Seconds()/limit.SlowStartTime.Seconds())
 		limit.Units += int64(grown)
 	}
-	if t, ok := s.observedLimits[limit.Key]; ok && limit.Adaptive && now-t.observedAt < observedLimitTTL && t.perSecond > 0 {
-		return s.adapted(limit, int64(t.perSecond*limit.Span.Seconds()))
+	if observed, ok := s.observedLimits[limit.Key]; ok && limit.Adaptive && now-observed.observedAt < observedLimitTTL && observed.perSecond > 0 {
+		return s.adapted(limit, int64(observed.perSecond*limit.Span.Seconds()))
 	}
 	return limit
 }
@@ -136,14 +139,14 @@
 	return limit
 }
 
-// Prune drops idle tables, looking at a few at a time.
+// Prune drops idle tables, checking up to 100 per call.
 func (s *Server) Prune(now time.Duration) {
 	n := 0
-	for key, b := range s.tables {
+	for key, t := range s.tables {
 		if n++; n > 100 {
 			return
 		}
-		if b.idle(now) {
+		if t.idle(now) {
 			delete(s.tables, key)
 		}
 	}
--- a/internal/quota/server_daily.go
+++ b/internal/quota/server_daily.go
@@ -7,7 +7,7 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Draw is units of a daily quota to ask of the log.
+// Draw is a request to the replicated log for units of a daily quota.
 type Draw struct {
 	Key    string
 	Epoch  uint64
@@ -16,24 +16,24 @@
 	Limit  int64 // units of the quota in the period
 }
 
-// SetDay begins a day by this sender's calendar. Calendars that differ do no harm: the log lets no day come back.
+// SetDay starts a day by this sender's calendar. Calendars that differ between senders are safe: the log rejects draws for an earlier day.
 func (s *Server) SetDay(day int64) { s.day = max(s.day, day) }
 
-// TakeDraws are the draws to ask of the log since the last call.
+// TakeDraws returns the draws to submit to the log since the last call.
 func (s *Server) TakeDraws() []Draw {
 	d := s.draws
 	s.draws = nil
 	return d
 }
 
-// AddDrawn adds what the log gave for a draw.
+// AddDrawn adds the units that the log gave for a draw.
 func (s *Server) AddDrawn(d Draw, units int64) {
 	if p := s.dailyPools[d.Key]; p != nil && d.Epoch == s.Epoch() {
 		p.AddDrawn(d.Period, units)
 	}
 }
 
-// grantDaily answers a request for a daily quota.
+// grantDaily processes a demand for a daily quota.
 func (s *Server) grantDaily(limit Limit, id lease.HolderID, sequence uint64, d *pb.QuotaDemand, now time.Duration) (*pb.QuotaGrant, bool) {
 	p := s.dailyPools[limit.Key]
 	if p == nil {
--- a/internal/quota/server_membership.go
+++ b/internal/quota/server_membership.go
@@ -8,7 +8,7 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// activeMembership is a membership and when it became active, as this process saw it.
+// activeMembership is a membership and when this process first saw it active.
 type activeMembership struct {
 	epoch     uint64
 	ownership *coordinator.Ownership
@@ -16,15 +16,15 @@
 }
 
 const (
-	maxMemberships   = 64               // that are remembered, for ownedSince
-	observedLimitTTL = 30 * time.Minute // for which a receiver's report counts
+	maxMemberships   = 64               // memberships remembered for ownedSince
+	observedLimitTTL = 30 * time.Minute // after which a receiver's reported limit is ignored
 )
 
-// SetMembership replaces the membership. It drops what this sender does not own any more.
+// SetMembership replaces the membership. It drops the state of limits that this sender does not own any more.
 func (s *Server) SetMembership(m *pb.MembershipState, now time.Duration) {
 	if n := len(s.memberships); n == 0 || s.memberships[n-1].epoch != m.GetEpoch() {
 		if n > 0 && m.GetEpoch() != s.memberships[n-1].epoch+1 {
-			s.memberships = nil // epochs were missed in which others may have been owners
+			s.memberships = nil // other senders may have been owners in the missed epochs
 		}
 		s.memberships = append(s.memberships, activeMembership{m.GetEpoch(), coordinator.NewOwnership(m.GetParticipants()), now})
 		if n := len(s.memberships) - maxMemberships; n > 0 {
@@ -49,12 +49,12 @@
 
 func (s *Server) active() activeMembership { return s.memberships[len(s.memberships)-1] }
 
-func (s *Server) owns(c *coordinator.Ownership, key string) bool {
-	p := c.Owner(key)
+func (s *Server) owns(ownership *coordinator.Ownership, key string) bool {
+	p := ownership.Owner(key)
 	return p != nil && p.Name == s.me.Name && p.Incarnation == s.me.Incarnation
 }
 
-// ownedSince is from when this sender has owned a limit without a break, as far as it knows.
+// ownedSince returns since when this sender has owned a limit without interruption, according to the remembered memberships.
 func (s *Server) ownedSince(key string) time.Duration {
 	at := s.active().startedAt
 	for i := len(s.memberships) - 1; i > 0 && s.owns(s.memberships[i-1].ownership, key); i-- {
@@ -63,7 +63,7 @@
 	return at
 }
 
-// Epoch is the active membership's; 0 before the first.
+// Epoch returns the active membership's epoch; 0 before the first.
 func (s *Server) Epoch() uint64 {
 	if len(s.memberships) == 0 {
 		return 0
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -17,8 +17,8 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// sim is a fleet in virtual time: the code that ships, one goroutine, a network that a seed draws. Each sender's clock has an offset
-// and a rate of its own. Receivers count for themselves.
+// sim simulates a fleet in virtual time: it runs the production code in one goroutine over a network with random delays and losses, which
+// are determined by a seed. Each sender's clock has its own offset and rate. Uses are counted at the receivers.
 type sim struct {
 	t                *testing.T
 	rng              *rand.Rand
@@ -31,15 +31,15 @@
 	membership       *pb.MembershipState
 	partitioned      map[[2]int]bool
 	loss             float64
-	uses             map[string][]time.Duration // at the receiver, by limit
-	counts           map[string]int             // of uses
-	usesBySender     map[string]map[int]int     // by sender
+	uses             map[string][]time.Duration // times of the uses within the last span at the receiver, by limit
+	counts           map[string]int             // of uses, by limit
+	usesBySender     map[string]map[int]int     // counts of uses, by limit and sender
 	violation        string
 	sent             int
 	bytes            int
 	incarnations     uint64
-	nextParticipants []*pb.Participant // nil: none is
-	changedAgain     bool              // another is to come
+	nextParticipants []*pb.Participant // nil: no membership is proposed
+	changedAgain     bool              // another membership is to be proposed after this one
 }
 
 type simSender struct {
@@ -55,19 +55,19 @@
 	events       []ClientEvent
 	down         bool
 	paused       time.Duration
-	leaseUntil   time.Duration // of the fleet's, in true time
-	proposedSeen uint64        // proposed membership that it knows of
-	alarm        time.Duration // true time
+	leaseUntil   time.Duration // end of its fleet lease, in true time
+	proposedSeen uint64        // epoch of the newest proposed membership that it has received
+	alarm        time.Duration // in true time
 	load         map[string]*simLoad
 }
 
-// simLoad is messages that come for a limit at a pace, and wait.
+// simLoad is the load of a sender on one limit: messages arrive at a rate and wait in a backlog.
 type simLoad struct {
 	every      time.Duration
 	waiting    int64
 	retryAt    time.Duration
 	pacedUntil time.Duration
-	stuck      bool // its calls do not get through
+	stuck      bool // its calls never use units
 }
 
 type simEvent struct {
@@ -106,7 +106,7 @@
 	heap.Push(&s.queue, simEvent{s.now + d, s.n, do})
 }
 
-// run plays until a time.
+// run processes events up to a time.
 func (s *sim) run(until time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= until && s.violation == "" {
 		e := heap.Pop(&s.queue).(simEvent)
@@ -118,7 +118,8 @@
 
 const leaseLength = time.Second
 
-// activate proposes a membership of all that hold a lease, and activates it once the fence has passed: all that hold a lease know of it.
+// activate proposes a membership of all senders that hold a lease, and activates it once the fence has passed: once all senders that hold a
+// lease have received the proposal.
 func (s *sim) activate() {
 	if s.nextParticipants != nil {
 		s.changedAgain = true
@@ -130,17 +131,17 @@
 			s.nextParticipants = append(s.nextParticipants, &pb.Participant{Name: p.name, Incarnation: p.id.Incarnation})
 		}
 	}
-	r := &pb.MembershipState{Epoch: s.membership.Epoch, Participants: s.membership.Participants, NextEpoch: s.membership.Epoch + 1, NextParticipants: s.nextParticipants}
-	s.deliverMembership(r)
+	m := &pb.MembershipState{Epoch: s.membership.Epoch, Participants: s.membership.Participants, NextEpoch: s.membership.Epoch + 1, NextParticipants: s.nextParticipants}
+	s.deliverMembership(m)
 	var fence func()
 	fence = func() {
 		for _, p := range s.senders {
-			if p.proposedSeen < r.NextEpoch && p.leaseUntil > s.now {
+			if p.proposedSeen < m.NextEpoch && p.leaseUntil > s.now {
 				s.at(10*time.Millisecond, fence)
 				return
 			}
 		}
-		s.membership, s.nextParticipants = &pb.MembershipState{Epoch: r.NextEpoch, Participants: s.nextParticipants}, nil
+		s.membership, s.nextParticipants = &pb.MembershipState{Epoch: m.NextEpoch, Participants: s.nextParticipants}, nil
 		s.deliverMembership(s.membership)
 		if s.changedAgain {
 			s.changedAgain = false
@@ -150,36 +151,36 @@
 	s.at(10*time.Millisecond, fence)
 }
 
-// deliverMembership delivers a membership to each sender, with a delay of its own; to one that is paused when it wakes.
-func (s *sim) deliverMembership(r *pb.MembershipState) {
+// deliverMembership delivers a membership to each sender with a random delay, and to a paused sender after it has resumed.
+func (s *sim) deliverMembership(m *pb.MembershipState) {
 	for _, p := range s.senders {
-		life := p.id.Incarnation
-		var hear func()
-		hear = func() {
+		incarnation := p.id.Incarnation
+		var deliver func()
+		deliver = func() {
 			switch {
-			case p.down || p.id.Incarnation != life || r.Epoch < p.client.epoch:
+			case p.down || p.id.Incarnation != incarnation || m.Epoch < p.client.epoch:
 			case p.paused > s.now:
-				s.at(p.paused-s.now+s.delay(), hear)
+				s.at(p.paused-s.now+s.delay(), deliver)
 			default:
-				p.proposedSeen = max(p.proposedSeen, r.NextEpoch)
-				p.client.SetMembership(r)
-				p.server.SetMembership(r, p.clock())
+				p.proposedSeen = max(p.proposedSeen, m.NextEpoch)
+				p.client.SetMembership(m)
+				p.server.SetMembership(m, p.clock())
 				p.step()
 			}
 		}
-		s.at(time.Duration(s.rng.Int64N(int64(20*time.Millisecond))), hear)
+		s.at(time.Duration(s.rng.Int64N(int64(20*time.Millisecond))), deliver)
 	}
 }
 
-// renew renews a sender's lease, unless a membership is proposed that it does not know of.
-func (p *simSender) renew(life uint64) {
-	if p.down || p.id.Incarnation != life {
+// renew renews a sender's lease periodically, except while a membership is proposed that the sender has not received.
+func (p *simSender) renew(incarnation uint64) {
+	if p.down || p.id.Incarnation != incarnation {
 		return
 	}
 	if p.paused <= p.s.now && (p.s.nextParticipants == nil || p.proposedSeen > p.s.membership.Epoch) {
 		p.leaseUntil = p.s.now + leaseLength
 	}
-	p.s.at(100*time.Millisecond, func() { p.renew(life) })
+	p.s.at(100*time.Millisecond, func() { p.renew(incarnation) })
 }
 
 func (p *simSender) clock() time.Duration {
@@ -196,18 +197,18 @@
 	p.alarm, p.proposedSeen = Never, 0
 	p.renew(p.s.incarnations)
 	if p.s.membership.Epoch > 0 {
-		r := p.s.membership
-		p.client.SetMembership(r)
-		p.server.SetMembership(r, p.clock())
+		m := p.s.membership
+		p.client.SetMembership(m)
+		p.server.SetMembership(m, p.clock())
 	}
 }
 
-// step steps the client with the events that have come, and carries out its actions.
+// step steps the client with events and with those collected since the last step, and executes its actions.
 func (p *simSender) step(events ...ClientEvent) {
 	if p.down {
 		return
 	}
-	if p.paused > p.s.now { // what comes meanwhile is there when it wakes
+	if p.paused > p.s.now { // the events are processed when the sender resumes
 		p.s.at(p.paused-p.s.now, func() { p.step(events...) })
 		return
 	}
@@ -232,9 +233,9 @@
 		case SharesChanged:
 			for _, key := range a.Keys {
 				if l := p.load[key]; l != nil {
-					life := p.id.Incarnation
+					incarnation := p.id.Incarnation
 					p.s.at(0, func() {
-						if p.id.Incarnation == life {
+						if p.id.Incarnation == incarnation {
 							p.sendLoad(key, l)
 						}
 					})
@@ -248,12 +249,12 @@
 	return time.Millisecond + time.Duration(s.rng.Int64N(int64(4*time.Millisecond)))
 }
 
-// request sends a question, and the answer back.
-func (p *simSender) request(q SendRequest) {
-	s, life := p.s, p.id.Incarnation
-	to := s.senders[slices.IndexFunc(s.senders, func(o *simSender) bool { return o.name == q.To.Name })]
+// request delivers a request and its reply, unless one of them is lost.
+func (p *simSender) request(r SendRequest) {
+	s, incarnation := p.s, p.id.Incarnation
+	to := s.senders[slices.IndexFunc(s.senders, func(o *simSender) bool { return o.name == r.To.Name })]
 	s.sent++
-	s.bytes += proto.Size(q.Request)
+	s.bytes += proto.Size(r.Request)
 	if s.partitioned[[2]int{p.i, to.i}] || s.rng.Float64() < s.loss {
 		return
 	}
@@ -269,37 +270,37 @@
 		if to.leaseUntil <= s.now {
 			return
 		}
-		reply, err := to.server.Grant(q.Request, to.clock())
+		reply, err := to.server.Grant(r.Request, to.clock())
 		if err != nil || s.partitioned[[2]int{to.i, p.i}] || s.rng.Float64() < s.loss {
 			return
 		}
 		s.sent++
 		s.bytes += proto.Size(reply)
 		s.at(s.delay(), func() {
-			if p.id.Incarnation == life {
-				p.step(ReplyReceived{q.To.Name, q.Request.Sequence, reply})
+			if p.id.Incarnation == incarnation {
+				p.step(ReplyReceived{r.To.Name, r.Request.Sequence, reply})
 			}
 		})
 	}
 	s.at(s.delay(), arrive)
 }
 
-// addLoad has messages come for a limit, so many a second.
+// addLoad lets messages arrive for a limit at a rate per second.
 func (p *simSender) addLoad(key string, perSecond float64) *simLoad {
 	l := p.load[key]
 	if l == nil {
 		l = &simLoad{}
 		p.load[key] = l
 	}
-	was := l.every
+	former := l.every
 	if l.every = 0; perSecond > 0 {
 		l.every = time.Duration(float64(time.Second) / perSecond)
 	}
-	if was == 0 && l.every > 0 {
-		life := p.id.Incarnation
-		var come func()
-		come = func() {
-			if p.id.Incarnation != life || l.every == 0 {
+	if former == 0 && l.every > 0 {
+		incarnation := p.id.Incarnation
+		var arrive func()
+		arrive = func() {
+			if p.id.Incarnation != incarnation || l.every == 0 {
 				return
 			}
 			if p.paused <= p.s.now && l.waiting < 100 {
@@ -307,27 +308,27 @@
 				p.allowances.AddWaiting(key, 1, 1)
 				p.sendLoad(key, l)
 			}
-			p.s.at(time.Duration(p.s.rng.ExpFloat64()*float64(l.every)), come)
+			p.s.at(time.Duration(p.s.rng.ExpFloat64()*float64(l.every)), arrive)
 		}
-		p.s.at(time.Duration(p.s.rng.Float64()*float64(l.every)), come)
+		p.s.at(time.Duration(p.s.rng.Float64()*float64(l.every)), arrive)
 	}
 	return l
 }
 
-// sendLoad has a sender use what it may, as soon as it may.
+// sendLoad sends waiting messages as soon as units are available.
 func (p *simSender) sendLoad(key string, l *simLoad) {
-	s, life := p.s, p.id.Incarnation
+	s, incarnation := p.s, p.id.Incarnation
 	if p.down || l.stuck {
 		return
 	}
 	if p.paused <= s.now {
-		for l.waiting > 0 && l.pacedUntil <= s.now { // evenly, as the module does
+		for l.waiting > 0 && l.pacedUntil <= s.now { // paced evenly, as in package sender
 			if ok, _ := p.allowances.Take([]Usage{{key, 1}}, p.clock()); !ok {
 				break
 			}
 			l.waiting--
-			if sh, _ := p.allowances.Share(key, p.clock()); sh.Units > 0 {
-				l.pacedUntil = s.now + sh.CoolDown/time.Duration(sh.Units)
+			if share, _ := p.allowances.Share(key, p.clock()); share.Units > 0 {
+				l.pacedUntil = s.now + share.CoolDown/time.Duration(share.Units)
 			}
 			p.allowances.AddWaiting(key, -1, 1)
 			s.at(time.Duration(s.rng.Int64N(int64(5*time.Millisecond))), func() { s.used(key, p.i) })
@@ -336,20 +337,20 @@
 			p.step()
 		}
 	}
-	again := p.allowances.NextAvailable(key, p.clock())
-	if l.waiting == 0 || again == Never || l.retryAt > s.now {
+	next := p.allowances.NextAvailable(key, p.clock())
+	if l.waiting == 0 || next == Never || l.retryAt > s.now {
 		return // until more messages come, or units are granted
 	}
-	at := max(time.Millisecond, l.pacedUntil-s.now, time.Duration(float64(again-p.clock())/p.rate), p.paused-s.now)
+	at := max(time.Millisecond, l.pacedUntil-s.now, time.Duration(float64(next-p.clock())/p.rate), p.paused-s.now)
 	l.retryAt = s.now + at
 	s.at(at, func() {
-		if p.id.Incarnation == life {
+		if p.id.Incarnation == incarnation {
 			p.sendLoad(key, l)
 		}
 	})
 }
 
-// used is a use as the receiver sees it.
+// used records a use at the receiver, and a violation if there are more uses in a span than units.
 func (s *sim) used(key string, i int) {
 	l := s.limits[slices.IndexFunc(s.limits, func(l Limit) bool { return l.Key == key })]
 	u := append(s.uses[key], s.now)
@@ -363,7 +364,7 @@
 	}
 	s.usesBySender[key][i]++
 	if int64(len(u)) > l.Units && s.violation == "" {
-		s.violation = fmt.Sprintf("at %v %s had %d uses in %v, of %d units", s.now, key, len(u), l.Span, l.Units)
+		s.violation = fmt.Sprintf("at %v %s had %d uses in %v with %d units", s.now, key, len(u), l.Span, l.Units)
 	}
 }
 
@@ -373,7 +374,7 @@
 	return Limit{Key: key, Units: units, Span: time.Second, TransitJitter: 10 * time.Millisecond}
 }
 
-// jain is Jain's index of fairness: 1 if all have the same.
+// jain returns Jain's fairness index: 1 if all values are equal.
 func jain(by map[int]int, n int) float64 {
 	sum, squares := 0.0, 0.0
 	for _, v := range by {
@@ -383,8 +384,8 @@
 	return sum * sum / (float64(n) * squares)
 }
 
-// Whatever is cut, paused, killed or lost: in no span does a receiver see more uses than units, and a fleet that is well again
-// uses what there is.
+// Checks that, under partitions, pauses, crashes and message loss, a receiver sees in no span more uses than units, and that the fleet uses
+// at least 80% of the available units after it has recovered.
 func TestFleet_LimitsHoldUnderFaults(t *testing.T) {
 	seeds := 40
 	if os.Getenv("SAFFRONYARD_MODEL") == "large" {
@@ -409,24 +410,24 @@
 		for at := 5 * time.Second; at < 25*time.Second; at += time.Duration(s.rng.Int64N(int64(800 * time.Millisecond))) {
 			s.run(at)
 			p, o := s.senders[s.rng.IntN(n)], s.senders[s.rng.IntN(n)]
-			for_ := time.Duration(s.rng.Int64N(int64(4 * time.Second)))
+			duration := time.Duration(s.rng.Int64N(int64(4 * time.Second)))
 			switch s.rng.IntN(8) {
 			case 0, 1:
 				s.partitioned[[2]int{p.i, o.i}] = true
-				s.at(for_, func() { delete(s.partitioned, [2]int{p.i, o.i}) })
+				s.at(duration, func() { delete(s.partitioned, [2]int{p.i, o.i}) })
 			case 2, 3:
-				p.paused = max(p.paused, s.now+for_)
+				p.paused = max(p.paused, s.now+duration)
 			case 4:
 				p.down = true
-				s.at(for_, func() { restart(p) })
-				s.at(for_/2, s.activate)
+				s.at(duration, func() { restart(p) })
+				s.at(duration/2, s.activate)
 			case 5:
 				s.loss = 0.3
-				s.at(for_, func() { s.loss = 0 })
-			case 6: // one that is paused is left out of the membership, and comes back
-				p.paused = max(p.paused, s.now+for_)
-				s.at(for_/2, s.activate)
-				s.at(for_+200*time.Millisecond, s.activate)
+				s.at(duration, func() { s.loss = 0 })
+			case 6: // a paused sender is removed from the membership and added again
+				p.paused = max(p.paused, s.now+duration)
+				s.at(duration/2, s.activate)
+				s.at(duration+200*time.Millisecond, s.activate)
 			case 7:
 				s.activate()
 			}
@@ -448,18 +449,18 @@
 		for _, l := range limits {
 			want := min(float64(l.Units), float64(n)*map[string]float64{"small": 3, "large": 30}[l.Key])
 			if got := float64(s.counts[l.Key]) / 10; got < 0.8*want {
-				t.Errorf("seed %d, %d senders: healed, %.1f a second of %s are used, of %.0f that could be", seed, n, got, l.Key, want)
+				t.Errorf("seed %d, %d senders: after recovery %.1f units/s of %s used, of %.0f usable", seed, n, got, l.Key, want)
 			}
 		}
 	}
 }
 
-// What a healthy fleet uses, how even, and how soon it follows: figures for the design note.
+// Checks how many of the usable units a healthy fleet uses, and logs this and Jain's index for the design note.
 func TestFleet_Utilization(t *testing.T) {
 	for _, c := range []struct {
 		senders, units int64
-		each           float64 // wanted, a second
-		least          float64 // used, of what is wanted or there
+		each           float64 // units wanted by each sender, per second
+		least          float64 // minimum fraction of usable units that are used
 	}{{3, 30, 30, 0.95}, {8, 100, 50, 0.95}, {30, 3, 2, 0.85}, {30, 300, 30, 0.95}, {5, 2, 3, 0.85}, {3, 100, 5, 0.97}} {
 		s := newSim(t, 7, int(c.senders), simTerms, perSecond("x", c.units))
 		for _, p := range s.senders {
@@ -471,15 +472,16 @@
 		s.run(68 * time.Second)
 		want := min(float64(c.units), c.each*float64(c.senders))
 		used := float64(s.counts["x"]) / 60 / want
-		t.Logf("%d senders, %d units a second, %g wanted by each: %.3f of what could be is used, Jain %.3f", c.senders, c.units, c.each, used, jain(s.usesBySender["x"], int(c.senders)))
+		t.Logf("%d senders, %d units/s, %g units/s wanted by each: %.3f of the usable units used, Jain's index %.3f", c.senders, c.units, c.each, used, jain(s.usesBySender["x"], int(c.senders)))
 		if used < c.least || s.violation != "" {
-			t.Errorf("%d senders, %d units: %.3f is used, under %.2f; %s", c.senders, c.units, used, c.least, s.violation)
+			t.Errorf("%d senders, %d units: %.3f of the usable units used, want %.2f; %s", c.senders, c.units, used, c.least, s.violation)
 		}
 	}
 }
 
-// The demand jumps from one sender to another: within two seconds four fifths of the limit are used again; likewise once the owner
-// has died, and a sender that takes what it can and uses nothing keeps none of it for long.
+// Checks that shares follow demand. When demand moves from one sender to another, at least 80% of the limit must be used again after two
+// seconds. After a crash of the owner at least 75% must be used in the first six seconds, and 95% from then on. A sender that requests units
+// without using them must not keep them for long.
 func TestFleet_SharesFollowDemand(t *testing.T) {
 	used := func(s *sim, from, to time.Duration) float64 {
 		s.run(from)
@@ -499,7 +501,7 @@
 			p.allowances.SetWaiting(map[string]int64{})
 		}
 		if got := used(s, at+2*time.Second, at+4*time.Second); got < 0.8*40 {
-			t.Errorf("2 s after shift %d %.1f a second are used, of 40", turn, got)
+			t.Errorf("2 s after shift %d %.1f units/s used, of 40", turn, got)
 		}
 		at += 4 * time.Second
 	}
@@ -508,18 +510,18 @@
 		p.addLoad("x", 40)
 	}
 	s.run(8 * time.Second)
-	charge := coordinator.NewOwnership(s.membership.Participants)
-	dead := slices.IndexFunc(s.senders, func(p *simSender) bool { return p.name == charge.Owner("x").Name })
-	s.senders[dead].down = true
+	ownership := coordinator.NewOwnership(s.membership.Participants)
+	owner := slices.IndexFunc(s.senders, func(p *simSender) bool { return p.name == ownership.Owner("x").Name })
+	s.senders[owner].down = true
 	s.at(1010*time.Millisecond, s.activate) // its lease has expired
 	if got := used(s, 8*time.Second, 10*time.Second); got < 0.75*40 {
-		t.Errorf("in the 2 s after its authority's death %.1f a second are used, of 40", got)
+		t.Errorf("in the 2 s after the owner's crash %.1f units/s used, of 40", got)
 	}
 	if got := used(s, 10*time.Second, 14*time.Second); got < 0.75*40 {
-		t.Errorf("from then on %.1f a second are used, of 40", got)
+		t.Errorf("2 s to 6 s after the owner's crash %.1f units/s used, of 40", got)
 	}
 	if got := used(s, 14*time.Second, 18*time.Second); got < 0.95*40 {
-		t.Errorf("6 s after it %.1f a second are used, of 40", got)
+		t.Errorf("6 s after the owner's crash %.1f units/s used, of 40", got)
 	}
 	s = newSim(t, 5, 3, simTerms, perSecond("x", 30))
 	s.senders[0].addLoad("x", 100).stuck = true
@@ -528,11 +530,11 @@
 		p.addLoad("x", 40)
 	}
 	if got := used(s, 12*time.Second, 20*time.Second); got < 0.9*30 {
-		t.Errorf("beside one that uses nothing %.1f a second are used, of 30", got)
+		t.Errorf("beside a sender that uses no units %.1f units/s used, of 30", got)
 	}
 }
 
-// 300 senders and 5,000 limits of which 20 are busy: what it costs each, and how soon it settles.
+// Runs up to 300 senders with 5,000 limits, of which 20 are busy, and logs the messages and bytes per sender and the fairness of the shares.
 func TestFleet_300Senders(t *testing.T) {
 	sizes := []int{3, 30}
 	if os.Getenv("SAFFRONYARD_MODEL") == "large" {
@@ -563,7 +565,7 @@
 				idle += st.Granted - st.InUse
 			}
 		}
-		t.Logf("%d senders: each sends %.1f messages and %.0f bytes a second; %d calls a second; %d units lie idle, of %d; Jain at least %.3f", n, float64(s.sent)/10/float64(n),
+		t.Logf("%d senders: each sends %.1f messages and %.0f bytes per second; %d calls per second; %d units idle, of %d; Jain's index at least %.3f", n, float64(s.sent)/10/float64(n),
 			float64(s.bytes)/10/float64(n), used/10, idle, 20*limits[0].Units, least)
 		if s.violation != "" || used == 0 {
 			t.Errorf("%d senders: %d uses; %s", n, used, s.violation)
@@ -571,16 +573,16 @@
 	}
 }
 
-// Shares are whole, fair, and never more than there is.
+// Checks that shares respect MinUseful, are max-min fair and never exceed the available units.
 func TestFairShares(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		units, all := rng.Int64N(50), make([]Demand, 1+rng.IntN(8))
-		pieces := int64(0)
+		needed := int64(0)
 		for i := range all {
 			all[i] = Demand{Units: rng.Int64N(20), MinUseful: 1 + rng.Int64N(3), HasTurn: rng.IntN(3) == 0}
 			if all[i].Units > 0 {
-				pieces += all[i].MinUseful
+				needed += all[i].MinUseful
 			}
 			if !all[i].HasTurn && rng.IntN(2) == 0 {
 				all[i].WaitingSince = time.Duration(1 + rng.IntN(100))
@@ -592,21 +594,21 @@
 			sum += s
 			most := max(d.Units, d.MinUseful)
 			if want += min(d.Units, most); d.Units == 0 && s > 0 || s < 0 || s > most || s > 0 && s < d.MinUseful {
-				t.Fatalf("seed %d: %d of %d for %+v: %v", seed, s, units, d, got)
+				t.Fatalf("seed %d: share %d of %d units for %+v: %v", seed, s, units, d, got)
 			}
-			for j, o := range got { // who has less than it wants has no less than another, but for one unit, or their pieces
-				if pieces <= units && d.Units > s && o > s+1 && o > all[j].MinUseful {
-					t.Fatalf("seed %d: %d beside %d: %v of %+v", seed, s, o, got, all)
+			for j, o := range got { // a client with less than it wants has at most one unit less than another, except for MinUseful
+				if needed <= units && d.Units > s && o > s+1 && o > all[j].MinUseful {
+					t.Fatalf("seed %d: share %d is unfair beside share %d: %v for %+v", seed, s, o, got, all)
 				}
 			}
 		}
-		if sum > units || pieces <= units && sum < min(units, want) {
-			t.Fatalf("seed %d: %d of %d are cut, %d are wanted: %v of %+v", seed, sum, units, want, got, all)
+		if sum > units || needed <= units && sum < min(units, want) {
+			t.Fatalf("seed %d: %d of %d units are shared, %d are wanted: %v for %+v", seed, sum, units, want, got, all)
 		}
-		for i, d := range all { // by turns: who waits is passed over for nobody who came later and needs no less
+		for i, d := range all { // rotation: a waiting client must not be passed over for one that has waited less long and needs no fewer units
 			for j, o := range all {
-				if pieces > units && d.Units > 0 && o.Units > 0 && !d.HasTurn && !o.HasTurn && d.WaitingSince > 0 && d.WaitingSince < o.WaitingSince && d.MinUseful <= o.MinUseful && got[i] == 0 && got[j] > 0 {
-					t.Fatalf("seed %d: the one of %+v is passed over for %+v: %v", seed, d, o, got)
+				if needed > units && d.Units > 0 && o.Units > 0 && !d.HasTurn && !o.HasTurn && d.WaitingSince > 0 && d.WaitingSince < o.WaitingSince && d.MinUseful <= o.MinUseful && got[i] == 0 && got[j] > 0 {
+					t.Fatalf("seed %d: %+v is passed over for %+v: %v", seed, d, o, got)
 				}
 			}
 		}
