--- a/internal/health/aggregator.go
+++ b/internal/health/aggregator.go
@@ -10,41 +10,41 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Observation is what one sender has observed of a destination itself.
+// Observation is the state of a destination that one sender has observed in its own calls.
 type Observation struct {
 	Destination uint32
 	State       knowledge.State
 	Age         time.Duration // of the evidence
-	Duration    time.Duration // for how long it has been in that state
+	Duration    time.Duration // for how long the destination has been in State
 }
 
-// Aggregator decides the health of the destinations that a sender owns from what all senders report. Its decisions are proposals: they
-// count as the log applies them. It is not safe for concurrent use.
+// Aggregator decides the health of the destinations that a sender owns from the reports of all senders. Its decisions are proposals: they take
+// effect when the log applies them. It is not safe for concurrent use.
 type Aggregator struct {
 	reports      *knowledge.Reports
 	destinations map[uint32]*destinationRecord
 }
 
-// destinationRecord is what an aggregator knows of one destination. Zero times mean never.
+// destinationRecord is an aggregator's state of one destination. Zero times mean never.
 type destinationRecord struct {
-	outSince           time.Duration // first reported out since it was last reported to serve
-	observedAt         time.Duration // last reported at all
+	outSince           time.Duration // first report that it is out since it was last reported to serve
+	observedAt         time.Duration // last report of any state
 	servedAt           time.Duration // newest evidence that it serves
-	statusStart        uint64        // start index of the status that is known
+	statusStart        uint64        // start index of the last seen status
 	statusStartSeenAt  time.Duration
-	statusUpdate       uint64 // update index of that status
+	statusUpdate       uint64 // update index of the last seen status
 	statusUpdateSeenAt time.Duration
 	sentAt             time.Duration // of the last proposal
-	sentBase           uint64        // update index that it was based on
+	sentBase           uint64        // update index that the last proposal was based on
 }
 
 const (
-	maxDestinationsPerSender = 100_000 // that reports of one sender are kept of
+	maxDestinationsPerSender = 100_000 // destinations whose reports are stored per sender
 	resendInterval           = time.Second
 	renewalsPerTTL           = 3 // of a status
 )
 
-// NewAggregator makes an aggregator without reports.
+// NewAggregator returns an aggregator without reports.
 func NewAggregator() *Aggregator {
 	return &Aggregator{reports: knowledge.NewReports(maxDestinationsPerSender), destinations: map[uint32]*destinationRecord{}}
 }
@@ -58,7 +58,7 @@
 	return r
 }
 
-// Observe takes in what the named sender reports.
+// Observe records an observation of the named sender.
 func (a *Aggregator) Observe(sender string, o Observation, now time.Duration) {
 	evidenceAt := now - max(0, o.Age)
 	a.reports.Add(knowledge.Fact{Subject: knowledge.Subject{Destination: o.Destination}, Source: knowledge.Source{Name: sender, Incarnation: 1}, Kind: knowledge.Health,
@@ -73,19 +73,21 @@
 	}
 }
 
-// EvaluationInput is what an evaluation is based on, beside reports: who this sender is, what it owns, and what is agreed.
+// EvaluationInput is the input of an evaluation in addition to reports: this sender's name, the destinations that it owns, their rules, and
+// the replicated health state.
 type EvaluationInput struct {
 	Epoch uint64 // of the membership
-	Self  string
+	Self  string // name of this sender
 	Owns  func(destination uint32) bool
-	Rule  func(destination uint32) (Rule, bool) // ok is false where the policy has none
+	Rule  func(destination uint32) (Rule, bool) // false: the policy has no rule for the destination
 	State *pb.HealthState
 }
 
-// Evaluate returns the commands to propose to the log now, by destination.
+// Evaluate returns the commands to propose to the log now, sorted by destination.
 func (a *Aggregator) Evaluate(now time.Duration, in EvaluationInput) (commands []*pb.HealthCommand) {
 	for _, s := range in.State.GetStatuses() {
-		// A new owner has no reports of destinations that have a status yet, which is no sign that nobody reports.
+		// A new owner may not have received reports yet of a destination that has a status. The status's TTL starts now, so that it is not
+		// cleared for lack of reports.
 		if Kind(s.Kind) != KindSuspended && a.destinations[s.Destination] == nil {
 			a.destination(s.Destination).observedAt = now
 		}
@@ -98,12 +100,12 @@
 	return commands
 }
 
-// evaluateDestination is the command to propose for one destination; nil if there is none.
+// evaluateDestination returns the command to propose for one destination; nil if there is none.
 func (a *Aggregator) evaluateDestination(d uint32, now time.Duration, in EvaluationInput) *pb.HealthCommand {
 	record := a.destinations[d]
-	rule, ruled := in.Rule(d)
+	rule, hasRule := in.Rule(d)
 	status := StatusOf(in.State, d, false)
-	if !in.Owns(d) || !ruled && status == nil {
+	if !in.Owns(d) || !hasRule && status == nil {
 		if status == nil && now-record.observedAt > MaxTTL {
 			delete(a.destinations, d)
 		}
@@ -111,10 +113,10 @@
 	}
 	record.follow(status, now)
 	if record.sentAt > 0 && record.sentBase == record.statusUpdate && now-record.sentAt < resendInterval {
-		return nil // a proposal is on its way
+		return nil // a proposal is in flight
 	}
 	kind, reason := KindNone, "no rule asks for it any more"
-	if ruled {
+	if hasRule {
 		kind, reason = a.decide(d, rule, Kind(status.GetKind()), now)
 	}
 	var c *pb.HealthCommand
@@ -131,7 +133,7 @@
 	return c
 }
 
-// follow records when the status that is agreed was first seen.
+// follow records when the start and the last update of the replicated status were first seen.
 func (r *destinationRecord) follow(status *pb.HealthStatus, now time.Duration) {
 	if status.GetStartIndex() != r.statusStart {
 		r.statusStart, r.statusStartSeenAt = status.GetStartIndex(), now
@@ -141,20 +143,21 @@
 	}
 }
 
-// decide is what a destination's status should be, by reports and by its current status; see the package's table of transitions.
+// decide returns the status that a destination should have according to reports and its current status; see the table of transitions in the
+// package comment.
 func (a *Aggregator) decide(d uint32, rule Rule, current Kind, now time.Duration) (kind Kind, reason string) {
 	subject, record := knowledge.Subject{Destination: d}, a.destinations[d]
 	fact, reported := a.reports.Verdict(subject, now)
-	outs := a.reports.OutageCount(subject, now)
+	reporters := a.reports.OutageCount(subject, now)
 	out := reported && fact.State == knowledge.Unhealthy
 	if !out {
 		record.outSince = 0
 	}
-	agreed := out && (outs >= max(1, rule.Quorum) || outs > 0 && record.outSince > 0 && now-record.outSince >= SoleReporterDelay)
+	agreed := out && (reporters >= max(1, rule.Quorum) || reporters > 0 && record.outSince > 0 && now-record.outSince >= SoleReporterDelay)
 	switch current {
 	case KindNone:
 		if agreed {
-			return KindEjected, fmt.Sprintf("%d senders hold it to be out", outs)
+			return KindEjected, fmt.Sprintf("%d senders hold it to be out", reporters)
 		}
 	case KindEjected:
 		if record.servedAt > record.statusStartSeenAt {
@@ -163,16 +166,16 @@
 		if now-record.observedAt > rule.TTL {
 			return KindNone, "nobody tells of it any more"
 		}
-		return KindEjected, fmt.Sprintf("%d senders hold it to be out", outs)
+		return KindEjected, fmt.Sprintf("%d senders hold it to be out", reporters)
 	case KindWarmingUp:
 		if agreed && fact.ObservedAt > record.statusStartSeenAt {
-			return KindEjected, fmt.Sprintf("%d senders hold it to be out again", outs)
+			return KindEjected, fmt.Sprintf("%d senders hold it to be out again", reporters)
 		}
 		if now-record.statusStartSeenAt < rule.SlowStart {
 			return KindWarmingUp, "it warms up"
 		}
 		return KindNone, "it is warm"
-	case KindSuspended: // an operator's; it stands beside the owner's
+	case KindSuspended: // set by operators and stored in addition to the owner's status
 	}
 	return KindNone, ""
 }
--- a/internal/health/aggregator_test.go
+++ b/internal/health/aggregator_test.go
@@ -7,121 +7,121 @@
 	"saffronyard.example/saffronyard/internal/knowledge"
 )
 
-// What the aggregator decides by reports.
+// Checks the status of destination 7 after sequences of reports.
 func TestAggregator(t *testing.T) {
 	t.Parallel()
 	ms := time.Millisecond
 	for name, c := range map[string]struct {
-		play func(tr *aggregatorTest)
+		run  func(tr *aggregatorTest)
 		want string
 	}{
-		"nobody says anything": {func(tr *aggregatorTest) {}, "none"},
+		"no reports": {func(tr *aggregatorTest) {}, "none"},
 		"two agree": {func(tr *aggregatorTest) {
-			tr.says("a", 7, knowledge.Unhealthy, 0)
-			tr.says("b", 7, knowledge.Unhealthy, 0)
+			tr.observe("a", 7, knowledge.Unhealthy, 0)
+			tr.observe("b", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(200 * ms)
 		}, "out"},
 		"one alone waits for others": {func(tr *aggregatorTest) {
-			tr.says("a", 7, knowledge.Unhealthy, 0)
+			tr.observe("a", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(1500 * ms)
 		}, "none"},
 		"one alone for some time": {func(tr *aggregatorTest) {
-			tr.says("a", 7, knowledge.Unhealthy, 0)
+			tr.observe("a", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(1500 * ms)
-			tr.says("a", 7, knowledge.Unhealthy, 0)
+			tr.observe("a", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(800 * ms)
 		}, "out"},
-		"one against two that are served": {func(tr *aggregatorTest) {
-			tr.says("a", 7, knowledge.Unhealthy, 0)
-			tr.says("b", 7, knowledge.Healthy, 0)
-			tr.says("c", 7, knowledge.Healthy, 0)
+		"one outage report against two healthy reports": {func(tr *aggregatorTest) {
+			tr.observe("a", 7, knowledge.Unhealthy, 0)
+			tr.observe("b", 7, knowledge.Healthy, 0)
+			tr.observe("c", 7, knowledge.Healthy, 0)
 			tr.statusAfter(3000 * ms)
 		}, "none"},
-		"broken lines talk nobody into anything": {func(tr *aggregatorTest) {
-			for _, who := range []string{"a", "b"} {
+		"reports of senders with broken networks do not count": {func(tr *aggregatorTest) {
+			for _, sender := range []string{"a", "b"} {
 				for d := range uint32(8) {
-					tr.says(who, d, knowledge.Unhealthy, 0)
+					tr.observe(sender, d, knowledge.Unhealthy, 0)
 				}
 			}
-			tr.says("c", 7, knowledge.Healthy, 0)
+			tr.observe("c", 7, knowledge.Healthy, 0)
 			tr.statusAfter(3000 * ms)
 		}, "none"},
 		"a call is served": {func(tr *aggregatorTest) {
-			tr.says("a", 7, knowledge.Unhealthy, 0)
-			tr.says("b", 7, knowledge.Unhealthy, 0)
+			tr.observe("a", 7, knowledge.Unhealthy, 0)
+			tr.observe("b", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(1000 * ms)
-			tr.says("a", 7, knowledge.WarmingUp, 0)
+			tr.observe("a", 7, knowledge.WarmingUp, 0)
 			tr.statusAfter(200 * ms)
 		}, "cold"},
-		"what was served before it is no return": {func(tr *aggregatorTest) {
-			tr.says("a", 7, knowledge.Unhealthy, 0)
-			tr.says("b", 7, knowledge.Unhealthy, 0)
+		"a call served before the ejection does not end it": {func(tr *aggregatorTest) {
+			tr.observe("a", 7, knowledge.Unhealthy, 0)
+			tr.observe("b", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(1000 * ms)
-			tr.says("c", 7, knowledge.Healthy, 2*time.Second)
+			tr.observe("c", 7, knowledge.Healthy, 2*time.Second)
 			tr.statusAfter(200 * ms)
 		}, "out"},
 		"it has warmed up": {func(tr *aggregatorTest) {
-			tr.says("a", 7, knowledge.Unhealthy, 0)
-			tr.says("b", 7, knowledge.Unhealthy, 0)
+			tr.observe("a", 7, knowledge.Unhealthy, 0)
+			tr.observe("b", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(1000 * ms)
-			tr.says("a", 7, knowledge.Healthy, 0)
+			tr.observe("a", 7, knowledge.Healthy, 0)
 			tr.statusAfter(4500 * ms)
 			if got := tr.statusAfter(100 * ms); got != "cold" {
-				tr.t.Errorf("it is %s while it warms up", got)
+				tr.t.Errorf("status %s while it warms up, want cold", got)
 			}
 			tr.statusAfter(1500 * ms)
 		}, "none"},
-		"it falls again": {func(tr *aggregatorTest) {
-			tr.says("a", 7, knowledge.Unhealthy, 0)
-			tr.says("b", 7, knowledge.Unhealthy, 0)
+		"it fails again while it warms up": {func(tr *aggregatorTest) {
+			tr.observe("a", 7, knowledge.Unhealthy, 0)
+			tr.observe("b", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(1000 * ms)
-			tr.says("a", 7, knowledge.Healthy, 0)
+			tr.observe("a", 7, knowledge.Healthy, 0)
 			tr.statusAfter(500 * ms)
-			tr.says("a", 7, knowledge.Unhealthy, 0)
-			tr.says("b", 7, knowledge.Unhealthy, 0)
+			tr.observe("a", 7, knowledge.Unhealthy, 0)
+			tr.observe("b", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(200 * ms)
 		}, "out"},
-		"it is said again as long as somebody tells of it": {func(tr *aggregatorTest) {
+		"the status is renewed while reports arrive": {func(tr *aggregatorTest) {
 			for range 20 {
-				tr.says("a", 7, knowledge.Unhealthy, 0)
-				tr.says("b", 7, knowledge.Unhealthy, 0)
+				tr.observe("a", 7, knowledge.Unhealthy, 0)
+				tr.observe("b", 7, knowledge.Unhealthy, 0)
 				tr.statusAfter(1000 * ms)
 			}
 			if v := StatusOf(tr.State(), 7, false); v.UpdateIndex < v.StartIndex+3 {
-				tr.t.Errorf("it was not said again: %v", v)
+				tr.t.Errorf("the status was not renewed: %v", v)
 			}
 		}, "out"},
-		"nobody goes there any more": {func(tr *aggregatorTest) {
-			tr.says("a", 7, knowledge.Unhealthy, 0)
-			tr.says("b", 7, knowledge.Unhealthy, 0)
+		"no reports for longer than the TTL": {func(tr *aggregatorTest) {
+			tr.observe("a", 7, knowledge.Unhealthy, 0)
+			tr.observe("b", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(7000 * ms)
 		}, "none"},
-		"another is in charge": {func(tr *aggregatorTest) {
+		"another sender is the owner": {func(tr *aggregatorTest) {
 			tr.owns = false
-			tr.says("a", 7, knowledge.Unhealthy, 0)
-			tr.says("b", 7, knowledge.Unhealthy, 0)
+			tr.observe("a", 7, knowledge.Unhealthy, 0)
+			tr.observe("b", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(1000 * ms)
 		}, "none"},
 		"no rule asks for it any more": {func(tr *aggregatorTest) {
-			tr.says("a", 7, knowledge.Unhealthy, 0)
-			tr.says("b", 7, knowledge.Unhealthy, 0)
+			tr.observe("a", 7, knowledge.Unhealthy, 0)
+			tr.observe("b", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(1000 * ms)
 			tr.rule = Rule{}
 			tr.statusAfter(1500 * ms)
 		}, "none"},
-		"one that takes over waits to be told": {func(tr *aggregatorTest) {
-			tr.says("a", 7, knowledge.Unhealthy, 0)
-			tr.says("b", 7, knowledge.Unhealthy, 0)
+		"a new owner without reports keeps the status": {func(tr *aggregatorTest) {
+			tr.observe("a", 7, knowledge.Unhealthy, 0)
+			tr.observe("b", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(1000 * ms)
 			tr.aggregator, tr.epoch = NewAggregator(), 2
 			tr.statusAfter(3000 * ms)
 		}, "out"},
-		"one that takes over goes on": {func(tr *aggregatorTest) {
-			tr.says("a", 7, knowledge.Unhealthy, 0)
-			tr.says("b", 7, knowledge.Unhealthy, 0)
+		"a new owner renews the status": {func(tr *aggregatorTest) {
+			tr.observe("a", 7, knowledge.Unhealthy, 0)
+			tr.observe("b", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(1000 * ms)
 			tr.aggregator, tr.epoch = NewAggregator(), 2
-			tr.says("a", 7, knowledge.Unhealthy, 0)
+			tr.observe("a", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(3000 * ms)
 			if v := StatusOf(tr.State(), 7, false); v.GetEpoch() != 2 || v.GetStartIndex() != 1 {
 				tr.t.Errorf("%v", v)
@@ -130,10 +130,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			tr := newTrial(t)
-			c.play(tr)
+			tr := newAggregatorTest(t)
+			c.run(tr)
 			if got := tr.statusAfter(100 * ms); got != c.want {
-				t.Errorf("it is held to be %s, want %s", got, c.want)
+				t.Errorf("status %s, want %s", got, c.want)
 			}
 		})
 	}
--- a/internal/health/errors.go
+++ b/internal/health/errors.go
@@ -5,8 +5,9 @@
 	"fmt"
 )
 
-// ErrUnknownCommand reports that a health command is of a type that this program does not know. It must not go on as if it had applied it.
-var ErrUnknownCommand = errors.New("a verdict is of a sort that this program does not know")
+// ErrUnknownCommand reports a health command of a type that this version does not implement. The caller must not continue as if the command
+// had been applied.
+var ErrUnknownCommand = errors.New("unknown type of health command")
 
 // DecodeError reports that a command or the state can't be decoded.
 type DecodeError struct {
@@ -14,8 +15,8 @@
 	Err  error
 }
 
-// Error is the text that users and logs see.
-func (e *DecodeError) Error() string { return fmt.Sprintf("%s can't be read: %v", e.What, e.Err) }
+// Error implements error.
+func (e *DecodeError) Error() string { return fmt.Sprintf("cannot decode %s: %v", e.What, e.Err) }
 
-// Unwrap gives the decoder's error.
+// Unwrap returns the decoder's error.
 func (e *DecodeError) Unwrap() error { return e.Err }
--- a/internal/health/machine.go
+++ b/internal/health/machine.go
@@ -13,7 +13,7 @@
 
 const (
 	maxStatuses    = 20_000
-	maxReasonBytes = 500 // bytes of a reason
+	maxReasonBytes = 500
 	// MaxTTL bounds the TTL of a status that its owner sets.
 	MaxTTL = 10 * time.Minute
 )
@@ -21,16 +21,17 @@
 // Machine is the replicated state of health statuses. It implements replicatedlog.Machine.
 type Machine struct {
 	state *pb.HealthState
-	epoch func() uint64 // of the membership that is active at this place of the log
+	epoch func() uint64 // of the membership that is active at the current index of the log
 }
 
-// NewMachine makes the state before the first command. epoch is the active membership's at the index that is applied.
+// NewMachine returns a machine with the state before the first command. epoch returns the epoch of the membership that is active at the
+// index being applied.
 func NewMachine(epoch func() uint64) *Machine { return &Machine{&pb.HealthState{}, epoch} }
 
-// State is the current state. It is read only and does not change: the next command makes another.
+// State returns the current state. It is read-only and immutable: the next command creates a new one.
 func (m *Machine) State() *pb.HealthState { return m.state }
 
-// StatusOf is the status of a destination, an operator's or the owner's; nil if there is none.
+// StatusOf returns the status of a destination that an operator or the owner has set; nil if there is none.
 func StatusOf(s *pb.HealthState, destination uint32, byOperator bool) *pb.HealthStatus {
 	i := search(s, destination, byOperator)
 	if i < len(s.GetStatuses()) && matches(s.Statuses[i], destination, byOperator) {
@@ -43,7 +44,8 @@
 	return v.Destination == destination && (Kind(v.Kind) == KindSuspended) == byOperator
 }
 
-// search is the position of a status, or where it would be inserted: by destination, an operator's behind the owner's.
+// search returns the index of a status, or the index at which to insert it. Statuses are sorted by destination; the operator's follows the
+// owner's.
 func search(s *pb.HealthState, destination uint32, byOperator bool) int {
 	i, _ := slices.BinarySearchFunc(s.GetStatuses(), destination, func(v *pb.HealthStatus, d uint32) int {
 		if v.Destination != d {
@@ -60,12 +62,12 @@
 	return i
 }
 
-// Apply applies a command at its index of the log. It makes a new state, so that readers of the old one may go on. The error is a *DecodeError
-// or ErrUnknownCommand.
+// Apply applies a command at its index of the log. It creates a new state, so that readers may continue to use the former one. The error is a
+// *DecodeError or ErrUnknownCommand.
 func (m *Machine) Apply(index uint64, body []byte) (result []byte, rejection string, err error) {
 	c := &pb.HealthCommand{}
 	if err := proto.Unmarshal(body, c); err != nil {
-		return nil, "", &DecodeError{What: "a verdict", Err: err}
+		return nil, "", &DecodeError{What: "a health command", Err: err}
 	}
 	switch w := c.GetCommand().(type) {
 	case *pb.HealthCommand_Set:
@@ -76,7 +78,8 @@
 	return nil, "", ErrUnknownCommand
 }
 
-// checkBase rejects a command that is based on what has changed meanwhile. current is the status that it replaces; nil if there is none.
+// checkBase rejects a command whose epoch or base status has been replaced meanwhile. current is the status that the command replaces; nil if
+// there is none.
 func (m *Machine) checkBase(destination uint32, byOperator bool, epoch, base uint64) (current *pb.HealthStatus, rejection string) {
 	current = StatusOf(m.state, destination, byOperator)
 	switch {
@@ -135,16 +138,16 @@
 	return ""
 }
 
-// Snapshot encodes the complete state, equal states equally.
+// Snapshot encodes the complete state; equal states have equal encodings.
 func (m *Machine) Snapshot() ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m.state)
 }
 
-// Restore replaces the state by a snapshot's; nil makes it empty.
+// Restore replaces the state by a snapshot's; a nil snapshot gives the empty state. The error is a *DecodeError.
 func (m *Machine) Restore(raw []byte) error {
 	s := &pb.HealthState{}
 	if err := proto.Unmarshal(raw, s); err != nil {
-		return &DecodeError{What: "the verdicts", Err: err}
+		return &DecodeError{What: "the health state", Err: err}
 	}
 	m.state = s
 	return nil
--- a/internal/health/rule.go
+++ b/internal/health/rule.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Rule is how the health of a destination is decided, and what its statuses do.
+// Rule contains the parameters of a destination's health: how its status is decided, and the limits that the status enforces.
 type Rule struct {
-	Quorum        int           // believed senders that have to report it out; one alone counts after SoleReporterDelay, if no other reports
-	ProbeInterval time.Duration // while it is ejected one call of all senders goes there in each
-	InitialRate   int64         // calls per second of all senders as it comes back
-	FullRate      int64         // which grow to this rate
-	SlowStart     time.Duration // within this time
+	Quorum        int           // credible senders that must report it out; a single one counts after SoleReporterDelay if no other reports
+	ProbeInterval time.Duration // while it is ejected, all senders together send one call per interval
+	InitialRate   int64         // calls per second of all senders at the start of warming up
+	FullRate      int64         // calls per second of all senders at the end of warming up
+	SlowStart     time.Duration // duration of warming up
 	TTL           time.Duration // after which a status that is not renewed expires
-	TransitJitter time.Duration // by which the transit of two calls may differ
+	TransitJitter time.Duration // maximum difference between the transit times of two calls
 }
 
-// SoleReporterDelay is how long the report of a single sender waits for reports of others.
+// SoleReporterDelay is how long the report of a single sender waits for reports of others before it counts.
 const SoleReporterDelay = 2 * time.Second
