--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -16,30 +16,31 @@
 }
 
 const (
-	minStableTime  = time.Second // from a membership to the next proposal, as a sender that restarts is two changes
-	resendInterval = time.Second // after which a command that the log does not show is proposed again, as it may have been lost with a leader
+	minStableTime  = time.Second // from a membership to the next proposal, as a sender that restarts causes two changes
+	resendInterval = time.Second // after which a command that was not applied is proposed again, as it may have been lost with a leader
 )
 
-// Coordinator decides at the leader which membership comes next and when it becomes active. Its decisions are proposals: they count when the
-// log applies them, and only if the state is then what the coordinator took it for. The zero value is ready; a new leader begins a new one.
+// Coordinator decides at the leader on the next membership and on its activation. Its decisions are proposals: they take effect when the log
+// applies them, and only if the state has not changed since the decision. The zero value is ready to use; each leader creates a new
+// Coordinator.
 type Coordinator struct {
-	epoch       uint64 // that was seen last
+	epoch       uint64 // last seen
 	activeSince time.Duration
 	sentAt      time.Duration
-	sentStep    uint64 // that was proposed last: twice its epoch, and one more for its activation
+	sentStep    uint64 // last proposed step: twice the proposed epoch, plus one for its activation
 }
 
-// Step returns the command to propose now; nil if there is none. candidates hold a lease and have an address, the one whose lease expires
-// last first.
+// Step returns the command to propose now; nil if there is none. candidates must hold a lease and have an address; they are sorted by the
+// expiry of their leases, the latest first.
 func (c *Coordinator) Step(now time.Duration, s *pb.MembershipState, g *lease.Granter, candidates []Participant) *pb.MembershipCommand {
 	if s.GetEpoch() != c.epoch || c.activeSince == 0 {
 		c.epoch, c.activeSince = s.GetEpoch(), now
 	}
-	send := func(what uint64, r *pb.MembershipCommand) *pb.MembershipCommand {
-		if c.sentStep == what && now-c.sentAt < resendInterval {
+	send := func(step uint64, r *pb.MembershipCommand) *pb.MembershipCommand {
+		if c.sentStep == step && now-c.sentAt < resendInterval {
 			return nil
 		}
-		c.sentStep, c.sentAt = what, now
+		c.sentStep, c.sentAt = step, now
 		return r
 	}
 	if s.GetNextEpoch() != 0 {
@@ -48,7 +49,7 @@
 		}
 		return send(2*s.NextEpoch+1, &pb.MembershipCommand{Command: &pb.MembershipCommand_Activate{Activate: &pb.ActivateMembership{Epoch: s.NextEpoch}}})
 	}
-	// While there may be leases of an earlier leader it is not known who holds one.
+	// The holders of leases granted by an earlier leader are unknown.
 	if g.InGracePeriod(now) || s.GetEpoch() > 0 && now-c.activeSince < minStableTime {
 		return nil
 	}
@@ -59,13 +60,14 @@
 	return send(2*(s.GetEpoch()+1), &pb.MembershipCommand{Command: &pb.MembershipCommand_Propose{Propose: &pb.ProposeMembership{BaseEpoch: s.GetEpoch(), Participants: next}}})
 }
 
-// MayGrant reports whether a holder that acts at an index may be granted a lease: while a membership is proposed, only once it acts under the
-// proposal. Otherwise a holder whose requests arrive while no reply reaches it would hold up the activation without end.
+// MayGrant reports whether a holder that acts at an index may be granted a lease: while a membership is proposed, only once the holder acts
+// under the proposal. Otherwise a holder whose requests arrive but which receives no replies would delay the activation forever.
 func MayGrant(actingIndex uint64, s *pb.MembershipState) bool {
 	return s.GetNextEpoch() == 0 || actingIndex >= s.GetFenceIndex()
 }
 
-// newestIncarnations are the candidates by name, one process of each: of two the one that comes first, whose lease was renewed last.
+// newestIncarnations returns the candidates sorted by name, with one process for each name: the first in candidates, whose lease was renewed
+// last.
 func newestIncarnations(candidates []Participant) []*pb.Participant {
 	seen := map[string]bool{}
 	all := make([]*pb.Participant, 0, len(candidates))
--- a/internal/coordinator/daily_quota.go
+++ b/internal/coordinator/daily_quota.go
@@ -8,11 +8,11 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// maxDrawnQuotas bounds how many quotas it is kept of what was drawn.
+// maxDrawnQuotas is the maximum number of quotas whose drawn units are stored.
 const maxDrawnQuotas = 20_000
 
-// drawQuota draws units of a daily quota, as many as are left of those asked for. A day that is over does not come back, whatever calendar
-// the owner has.
+// drawQuota draws units of a daily quota: the requested number, or the remaining units if fewer are left. Draws for a day before the current
+// one are rejected, whatever the owner's calendar is.
 func (m *Machine) drawQuota(d *pb.DrawQuota) (units int64, rejection string) {
 	s := m.state
 	if d.GetEpoch() != s.Epoch {
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -10,11 +10,12 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// maxParticipants bounds a membership.
+// maxParticipants is the maximum number of participants of a membership.
 const maxParticipants = 2000
 
-// ErrUnknownCommand reports that a membership command is of a type that this program does not know. It must not go on as if it had applied it.
-var ErrUnknownCommand = errors.New("a command on the roster is of a sort that this program does not know")
+// ErrUnknownCommand reports a membership command of a type that this version does not implement. The caller must not continue as if the
+// command had been applied.
+var ErrUnknownCommand = errors.New("unknown type of membership command")
 
 // DecodeError reports that a command or the state can't be decoded.
 type DecodeError struct {
@@ -22,27 +23,27 @@
 	Err  error
 }
 
-// Error is the text that users and logs see.
-func (e *DecodeError) Error() string { return fmt.Sprintf("%s can't be read: %v", e.What, e.Err) }
+// Error implements error.
+func (e *DecodeError) Error() string { return fmt.Sprintf("cannot decode %s: %v", e.What, e.Err) }
 
-// Unwrap gives the decoder's error.
+// Unwrap returns the decoder's error.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// Machine is the replicated membership, and what was drawn of daily quotas. It implements replicatedlog.Machine.
+// Machine is the replicated membership and the number of units drawn of daily quotas. It implements replicatedlog.Machine.
 type Machine struct{ state *pb.MembershipState }
 
-// NewMachine makes the state before the first command: there are no participants.
+// NewMachine returns a machine with the state before the first command: without participants.
 func NewMachine() *Machine { return &Machine{&pb.MembershipState{}} }
 
-// State is the current state. It is read only and does not change: the next command makes another.
+// State returns the current state. It is read-only and immutable: the next command creates a new one.
 func (m *Machine) State() *pb.MembershipState { return m.state }
 
-// Apply applies a command at its index of the log. It makes a new state, so that readers of the old one may go on. The result of a draw is the
-// units drawn, as a varint. The error is a *DecodeError or ErrUnknownCommand.
+// Apply applies a command at its index of the log. It creates a new state, so that readers may continue to use the former one. The result of
+// a draw is the number of units drawn, as a varint. The error is a *DecodeError or ErrUnknownCommand.
 func (m *Machine) Apply(index uint64, body []byte) (result []byte, rejection string, err error) {
 	c := &pb.MembershipCommand{}
 	if err := proto.Unmarshal(body, c); err != nil {
-		return nil, "", &DecodeError{What: "a command on the roster", Err: err}
+		return nil, "", &DecodeError{What: "a membership command", Err: err}
 	}
 	switch c := c.GetCommand().(type) {
 	case *pb.MembershipCommand_Propose:
@@ -88,16 +89,16 @@
 	return ""
 }
 
-// Snapshot encodes the complete state, equal states equally.
+// Snapshot encodes the complete state; equal states have equal encodings.
 func (m *Machine) Snapshot() ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m.state)
 }
 
-// Restore replaces the state by a snapshot's; nil makes it empty. The error is a *DecodeError.
+// Restore replaces the state by a snapshot's; a nil snapshot gives the empty state. The error is a *DecodeError.
 func (m *Machine) Restore(raw []byte) error {
 	s := &pb.MembershipState{}
 	if err := proto.Unmarshal(raw, s); err != nil {
-		return &DecodeError{What: "the roster", Err: err}
+		return &DecodeError{What: "the membership state", Err: err}
 	}
 	m.state = s
 	return nil
--- a/internal/coordinator/membership_test.go
+++ b/internal/coordinator/membership_test.go
@@ -12,7 +12,7 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// leaderTest is a coordinator with the granter and the log that it goes by.
+// leaderTest is a coordinator with its granter and its log.
 type leaderTest struct {
 	*Machine
 	Coordinator
@@ -23,38 +23,39 @@
 
 var terms = lease.Terms{Duration: time.Second}
 
-func newFleet() *leaderTest {
+func newLeaderTest() *leaderTest {
 	f := &leaderTest{Machine: NewMachine(), now: time.Hour}
 	f.granter = lease.NewGranter(terms, f.now)
 	return f
 }
 
-// advance lets a time go by in which some ask for leases, acting at the log's end or, behind, before what comes.
-func (f *leaderTest) advance(t *testing.T, span time.Duration, here []lease.HolderID, behind ...lease.HolderID) {
+// advance advances the clock by span. Meanwhile the holders in upToDate request leases and act at the log's end; those in behind request
+// leases and act at index 0.
+func (f *leaderTest) advance(t *testing.T, span time.Duration, upToDate []lease.HolderID, behind ...lease.HolderID) {
 	t.Helper()
 	for end := f.now + span; f.now < end; {
 		f.now += 100 * time.Millisecond
-		for _, w := range here {
-			f.granter.RecordRequest(w, f.index)
-			f.granter.Grant(w, f.index, f.now)
+		for _, id := range upToDate {
+			f.granter.RecordRequest(id, f.index)
+			f.granter.Grant(id, f.index, f.now)
 		}
-		for _, w := range behind {
+		for _, id := range behind {
 			if MayGrant(0, f.State()) {
-				f.granter.Grant(w, 0, f.now)
+				f.granter.Grant(id, 0, f.now)
 			}
 		}
-		var parts []Participant
+		var candidates []Participant
 		for _, h := range f.granter.ActiveLeases(f.now) {
-			parts = append(parts, Participant{h.HolderID, "at " + h.Name})
+			candidates = append(candidates, Participant{h.HolderID, "at " + h.Name})
 		}
-		if c := f.Step(f.now, f.State(), f.granter, parts); c != nil {
+		if c := f.Step(f.now, f.State(), f.granter, candidates); c != nil {
 			raw, err := proto.Marshal(c)
 			if err != nil {
 				t.Fatal(err)
 			}
 			f.index++
-			if _, refused, err := f.Apply(f.index, raw); err != nil || refused != "" {
-				t.Fatalf("%v: %s %v", c, refused, err)
+			if _, rejection, err := f.Apply(f.index, raw); err != nil || rejection != "" {
+				t.Fatalf("%v: %s %v", c, rejection, err)
 			}
 		}
 	}
@@ -68,14 +69,14 @@
 	return fmt.Sprintf("%d: %s", f.State().Epoch, strings.Join(names, " "))
 }
 
-// Rosters follow leases: nobody is in one that holds none, none begins while one may act who does not know of it, and one that starts
-// again takes the place of its former process.
+// Checks that memberships follow leases: each participant holds a lease, no membership is activated while a process may act that has not
+// applied the proposal, and a restarted process replaces the former one of the same name.
 func TestCoordinator_FollowsLeases(t *testing.T) {
 	a, b, a2 := lease.HolderID{Name: "a", Incarnation: 1}, lease.HolderID{Name: "b", Incarnation: 1}, lease.HolderID{Name: "a", Incarnation: 2}
-	f := newFleet()
+	f := newLeaderTest()
 	f.advance(t, 900*time.Millisecond, []lease.HolderID{a, b})
 	if f.describe() != "0: " {
-		t.Errorf("while an earlier leader's leases may last there is %s", f.describe())
+		t.Errorf("while leases of an earlier leader may be active the membership is %s", f.describe())
 	}
 	f.advance(t, time.Second, []lease.HolderID{a, b})
 	if f.describe() != "1: a1 b1" {
@@ -83,7 +84,7 @@
 	}
 	f.advance(t, 900*time.Millisecond, []lease.HolderID{b})
 	if f.describe() != "1: a1 b1" {
-		t.Errorf("before a's lease has lapsed there is %s", f.describe())
+		t.Errorf("before a's lease has expired the membership is %s", f.describe())
 	}
 	f.advance(t, 900*time.Millisecond, []lease.HolderID{b})
 	if f.describe() != "2: b1" {
@@ -93,76 +94,76 @@
 	if f.describe() != "3: a2 b1" {
 		t.Error(f.describe())
 	}
-	// b does not learn that a has gone: nothing is activated before its lease has expired, and it is granted none.
+	// b does not apply the proposal that removes a: it must not be activated before b's lease has expired, and b must be granted no new lease.
 	f.advance(t, 1100*time.Millisecond, nil, b)
 	if f.State().NextEpoch == 0 || f.State().Epoch != 3 {
 		t.Errorf("%v", f.State())
 	}
 	f.advance(t, 3*time.Second, nil, b)
 	if f.State().Epoch < 4 {
-		t.Errorf("one that hears nothing holds up the next roster: %v", f.State())
+		t.Errorf("a holder without replies delays the next membership: %v", f.State())
 	}
 }
 
-// A thing moves only with who was in charge of it.
+// A key must change owners only if its owner leaves.
 func TestOwnership_MovesOnlyWithOwner(t *testing.T) {
-	var parts []*pb.Participant
+	var participants []*pb.Participant
 	for i := range 20 {
-		parts = append(parts, &pb.Participant{Name: fmt.Sprintf("n%d", i), Incarnation: uint64(i)})
+		participants = append(participants, &pb.Participant{Name: fmt.Sprintf("n%d", i), Incarnation: uint64(i)})
 	}
-	all, without := NewOwnership(parts), NewOwnership(parts[1:])
+	all, without := NewOwnership(participants), NewOwnership(participants[1:])
 	counts := map[string]int{}
 	for i := range 2000 {
-		thing := fmt.Sprintf("destination %d", i)
-		was, is := all.Owner(thing), without.Owner(thing)
-		counts[was.Name]++
-		if was.Name != "n0" && was != is || is.Name == "n0" {
-			t.Fatalf("%s moves from %s to %s as n0 goes", thing, was.Name, is.Name)
+		key := fmt.Sprintf("destination %d", i)
+		before, after := all.Owner(key), without.Owner(key)
+		counts[before.Name]++
+		if before.Name != "n0" && before != after || after.Name == "n0" {
+			t.Fatalf("%s moves from %s to %s when n0 leaves", key, before.Name, after.Name)
 		}
 	}
-	for _, p := range parts {
+	for _, p := range participants {
 		if n := counts[p.Name]; n < 50 || n > 200 {
-			t.Errorf("%s is in charge of %d of 2000", p.Name, n)
+			t.Errorf("%s owns %d keys of 2000", p.Name, n)
 		}
 	}
 	if NewOwnership(nil).Owner("x") != nil || (*Ownership)(nil).Owner("x") != nil || all.Includes(lease.HolderID{Name: "n3", Incarnation: 4}) || !all.Includes(lease.HolderID{Name: "n3", Incarnation: 3}) {
-		t.Error("who takes part")
+		t.Error("owner without participants, or wrong participants")
 	}
 }
 
-// What does not fit the state changes nothing.
+// Commands that do not match the state must be rejected and change nothing.
 func TestMachine_Rejections(t *testing.T) {
 	m := NewMachine()
-	come := func(base uint64, names ...string) *pb.MembershipCommand {
+	propose := func(base uint64, names ...string) *pb.MembershipCommand {
 		c := &pb.ProposeMembership{BaseEpoch: base}
 		for _, n := range names {
 			c.Participants = append(c.Participants, &pb.Participant{Name: n})
 		}
 		return &pb.MembershipCommand{Command: &pb.MembershipCommand_Propose{Propose: c}}
 	}
-	begin := func(epoch uint64) *pb.MembershipCommand {
+	activate := func(epoch uint64) *pb.MembershipCommand {
 		return &pb.MembershipCommand{Command: &pb.MembershipCommand_Activate{Activate: &pb.ActivateMembership{Epoch: epoch}}}
 	}
 	for i, c := range []struct {
-		r    *pb.MembershipCommand
-		says string
-	}{{begin(1), "not about to begin"}, {come(3, "a"), "roster 0 is in force"}, {come(0, "a", "a"), "twice"}, {come(0, "a"), ""}, {come(0, "b"), "about to begin"},
-		{begin(2), "not about to begin"}, {begin(1), ""}, {begin(1), "not about to begin"}, {come(0, "b"), "roster 1 is in force"}} {
-		raw, err := proto.Marshal(c.r)
+		command   *pb.MembershipCommand
+		rejection string
+	}{{activate(1), "not about to begin"}, {propose(3, "a"), "roster 0 is in force"}, {propose(0, "a", "a"), "twice"}, {propose(0, "a"), ""}, {propose(0, "b"), "about to begin"},
+		{activate(2), "not about to begin"}, {activate(1), ""}, {activate(1), "not about to begin"}, {propose(0, "b"), "roster 1 is in force"}} {
+		raw, err := proto.Marshal(c.command)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, refused, err := m.Apply(uint64(i+1), raw)
-		if err != nil || (c.says == "") != (refused == "") || !strings.Contains(refused, c.says) {
-			t.Errorf("%d: %q %v, want %q", i, refused, err, c.says)
+		_, rejection, err := m.Apply(uint64(i+1), raw)
+		if err != nil || (c.rejection == "") != (rejection == "") || !strings.Contains(rejection, c.rejection) {
+			t.Errorf("%d: %q %v, want %q", i, rejection, err, c.rejection)
 		}
 	}
 	raw, err := m.Snapshot()
-	again := NewMachine()
+	restored := NewMachine()
 	if err == nil {
-		err = again.Restore(raw)
+		err = restored.Restore(raw)
 	}
-	if err != nil || again.State().Epoch != 1 || again.State().StartIndex != 7 {
-		t.Errorf("%v: %v", err, again.State())
+	if err != nil || restored.State().Epoch != 1 || restored.State().StartIndex != 7 {
+		t.Errorf("%v: %v", err, restored.State())
 	}
 }
--- a/internal/coordinator/ownership.go
+++ b/internal/coordinator/ownership.go
@@ -10,39 +10,39 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Ownership assigns an owner among participants to each key, by rendezvous hashing with xxHash64: as participants come and go, only keys of
-// theirs change owners. It is immutable; a nil Ownership has no participants.
+// Ownership assigns each key an owner among the participants, by rendezvous hashing with xxHash64: when participants are added or removed,
+// only keys that they own change owners. It is immutable; a nil Ownership has no participants.
 type Ownership struct {
 	participants map[string]*pb.Participant
 	hash         *rendezvous.Rendezvous
 }
 
-// NewOwnership makes the ownership of a membership. Keys are assigned by name: a new process of a sender owns what the former one did.
+// NewOwnership returns the ownership of a membership. Keys are assigned to names: a new process of a sender owns the keys of the former one.
 func NewOwnership(parts []*pb.Participant) *Ownership {
-	c := &Ownership{participants: map[string]*pb.Participant{}}
+	o := &Ownership{participants: map[string]*pb.Participant{}}
 	var names []string
 	for _, p := range parts {
-		c.participants[p.Name] = p
+		o.participants[p.Name] = p
 		names = append(names, p.Name)
 	}
 	slices.Sort(names)
-	c.hash = rendezvous.New(names, xxhash.Sum64String)
-	return c
+	o.hash = rendezvous.New(names, xxhash.Sum64String)
+	return o
 }
 
-// Owner is the owner of a key; nil if there are no participants.
-func (c *Ownership) Owner(key string) *pb.Participant {
-	if c == nil || len(c.participants) == 0 {
+// Owner returns the owner of a key; nil if there are no participants.
+func (o *Ownership) Owner(key string) *pb.Participant {
+	if o == nil || len(o.participants) == 0 {
 		return nil
 	}
-	return c.participants[c.hash.Lookup(key)]
+	return o.participants[o.hash.Lookup(key)]
 }
 
-// Includes reports whether a process participates.
-func (c *Ownership) Includes(w lease.HolderID) bool {
-	if c == nil {
+// Includes reports whether a process is a participant.
+func (o *Ownership) Includes(id lease.HolderID) bool {
+	if o == nil {
 		return false
 	}
-	p := c.participants[w.Name]
-	return p != nil && p.Incarnation == w.Incarnation
+	p := o.participants[id.Name]
+	return p != nil && p.Incarnation == id.Incarnation
 }
--- a/internal/health/aggregator.go
+++ b/internal/health/aggregator.go
@@ -18,8 +18,8 @@
 	Duration    time.Duration // for how long the destination has been in State
 }
 
-// Aggregator decides the health of the destinations that a sender owns from the reports of all senders. Its decisions are proposals: they take
-// effect when the log applies them. It is not safe for concurrent use.
+// Aggregator decides the health of the destinations that a sender owns from the reports of all senders. Its decisions are proposals: they
+// take effect when the log applies them. It is not safe for concurrent use.
 type Aggregator struct {
 	reports      *knowledge.Reports
 	destinations map[uint32]*destinationRecord
--- a/internal/health/machine.go
+++ b/internal/health/machine.go
@@ -62,8 +62,8 @@
 	return i
 }
 
-// Apply applies a command at its index of the log. It creates a new state, so that readers may continue to use the former one. The error is a
-// *DecodeError or ErrUnknownCommand.
+// Apply applies a command at its index of the log. It creates a new state, so that readers may continue to use the former one. The error is
+// a *DecodeError or ErrUnknownCommand.
 func (m *Machine) Apply(index uint64, body []byte) (result []byte, rejection string, err error) {
 	c := &pb.HealthCommand{}
 	if err := proto.Unmarshal(body, c); err != nil {
@@ -78,8 +78,8 @@
 	return nil, "", ErrUnknownCommand
 }
 
-// checkBase rejects a command whose epoch or base status has been replaced meanwhile. current is the status that the command replaces; nil if
-// there is none.
+// checkBase rejects a command whose epoch or base status has been replaced meanwhile. current is the status that the command replaces; nil
+// if there is none.
 func (m *Machine) checkBase(destination uint32, byOperator bool, epoch, base uint64) (current *pb.HealthStatus, rejection string) {
 	current = StatusOf(m.state, destination, byOperator)
 	switch {
--- a/internal/lease/granter.go
+++ b/internal/lease/granter.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// Granter is the side that grants: the leader, from its election on. Each new leader begins a new one. It is not safe for concurrent use.
+// Granter is the leader's side of leases. Each leader creates a new one when it is elected. It is not safe for concurrent use.
 type Granter struct {
 	terms      Terms
-	graceUntil time.Duration // until then leases of an earlier leader may exist, which this one does not know of
+	graceUntil time.Duration // before it, unknown leases of an earlier leader may exist
 	issued     map[HolderID][]issuedLease
 }
 
-// issuedLease is a lease as granted: until it expires its holder may act at minIndex or later. Those of a holder are ordered by expiry, and
+// issuedLease is a granted lease: until it expires its holder may act at minIndex or later. A holder's leases are ordered by expiry, and
 // thereby by minIndex.
 type issuedLease struct {
 	expiresAt time.Duration
 	minIndex  uint64
 }
 
-// NewGranter makes the granter of a leader that was elected now.
+// NewGranter returns the granter of a leader that was elected now.
 func NewGranter(t Terms, now time.Duration) *Granter {
 	return &Granter{terms: t, graceUntil: now + t.GranterDuration(), issued: map[HolderID][]issuedLease{}}
 }
 
-// RecordRequest takes a request in: from now on its holder acts at actingIndex or later, under whatever leases it has.
+// RecordRequest records a request: from now on its holder acts at actingIndex or later under all of its leases.
 func (g *Granter) RecordRequest(id HolderID, actingIndex uint64) {
 	leases := g.issued[id]
 	for i, l := range leases {
 		leases[i].minIndex = max(l.minIndex, actingIndex)
 	}
-	// A lease that expires sooner than the next and is no lower says nothing more.
+	// A lease that expires earlier than the next and whose minIndex is not lower is redundant.
 	for len(leases) > 1 && leases[len(leases)-2].minIndex >= leases[len(leases)-1].minIndex {
 		leases = slices.Delete(leases, len(leases)-2, len(leases)-1)
 	}
@@ -41,11 +41,11 @@
 	}
 }
 
-// Grant grants a lease now. appliedIndex is how far the granter has applied the log, at a moment after the request at which it surely
-// led. The lease counts only once its holder has come as far: that is the required index to tell it.
+// Grant grants a lease now. appliedIndex is the index up to which the granter has applied the log, at a moment after the request at which it
+// was certainly the leader. The lease is valid only once its holder has applied the log up to requiredIndex, which the reply must contain.
 func (g *Granter) Grant(id HolderID, appliedIndex uint64, now time.Duration) (requiredIndex uint64) {
 	l := issuedLease{now + g.terms.GranterDuration(), appliedIndex}
-	// It outlasts those before it: they say more only where they are lower.
+	// The new lease expires last. An earlier lease is redundant unless its minIndex is lower.
 	leases := slices.DeleteFunc(g.issued[id], func(o issuedLease) bool { return o.expiresAt <= now || o.minIndex >= l.minIndex })
 	g.issued[id] = append(leases, l)
 	return appliedIndex
@@ -54,12 +54,12 @@
 // ActiveLease is a holder whose lease may not have expired.
 type ActiveLease struct {
 	HolderID                // Name is empty for holders of leases that an earlier leader may have granted
-	Remaining time.Duration // until it has surely expired
+	Remaining time.Duration // until it has certainly expired
 	MinIndex  uint64        // its holder acts at no lower index
 }
 
-// LeasesBelow are the leases under which somebody may act below an index, the one that expires last first. The fence at that index has
-// passed when there is none.
+// LeasesBelow returns the leases under which a holder may act below an index, the one that expires last first. The fence at that index has
+// passed when there are none.
 func (g *Granter) LeasesBelow(index uint64, now time.Duration) []ActiveLease {
 	var all []ActiveLease
 	if now < g.graceUntil {
@@ -73,10 +73,10 @@
 	return all
 }
 
-// InGracePeriod reports whether there may still be leases of an earlier leader.
+// InGracePeriod reports whether leases of an earlier leader may still be active.
 func (g *Granter) InGracePeriod(now time.Duration) bool { return now < g.graceUntil }
 
-// ActiveLeases are all holders whose lease has not expired, the one that expires last first. It forgets the others.
+// ActiveLeases returns all holders whose lease has not expired, the one that expires last first. It removes the other holders.
 func (g *Granter) ActiveLeases(now time.Duration) []ActiveLease {
 	var all []ActiveLease
 	for id, leases := range g.issued {
--- a/internal/lease/modelcheck.go
+++ b/internal/lease/modelcheck.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// The methods in this file serve model checkers that explore every order of events: copies of a state, and encodings that are equal for
-// states that can't be told apart from now on.
+// The methods in this file are for model checkers that explore every order of events: they copy a state, and encode it so that states with
+// the same possible futures have equal encodings.
 
-// Clone is a holder with the same state.
+// Clone returns a copy of the holder.
 func (h *Holder) Clone() *Holder {
 	c := *h
 	c.outstanding, c.grants = slices.Clone(h.outstanding), slices.Clone(h.grants)
 	return &c
 }
 
-// AppendState appends the encoded state. Of the outstanding requests only those count to which an answer may still come.
+// AppendState appends the encoded state. It includes only those outstanding requests that may still get a reply.
 func (h *Holder) AppendState(b []byte, now time.Duration, answerable ...time.Duration) []byte {
 	for _, at := range h.outstanding {
 		if slices.Contains(answerable, at) && now-at < h.terms.Duration {
@@ -32,7 +32,7 @@
 	return append(b, ';')
 }
 
-// Clone is a granter with the same state.
+// Clone returns a copy of the granter.
 func (g *Granter) Clone() *Granter {
 	c := *g
 	c.issued = make(map[HolderID][]issuedLease, len(g.issued))
@@ -42,7 +42,7 @@
 	return &c
 }
 
-// AppendState appends the encoded leases of a sender; without a name, the end of the grace period.
+// AppendState appends the encoded leases of a sender; with an empty name, the end of the grace period.
 func (g *Granter) AppendState(b []byte, now time.Duration, name string) []byte {
 	if name == "" {
 		return binary.AppendVarint(b, int64(max(now, g.graceUntil)))
--- a/internal/modelcheck/modelcheck.go
+++ b/internal/modelcheck/modelcheck.go
@@ -1,32 +1,32 @@
-// Package modelcheck explores every order of events of a model, an explicit-state model checker for tests: the model plays the code that
-// ships, and says which promise a state breaks. Steps are counted from the first state; states are told apart by their keys.
+// Package modelcheck is an explicit-state model checker for tests: it explores every order of events of a model, which runs the production
+// code and reports the invariant that a state violates. Steps are counted from the initial state; states are distinguished by their keys.
 package modelcheck
 
 import "slices"
 
-// Key identifies a state: 128 bits of hash, so that two states that differ are not taken for one in practice.
+// Key identifies a state: a hash of 128 bits, so that collisions do not occur in practice.
 type Key [2]uint64
 
-// Model is what is explored. A state W is not changed once it was given.
+// Model is a transition system to explore. A state W must not be modified after it was passed to the checker.
 type Model[W any] interface {
-	// First is the state before the first step.
+	// First returns the initial state.
 	First() W
-	// Key is equal for states that can't be told apart from now on.
+	// Key returns a state's key. States with the same possible futures have equal keys.
 	Key(W) Key
-	// Next visits each state that one step leads to, with the step's name, and which promise it breaks; "" for none.
+	// Next visits each successor of a state, with the step's name and the invariant that the successor violates; "" for none.
 	Next(w W, visit func(step string, next W, broken string))
 }
 
-// Result is what an exploration found.
+// Result is the result of an exploration.
 type Result struct {
-	States int      // visited
+	States int      // number of visited states
 	Layers []int    // how many states were first reached by 1, 2, ... steps; complete layers only
-	Broken string   // the first promise that was broken; "" for none
-	Trace  []string // the steps that lead there
+	Broken string   // the first violated invariant; "" for none
+	Trace  []string // the steps that lead to the violation
 }
 
-// Explore visits states breadth first, up to so many steps from the first, and stops at maxStates or at the first broken promise, whose trace
-// is a shortest one.
+// Explore visits states breadth first, up to maxSteps from the initial state, and stops at maxStates or at the first violated invariant. Its
+// trace is a shortest one.
 func Explore[W any](m Model[W], maxSteps, maxStates int) (r Result) {
 	type origin struct {
 		parent Key
@@ -68,8 +68,8 @@
 	return r
 }
 
-// Reach visits all states that so many steps lead to, breadth first, for spaces that are too large to be visited to their end. It keeps no
-// traces.
+// Reach visits all states that at most maxSteps lead to, breadth first, for state spaces that are too large to be explored completely. It
+// records no traces.
 func Reach[W any](m Model[W], maxSteps int) (r Result) {
 	first := m.First()
 	seen := map[Key]struct{}{m.Key(first): {}}
@@ -94,7 +94,7 @@
 	return r
 }
 
-// Walk visits all states depth first, which needs the least memory, and stops at maxStates or at the first broken promise.
+// Walk visits all states depth first, which needs the least memory, and stops at maxStates or at the first violated invariant.
 func Walk[W any](m Model[W], maxStates int) (r Result) {
 	first := m.First()
 	seen := map[Key]struct{}{m.Key(first): {}}
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// grid is a model whose states are points; each step moves right or up, and the point at bad breaks a promise.
+// grid is a model whose states are points; each step moves right or up, and the point bad violates an invariant.
 type grid struct {
 	size int
 	bad  [2]int
