--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -9,45 +9,44 @@
 	"time"
 )
 
-// FollowerConfig is how long a follower keeps and holds back addresses. An address that went MaxFlaps times within FlapWindow
-// flaps.
+// FollowerConfig is the configuration of a Follower. An address flaps if it was removed MaxFlaps times within FlapWindow.
 type FollowerConfig struct {
-	Retention     time.Duration // an address that comes back within it is the endpoint that it was
-	MaxFlaps      int           // 0: none flaps
+	Retention     time.Duration // an address that returns within this time is the same endpoint
+	MaxFlaps      int           // 0: flapping is not detected
 	FlapWindow    time.Duration
-	Stabilization time.Duration // an address that flaps serves again only when it has stood so long; unless there is no other
+	Stabilization time.Duration // a flapping address serves again only after it was listed for this long, unless no other address serves
 }
 
-// DefaultFollowerConfig suits members that move now and then.
+// DefaultFollowerConfig suits members that move occasionally.
 func DefaultFollowerConfig() FollowerConfig {
 	return FollowerConfig{Retention: 2 * time.Minute, MaxFlaps: 3, FlapWindow: 30 * time.Second, Stabilization: 10 * time.Second}
 }
 
-// Follower turns what names come to into targets of an endpoint list. Removals act at once, whatever else: nothing new goes to
-// an address that a source says is gone. It is for one goroutine; times are of one clock that does not go back.
+// Follower turns the answers for members' names into targets of an endpoint list. Removals always take effect at once: an address that a
+// source has removed gets no new calls. A Follower is for one goroutine; all times must be of one monotonic clock.
 type Follower struct {
 	config       FollowerConfig
 	members      []member
 	destinations map[uint32]*destinationAddresses
-	nextStep     time.Duration // nothing changes by the passing of time before
+	nextStep     time.Duration // before it, targets change only by observations
 }
 
-// member is a name that is followed and what it came to.
+// member is a followed name with its answers.
 type member struct {
 	Member
 	current    map[netip.AddrPort]addressRating
 	last       Answer
 	answered   bool
-	emptySince time.Duration // an empty answer is not believed yet; never: none waits
+	emptySince time.Duration // time of an empty answer that has not taken effect yet; never: there is none
 }
 
-// addressRating is what a name's records say of an address.
+// addressRating is the priority of an address in a name's records, and the weight derived from them.
 type addressRating struct {
 	priority uint16
 	weight   float64
 }
 
-// destinationAddresses is a destination's members, by their index, and addresses.
+// destinationAddresses contains a destination's addresses and the indexes of its members.
 type destinationAddresses struct {
 	members []int
 	entries map[netip.AddrPort]*entry
@@ -58,22 +57,22 @@
 
 const (
 	serving     phase = iota
-	dropped           // drains, and is kept for a while
-	stabilizing       // is listed again, and flaps
+	dropped           // drains and is retained
+	stabilizing       // is listed again but flaps, and does not serve yet
 )
 
 // entry is an address of a destination.
 type entry struct {
 	target    Target
 	phase     phase
-	until     time.Duration   // dropped: forgotten then; stabilizing: serves then
-	removedAt []time.Duration // when it went, the last ones
+	until     time.Duration   // dropped: end of the retention; stabilizing: when it serves
+	removedAt []time.Duration // times of the last MaxFlaps removals
 }
 
-// never is a time that does not come.
+// never is later than any time.
 const never = time.Duration(math.MaxInt64)
 
-// NewFollower follows members; observations name them by their index here.
+// NewFollower returns a follower of members. Observations identify members by their index in members.
 func NewFollower(members []Member, config FollowerConfig) *Follower {
 	f := &Follower{config: config, destinations: map[uint32]*destinationAddresses{}, nextStep: never}
 	for i, m := range members {
@@ -88,21 +87,21 @@
 	return f
 }
 
-// Observation is what a member's name came to.
+// Observation is an answer for a member's name.
 type Observation struct {
 	Member int
 	Answer
 }
 
-// Step takes in observations, and that time has passed, and gives the targets that change. A target's State is Serving,
-// Dropped or Deleted.
+// Step processes observations and the passing of time, and returns the targets that change. A target's State is Serving, Dropped or
+// Deleted.
 func (f *Follower) Step(now time.Duration, observations []Observation) []Target {
 	changedDestinations := map[uint32]struct{}{}
-	for _, h := range observations {
-		f.observe(now, h)
-		changedDestinations[f.members[h.Member].Destination] = struct{}{}
+	for _, o := range observations {
+		f.observe(now, o)
+		changedDestinations[f.members[o.Member].Destination] = struct{}{}
 	}
-	if now >= f.nextStep { // rare: all are looked at
+	if now >= f.nextStep { // rare, so all destinations are checked
 		f.nextStep = never
 		for n := range f.destinations {
 			changedDestinations[n] = struct{}{}
@@ -113,23 +112,23 @@
 		order = append(order, n)
 	}
 	slices.Sort(order)
-	var lines []Target
+	var changes []Target
 	for _, n := range order {
-		lines = append(lines, f.reconcile(now, n)...)
+		changes = append(changes, f.reconcile(now, n)...)
 	}
-	return lines
+	return changes
 }
 
-// observe takes in one observation. An answer that says nothing (SERVFAIL, time-out) keeps what was there (RFC 8767); an empty
-// one waits to be believed.
-func (f *Follower) observe(now time.Duration, h Observation) {
-	m := &f.members[h.Member]
-	m.last, m.answered = h.Answer, true
-	switch h.Result {
+// observe processes one observation. An answer without a result (SERVFAIL, time-out) keeps the current addresses (RFC 8767); an empty answer
+// takes effect after EmptyAfter.
+func (f *Follower) observe(now time.Duration, o Observation) {
+	m := &f.members[o.Member]
+	m.last, m.answered = o.Answer, true
+	switch o.Result {
 	case Found:
 		m.emptySince = never
-		next := rateAddresses(h.Addresses, m.Weight)
-		if h.Partial { // what could not be asked for may still be there
+		next := rateAddresses(o.Addresses, m.Weight)
+		if o.Partial { // addresses that could not be resolved may still exist
 			for a, r := range m.current {
 				if _, ok := next[a]; !ok {
 					next[a] = r
@@ -141,13 +140,13 @@
 		if m.emptySince == never && len(m.current) > 0 {
 			m.emptySince = now
 		}
-	default: // nobody says that they are gone (RFC 8767)
+	default: // does not confirm that the addresses were removed (RFC 8767)
 		m.emptySince = never
 	}
 }
 
-// rateAddresses keeps the addresses of the lowest priority, each once, and makes ratings of their weights: relative to their
-// mean, so that the rating of a destination as a whole is the setting's. One of weight 0 gets a little (RFC 2782).
+// rateAddresses returns the addresses of the lowest priority value, each once, with the member's rating scaled by their weights relative to
+// the mean weight, so that the mean rating of the addresses is the configured one. An address of weight 0 gets a small rating (RFC 2782).
 func rateAddresses(addresses []Address, rating float64) map[netip.AddrPort]addressRating {
 	lowestPriority, sum := uint16(math.MaxUint16), 0.0
 	weights := map[netip.AddrPort]float64{}
@@ -173,10 +172,10 @@
 	return out
 }
 
-// targetChanges is the targets that change in a step.
+// targetChanges are the targets that change in a step.
 type targetChanges []Target
 
-// set makes t the entry's target, and a change if it is another.
+// set sets the entry's target to t, and records a change if t differs.
 func (c *targetChanges) set(e *entry, t Target) {
 	if e.target != t {
 		e.target = t
@@ -184,14 +183,14 @@
 	}
 }
 
-// setState makes the entry's target one of another state.
+// setState changes the state of the entry's target.
 func (c *targetChanges) setState(e *entry, state string) {
 	t := e.target
 	t.State = state
 	c.set(e, t)
 }
 
-// reconcile works a destination's targets out anew and gives those that change.
+// reconcile recomputes a destination's targets and returns those that change.
 func (f *Follower) reconcile(now time.Duration, n uint32) []Target {
 	d := f.destinations[n]
 	wanted := f.wantedTargets(now, n)
@@ -206,8 +205,8 @@
 	return changes
 }
 
-// wantedTargets is what a destination's names come to, by address. An empty answer counts once it has stood for its member's
-// EmptyAfter.
+// wantedTargets returns the targets to which a destination's names resolve, by address. An empty answer takes effect once its member's
+// EmptyAfter has passed.
 func (f *Follower) wantedTargets(now time.Duration, n uint32) map[netip.AddrPort]Target {
 	wanted := map[netip.AddrPort]Target{}
 	for _, i := range f.destinations[n].members {
@@ -220,7 +219,7 @@
 			}
 		}
 		for a, r := range m.current {
-			if _, ok := wanted[a]; !ok { // at two names it is one, by the first of them
+			if _, ok := wanted[a]; !ok { // an address at two names is one target, with the weight of the first name
 				wanted[a] = Target{ID: fmt.Sprintf("dns:%d:%s", n, a), Addr: a.String(), Zone: m.Zone, Kind: m.Kind, Destination: n, State: Serving, Weight: r.weight}
 			}
 		}
@@ -228,8 +227,8 @@
 	return wanted
 }
 
-// removeUnwanted drops the addresses that are not wanted any more, and deletes those that have been dropped for the retention. It
-// gives how many that are wanted serve.
+// removeUnwanted drops the addresses that are not wanted any more, and deletes those that have been dropped for the retention. It returns
+// how many wanted addresses serve.
 func (f *Follower) removeUnwanted(now time.Duration, d *destinationAddresses, wanted map[netip.AddrPort]Target, changes *targetChanges) (stillServing int) {
 	for _, a := range addresses(d.entries) {
 		e := d.entries[a]
@@ -240,7 +239,7 @@
 				stillServing++
 			}
 		case e.phase != dropped:
-			if e.phase == serving { // one that stabilizes has not come yet, so it does not go
+			if e.phase == serving { // a stabilizing address has not served again yet, so this is no further removal
 				e.removedAt = append(e.removedAt, now)
 				if len(e.removedAt) > f.config.MaxFlaps {
 					e.removedAt = e.removedAt[1:]
@@ -256,7 +255,7 @@
 	return stillServing
 }
 
-// addWanted has the wanted addresses serve; one that flaps only once it has stood for the stabilization, unless none serves.
+// addWanted makes the wanted addresses serve. A flapping address serves only after the stabilization, unless no other address serves.
 func (f *Follower) addWanted(now time.Duration, d *destinationAddresses, wanted map[netip.AddrPort]Target, nowServing int, changes *targetChanges) {
 	var unstable []netip.AddrPort
 	for _, a := range addresses(wanted) {
@@ -286,32 +285,32 @@
 	if nowServing > 0 {
 		return
 	}
-	for _, a := range unstable { // there is no other
+	for _, a := range unstable { // no other address serves
 		e := d.entries[a]
 		e.phase = serving
 		changes.set(e, wanted[a])
 	}
 }
 
-// isFlapping reports whether an address has gone so often in so short a time that it is to stand for a while before it serves.
+// isFlapping reports whether an address was removed MaxFlaps times within the last FlapWindow, so that it must stabilize before it serves.
 func (f *Follower) isFlapping(now time.Duration, e *entry) bool {
 	return f.config.MaxFlaps > 0 && len(e.removedAt) >= f.config.MaxFlaps && now-e.removedAt[len(e.removedAt)-f.config.MaxFlaps] <= f.config.FlapWindow
 }
 
-// Next is when Step is to be called at the latest.
+// Next returns the latest time of the next call of Step.
 func (f *Follower) Next() time.Duration { return f.nextStep }
 
-// MemberState is what is known of a member, as operators are shown it.
+// MemberState is the state of a member, as operators' commands print it.
 type MemberState struct {
 	Destination uint32   `json:"destination"`
 	Name        string   `json:"name"`
-	Answer      string   `json:"answer"` // what the name came to last
+	Answer      string   `json:"answer"` // result of the last answer
 	Why         string   `json:"why,omitempty"`
-	Retained    bool     `json:"held,omitempty"` // addresses are kept although the answer has none
-	Lines       []Target `json:"lines"`          // of the destination
+	Retained    bool     `json:"held,omitempty"` // earlier addresses are used although the last answer has none
+	Lines       []Target `json:"lines"`          // all targets of the destination
 }
 
-// MemberStates is what is known of all members, in their order.
+// MemberStates returns the states of all members, in their order.
 func (f *Follower) MemberStates() []MemberState {
 	var all []MemberState
 	for i := range f.members {
@@ -330,7 +329,7 @@
 	return all
 }
 
-// addresses is the keys of a map in the order of addresses and ports.
+// addresses returns the keys of a map, sorted by address and port.
 func addresses[V any](m map[netip.AddrPort]V) []netip.AddrPort {
 	list := make([]netip.AddrPort, 0, len(m))
 	for a := range m {
--- a/internal/membership/follow_test.go
+++ b/internal/membership/follow_test.go
@@ -22,25 +22,25 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(n)}), 80)
 }
 
-// following is a follower and the list that its changes come to.
-type following struct {
+// followerTest is a follower and the list to which its changes add up.
+type followerTest struct {
 	t *testing.T
 	f *Follower
 	l list
 }
 
-func follow(t *testing.T, members ...Member) *following {
-	return &following{t, NewFollower(members, DefaultFollowerConfig()), list{}}
+func newFollowerTest(t *testing.T, members ...Member) *followerTest {
+	return &followerTest{t, NewFollower(members, DefaultFollowerConfig()), list{}}
 }
 
-func (f *following) step(now time.Duration, heard ...Observation) *following {
+func (f *followerTest) step(now time.Duration, observations ...Observation) *followerTest {
 	f.t.Helper()
-	f.l.take(f.t, f.f.Step(now, heard))
+	f.l.apply(f.t, f.f.Step(now, observations))
 	return f
 }
 
-// is checks the lines: last octets of those that serve and of those that are dropped.
-func (f *following) is(serving, dropped []int) {
+// expect checks the last octets of the serving and of the dropped addresses.
+func (f *followerTest) expect(serving, dropped []int) {
 	f.t.Helper()
 	got := map[string][]int{}
 	for _, t := range f.l {
@@ -56,137 +56,137 @@
 }
 
 func TestFollower_Steps(t *testing.T) {
-	one := Member{Destination: 7, Name: "h.example.", Port: 80, Weight: 1}
-	held := one
-	held.EmptyAfter = time.Minute
-	two := Member{Destination: 7, Name: "g.example.", Port: 80, Weight: 1}
+	first := Member{Destination: 7, Name: "h.example.", Port: 80, Weight: 1}
+	delayed := first
+	delayed.EmptyAfter = time.Minute
+	second := Member{Destination: 7, Name: "g.example.", Port: 80, Weight: 1}
 	const s = time.Second
-	h := func(member int, a Answer) Observation { return Observation{member, a} }
+	observe := func(member int, a Answer) Observation { return Observation{member, a} }
 
-	t.Run("a removed address drains at once and is kept for a while", func(t *testing.T) {
-		f := follow(t, one)
-		f.step(0, h(0, found(1, 2))).is([]int{1, 2}, nil)
-		f.step(s, h(0, found(2))).is([]int{2}, []int{1})
+	t.Run("a removed address drains at once and is retained", func(t *testing.T) {
+		f := newFollowerTest(t, first)
+		f.step(0, observe(0, found(1, 2))).expect([]int{1, 2}, nil)
+		f.step(s, observe(0, found(2))).expect([]int{2}, []int{1})
 		if f.f.Next() != s+DefaultFollowerConfig().Retention {
-			t.Errorf("next is %v", f.f.Next())
+			t.Errorf("next step at %v", f.f.Next())
 		}
-		f.step(s+DefaultFollowerConfig().Retention).is([]int{2}, nil)
+		f.step(s+DefaultFollowerConfig().Retention).expect([]int{2}, nil)
 	})
-	t.Run("back within keep it is the same endpoint", func(t *testing.T) {
-		f := follow(t, one)
-		f.step(0, h(0, found(1))).step(s, h(0, found(2))).step(100*s, h(0, found(1))).is([]int{1}, []int{2})
+	t.Run("an address that returns within the retention is the same endpoint", func(t *testing.T) {
+		f := newFollowerTest(t, first)
+		f.step(0, observe(0, found(1))).step(s, observe(0, found(2))).step(100*s, observe(0, found(1))).expect([]int{1}, []int{2})
 		if len(f.l) != 2 {
 			t.Error(f.l)
 		}
 	})
-	t.Run("the last address goes: believed at once", func(t *testing.T) {
+	t.Run("an empty answer takes effect at once", func(t *testing.T) {
 		for _, r := range []Result{NXDomain, NoData} {
-			f := follow(t, one)
-			f.step(0, h(0, found(1))).step(s, h(0, Answer{Result: r})).is(nil, []int{1})
-			f.step(2*s, h(0, found(2))).is([]int{2}, []int{1})
+			f := newFollowerTest(t, first)
+			f.step(0, observe(0, found(1))).step(s, observe(0, Answer{Result: r})).expect(nil, []int{1})
+			f.step(2*s, observe(0, found(2))).expect([]int{2}, []int{1})
 		}
 	})
-	t.Run("the last address goes: believed after a while, and forgotten if it was a slip", func(t *testing.T) {
-		f := follow(t, held)
-		f.step(0, h(0, found(1))).step(s, h(0, Answer{Result: NoData})).is([]int{1}, nil)
-		f.step(30*s, h(0, Answer{Result: NXDomain})).is([]int{1}, nil) // still the same gap
-		f.step(60*s).is([]int{1}, nil)
-		f.step(61*s).is(nil, []int{1})
-		f = follow(t, held)
-		f.step(0, h(0, found(1))).step(s, h(0, Answer{Result: NoData})).step(2*s, h(0, found(1))).step(100*s).is([]int{1}, nil)
+	t.Run("an empty answer takes effect after EmptyAfter, unless addresses return", func(t *testing.T) {
+		f := newFollowerTest(t, delayed)
+		f.step(0, observe(0, found(1))).step(s, observe(0, Answer{Result: NoData})).expect([]int{1}, nil)
+		f.step(30*s, observe(0, Answer{Result: NXDomain})).expect([]int{1}, nil) // does not restart EmptyAfter
+		f.step(60*s).expect([]int{1}, nil)
+		f.step(61*s).expect(nil, []int{1})
+		f = newFollowerTest(t, delayed)
+		f.step(0, observe(0, found(1))).step(s, observe(0, Answer{Result: NoData})).step(2*s, observe(0, found(1))).step(100*s).expect([]int{1}, nil)
 	})
-	t.Run("a held answer does not hold what another name's answer removes", func(t *testing.T) {
-		f := follow(t, held)
-		f.step(0, h(0, found(1, 2))).step(s, h(0, found(2))).is([]int{2}, []int{1})
+	t.Run("EmptyAfter does not delay the removal of single addresses", func(t *testing.T) {
+		f := newFollowerTest(t, delayed)
+		f.step(0, observe(0, found(1, 2))).step(s, observe(0, found(2))).expect([]int{2}, []int{1})
 	})
-	t.Run("nobody can say: all stays", func(t *testing.T) {
+	t.Run("an answer without a result keeps the addresses", func(t *testing.T) {
 		for _, r := range []Result{ServFail, Timeout} {
-			f := follow(t, one)
-			f.step(0, h(0, Answer{Result: r})).is(nil, nil)
-			f.step(s, h(0, found(1))).step(2*s, h(0, Answer{Result: r})).step(time.Hour).is([]int{1}, nil)
+			f := newFollowerTest(t, first)
+			f.step(0, observe(0, Answer{Result: r})).expect(nil, nil)
+			f.step(s, observe(0, found(1))).step(2*s, observe(0, Answer{Result: r})).step(time.Hour).expect([]int{1}, nil)
 		}
 	})
-	t.Run("nobody can say ends the wait for an empty answer", func(t *testing.T) {
-		f := follow(t, held)
-		f.step(0, h(0, found(1))).step(s, h(0, Answer{Result: NoData})).step(2*s, h(0, Answer{Result: ServFail})).step(time.Hour).is([]int{1}, nil)
+	t.Run("an answer without a result ends the wait of an empty answer", func(t *testing.T) {
+		f := newFollowerTest(t, delayed)
+		f.step(0, observe(0, found(1))).step(s, observe(0, Answer{Result: NoData})).step(2*s, observe(0, Answer{Result: ServFail})).step(time.Hour).expect([]int{1}, nil)
 	})
-	t.Run("in part: what was not asked for stays", func(t *testing.T) {
-		f := follow(t, one)
+	t.Run("a partial answer removes no addresses", func(t *testing.T) {
+		f := newFollowerTest(t, first)
 		p := found(2)
 		p.Partial = true
-		f.step(0, h(0, found(1))).step(s, h(0, p)).is([]int{1, 2}, nil)
-		f.step(2*s, h(0, found(2))).is([]int{2}, []int{1})
+		f.step(0, observe(0, found(1))).step(s, observe(0, p)).expect([]int{1, 2}, nil)
+		f.step(2*s, observe(0, found(2))).expect([]int{2}, []int{1})
 	})
-	t.Run("at two names it is one endpoint until both drop it", func(t *testing.T) {
-		f := follow(t, one, two)
-		f.step(0, h(0, found(1)), h(1, found(1, 1))).is([]int{1}, nil)
-		f.step(s, h(0, found(2))).is([]int{1, 2}, nil)
-		f.step(2*s, h(1, found(2))).is([]int{2}, []int{1})
+	t.Run("an address at two names is one endpoint until both remove it", func(t *testing.T) {
+		f := newFollowerTest(t, first, second)
+		f.step(0, observe(0, found(1)), observe(1, found(1, 1))).expect([]int{1}, nil)
+		f.step(s, observe(0, found(2))).expect([]int{1, 2}, nil)
+		f.step(2*s, observe(1, found(2))).expect([]int{2}, []int{1})
 	})
-	t.Run("one that flaps waits, while there is another", func(t *testing.T) {
-		f := follow(t, one)
+	t.Run("a flapping address stabilizes while another serves", func(t *testing.T) {
+		f := newFollowerTest(t, first)
 		now := time.Duration(0)
 		for range DefaultFollowerConfig().MaxFlaps {
-			f.step(now, h(0, found(1, 2))).is([]int{1, 2}, nil)
-			f.step(now+s, h(0, found(2))).is([]int{2}, []int{1})
+			f.step(now, observe(0, found(1, 2))).expect([]int{1, 2}, nil)
+			f.step(now+s, observe(0, found(2))).expect([]int{2}, []int{1})
 			now += 2 * s
 		}
-		f.step(now, h(0, found(1, 2))).is([]int{2}, []int{1})
-		f.step(now+DefaultFollowerConfig().Stabilization).is([]int{1, 2}, nil)
+		f.step(now, observe(0, found(1, 2))).expect([]int{2}, []int{1})
+		f.step(now+DefaultFollowerConfig().Stabilization).expect([]int{1, 2}, nil)
 	})
-	t.Run("what has not come back does not count as gone again", func(t *testing.T) {
-		f := follow(t, one)
+	t.Run("a removal while stabilizing is not counted", func(t *testing.T) {
+		f := newFollowerTest(t, first)
 		now := time.Duration(0)
 		for range DefaultFollowerConfig().MaxFlaps {
-			f.step(now, h(0, found(1, 2))).step(now+s, h(0, found(2)))
+			f.step(now, observe(0, found(1, 2))).step(now+s, observe(0, found(2)))
 			now += 2 * s
 		}
-		f.step(now, h(0, found(1, 2))).is([]int{2}, []int{1}) // it settles,
-		f.step(now+s, h(0, found(2)))                         // and goes before it has come
-		f.step(now+DefaultFollowerConfig().FlapWindow, h(0, found(1, 2))).is([]int{1, 2}, nil)
+		f.step(now, observe(0, found(1, 2))).expect([]int{2}, []int{1}) // 1 stabilizes
+		f.step(now+s, observe(0, found(2)))                             // and is removed before it serves
+		f.step(now+DefaultFollowerConfig().FlapWindow, observe(0, found(1, 2))).expect([]int{1, 2}, nil)
 	})
-	t.Run("one that flaps serves where there is no other", func(t *testing.T) {
-		f := follow(t, one)
+	t.Run("a flapping address serves if there is no other", func(t *testing.T) {
+		f := newFollowerTest(t, first)
 		now := time.Duration(0)
 		for range 2 * DefaultFollowerConfig().MaxFlaps {
-			f.step(now, h(0, found(1))).is([]int{1}, nil)
-			f.step(now+s, h(0, Answer{Result: NoData})).is(nil, []int{1})
+			f.step(now, observe(0, found(1))).expect([]int{1}, nil)
+			f.step(now+s, observe(0, Answer{Result: NoData})).expect(nil, []int{1})
 			now += 2 * s
 		}
-		f.step(now, h(0, found(1, 2))) // another comes, too: it serves, the one that flaps settles
-		f.is([]int{2}, []int{1})
-		f.step(now+s, h(0, found(1))).is([]int{1}, []int{2}) // and is taken when the other goes
+		f.step(now, observe(0, found(1, 2))) // the new address serves, and the flapping one stabilizes
+		f.expect([]int{2}, []int{1})
+		f.step(now+s, observe(0, found(1))).expect([]int{1}, []int{2}) // the flapping address serves when the other is removed
 	})
 	t.Run("priorities and weights", func(t *testing.T) {
-		f := follow(t, one)
+		f := newFollowerTest(t, first)
 		a := Answer{Result: Found, Addresses: []Address{{host(1), 10, 30}, {host(2), 10, 10}, {host(1), 10, 30}, {host(3), 20, 10}, {host(1), 20, 99}}}
-		f.step(0, h(0, a)).is([]int{1, 2}, nil)
+		f.step(0, observe(0, a)).expect([]int{1, 2}, nil)
 		for _, l := range f.l {
 			if want := map[string]float64{host(1).String(): 1.5, host(2).String(): 0.5}[l.Addr]; l.Weight != want {
-				t.Errorf("%s has rating %v, want %v", l.Addr, l.Weight, want)
+				t.Errorf("%s has weight %v, want %v", l.Addr, l.Weight, want)
 			}
 		}
-		f.step(s, h(0, Answer{Result: Found, Addresses: a.Addresses[3:4]})).is([]int{3}, []int{1, 2})
+		f.step(s, observe(0, Answer{Result: Found, Addresses: a.Addresses[3:4]})).expect([]int{3}, []int{1, 2})
 	})
 	t.Run("states for operators", func(t *testing.T) {
-		f := follow(t, held)
+		f := newFollowerTest(t, delayed)
 		if s := f.f.MemberStates()[0]; s.Answer != "not asked yet" {
 			t.Error(s)
 		}
-		f.step(0, h(0, found(1))).step(s, h(0, Answer{Result: NoData, Why: "gone"}))
+		f.step(0, observe(0, found(1))).step(s, observe(0, Answer{Result: NoData, Why: "gone"}))
 		if s := f.f.MemberStates()[0]; s.Answer != "NODATA" || !s.Retained || len(s.Lines) != 1 || s.Why != "gone" {
 			t.Errorf("%+v", s)
 		}
 	})
 }
 
-// Over generated answers: what no name lists now never serves, unless an empty answer is held; a destination with a listed
-// address has one that serves; changes come to what a follower that starts now would list; Step at Next is enough.
+// Checks generated answers, with Step called only for observations and at Next. An address that no name lists must not serve, except until
+// an empty answer takes effect. A destination with listed addresses must have a serving one. In the end all listed addresses must serve.
 func TestFollower_Invariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		hold := rapid.Bool().Draw(t, "hold")
+		delayEmpty := rapid.Bool().Draw(t, "delayEmpty")
 		members := []Member{{Destination: 1, Name: "a.", Weight: 1}, {Destination: 1, Name: "b.", Weight: 1}, {Destination: 2, Name: "c.", Weight: 1}}
-		if hold {
+		if delayEmpty {
 			for i := range members {
 				members[i].EmptyAfter = 3 * time.Second
 			}
@@ -195,11 +195,11 @@
 		current := make([]map[int]bool, len(members))
 		empty := []time.Duration{-1, -1, -1}
 		now := time.Duration(0)
-		take := func(lines []Target) {
-			for _, c := range lines {
+		apply := func(changes []Target) {
+			for _, c := range changes {
 				if c.State == Deleted {
 					if l[c.ID].State != Dropped {
-						t.Fatalf("%s is deleted and was %q", c.ID, l[c.ID].State)
+						t.Fatalf("%s is deleted in state %q", c.ID, l[c.ID].State)
 					}
 					delete(l, c.ID)
 				} else {
@@ -209,17 +209,17 @@
 		}
 		expire := func() {
 			for i := range members {
-				if hold && empty[i] >= 0 && now >= empty[i]+3*time.Second {
+				if delayEmpty && empty[i] >= 0 && now >= empty[i]+3*time.Second {
 					current[i], empty[i] = nil, -1
 				}
 			}
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			until := now + time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms"))*time.Millisecond
-			for f.Next() <= until { // what happens by itself happens at its time
+			for f.Next() <= until { // steps that are due by time alone
 				now = max(now, f.Next())
 				expire()
-				take(f.Step(now, nil))
+				apply(f.Step(now, nil))
 			}
 			now = until
 			i := rapid.IntRange(0, len(members)-1).Draw(t, "member")
@@ -235,7 +235,7 @@
 					}
 				}
 			case NXDomain, NoData:
-				if !hold {
+				if !delayEmpty {
 					current[i] = nil
 				} else if empty[i] < 0 && len(current[i]) > 0 {
 					empty[i] = now
@@ -243,7 +243,7 @@
 			default:
 				empty[i] = -1
 			}
-			take(f.Step(now, []Observation{{i, a}}))
+			apply(f.Step(now, []Observation{{i, a}}))
 			for dest := uint32(1); dest <= 2; dest++ {
 				want := map[int]bool{}
 				for i, m := range members {
@@ -254,33 +254,33 @@
 					}
 				}
 				serving := 0
-				for _, line := range l {
-					if line.Destination != dest || line.State != Serving {
+				for _, target := range l {
+					if target.Destination != dest || target.State != Serving {
 						continue
 					}
 					serving++
-					if n := int(netip.MustParseAddrPort(line.Addr).Addr().As4()[3]); !want[n] {
-						t.Fatalf("at %v %s serves and is listed nowhere: %v", now, line.Addr, want)
+					if n := int(netip.MustParseAddrPort(target.Addr).Addr().As4()[3]); !want[n] {
+						t.Fatalf("at %v %s serves but is not listed: %v", now, target.Addr, want)
 					}
 				}
 				if len(want) > 0 && serving == 0 {
-					t.Fatalf("at %v destination %d has %v listed and none serves", now, dest, want)
+					t.Fatalf("at %v destination %d has %v listed, and none of them serves", now, dest, want)
 				}
 				if len(want) > 0 && serving > len(want) {
-					t.Fatal("more serve than are listed")
+					t.Fatal("more addresses serve than are listed")
 				}
 			}
 		}
-		// In the end all that is listed serves.
+		// In the end all listed addresses serve.
 		for f.Next() < never {
 			now = max(now, f.Next())
 			expire()
-			take(f.Step(now, nil))
+			apply(f.Step(now, nil))
 		}
 		for i, m := range members {
 			for n := range current[i] {
-				if line := l[fmt.Sprintf("dns:%d:%s", m.Destination, host(n))]; line.State != Serving {
-					t.Fatalf("%v of %s is %q in the end", host(n), m.Name, line.State)
+				if target := l[fmt.Sprintf("dns:%d:%s", m.Destination, host(n))]; target.State != Serving {
+					t.Fatalf("%v of %s is %q in the end", host(n), m.Name, target.State)
 				}
 			}
 		}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,14 +1,15 @@
-// Package membership decides which endpoints there are, free of I/O and clocks: what names come to (Resolve), how the
-// addresses of a destination come, drain and go (Follower), and which source of endpoints wins (Merge).
+// Package membership computes the list of endpoints from its sources. It does no I/O and reads no clock. Resolve resolves names to
+// addresses, Follower tracks how the addresses of a destination are added, drained and removed, and Merger merges the lists of several
+// sources.
 package membership
 
-// Target is an endpoint as a source lists it; the fields are those of discovery's list.
+// Target is an endpoint in the list of a source; the fields are those of discovery's list.
 type Target struct {
 	ID          string  `json:"id"`
 	Addr        string  `json:"addr"`
 	Zone        string  `json:"zone"`
 	Kind        string  `json:"kind"`
-	Destination uint32  `json:"cell"` // its destination
+	Destination uint32  `json:"cell"`
 	State       string  `json:"state"`
 	Weight      float64 `json:"weight"`
 }
@@ -16,19 +17,19 @@
 // States of a target.
 const (
 	Serving  = "SERVING"
-	Draining = "DRAINING" // it finishes what it has and wants nothing new
-	Deleted  = "DELETED"  // among changes only: it is gone
-	// Dropped is what a source says of an address that it lists no more, as long as that may come back as the same
-	// endpoint. It drains, unless another source lists it.
+	Draining = "DRAINING" // it completes its calls in flight and gets no new calls
+	Deleted  = "DELETED"  // in changes only: the target was removed
+	// Dropped is the state of an address that a source no longer lists but that may still return as the same endpoint. It drains, unless
+	// another source lists it.
 	Dropped = "DROPPED"
 )
 
-// Update is an update of a source: its whole list, or what has changed since its last one.
+// Update is an update from a source: its complete list, or the changes since its last update.
 type Update struct {
 	Version int64    `json:"version"`
 	Full    bool     `json:"full"`
 	Servers []Target `json:"servers"`
 
-	VersionsReset bool   `json:"-"` // versions are another machine's from here on, and say nothing beside earlier ones
-	Origin        string `json:"-"` // address of the machine that told it, where the source has several; else empty
+	VersionsReset bool   `json:"-"` // from here on versions are another machine's and can't be compared with earlier ones
+	Origin        string `json:"-"` // address of the machine that sent the update if the source has several machines; else empty
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Source is one of the sources that feed an endpoint list.
+// Source is a source of endpoint lists.
 type Source int
 
 // The sources.
@@ -16,20 +16,20 @@
 	sources
 )
 
-// Precedence says which sources count for a destination.
+// Precedence determines which sources are active for a destination.
 type Precedence int
 
 // The precedences.
 const (
-	NamesFirst     Precedence = iota // names; discovery for destinations of which they have never said anything
-	DiscoveryFirst                   // the other way round
-	Both                             // all that either lists
+	NamesFirst     Precedence = iota // Names; Discovery for destinations that Names has never listed
+	DiscoveryFirst                   // Discovery; Names for destinations that Discovery has never listed
+	Both                             // both sources
 )
 
-// Precedences are the words for the precedences, as settings have them, in the order of their numbers.
+// Precedences returns the names of the precedences in the settings, in the order of their numbers.
 func Precedences() []string { return []string{"names", "discovery", "both"} }
 
-// PrecedenceOf reads a word; the error is a *PrecedenceError.
+// PrecedenceOf parses the name of a precedence. The error is a *PrecedenceError.
 func PrecedenceOf(word string) (Precedence, error) {
 	if i := slices.Index(Precedences(), word); i >= 0 {
 		return Precedence(i), nil
@@ -37,15 +37,15 @@
 	return 0, &PrecedenceError{word}
 }
 
-// PrecedenceError is a word that names no precedence.
+// PrecedenceError reports a word that is not the name of a precedence.
 type PrecedenceError struct{ Word string }
 
-// Error gives the word, and those that there are.
+// Error returns a message with the word and the names of all precedences.
 func (e *PrecedenceError) Error() string {
 	return fmt.Sprintf("%q is no precedence; there are %q", e.Word, Precedences())
 }
 
-// String is the precedence's word.
+// String returns the precedence's name in the settings.
 func (p Precedence) String() string {
 	if p < 0 || int(p) >= len(Precedences()) {
 		return fmt.Sprintf("precedence %d", int(p))
@@ -53,31 +53,32 @@
 	return Precedences()[p]
 }
 
-// Merger makes one endpoint list of those of several sources. At one destination one address is one endpoint, whoever lists it
-// and how often, under the id it had first: with one window, limit and health. It is for one goroutine.
+// Merger merges the endpoint lists of several sources into one. At one destination one address is one endpoint, whichever sources list it
+// and however often. The endpoint keeps the id under which it was listed first, so that it has one window, one limit and one health. A
+// Merger is for one goroutine.
 type Merger struct {
 	precedence map[uint32]Precedence
 	fallback   Precedence
 
 	targets      [sources]map[string]Target // by the source's own id
 	destinations map[uint32]*destination
-	locations    map[string]location // where each id of the merged list is
+	locations    map[string]location // by id in the merged list
 }
 
-// location is where an endpoint of the merged list is.
+// location is the location of an endpoint in the merged list.
 type location struct {
 	destination uint32
 	address     string
 }
 
-// destination is what is merged for one destination.
+// destination is the state of one destination.
 type destination struct {
-	hasListed [sources]bool                // it has named the destination
-	ids       [sources]map[string]struct{} // its lines
-	merged    map[string]Target            // the merged lines, by address
+	hasListed [sources]bool                // whether the source has ever listed a target of the destination
+	ids       [sources]map[string]struct{} // ids of the source's targets
+	merged    map[string]Target            // the merged targets, by address
 }
 
-// NewMerger makes a merger without targets. precedence is by destination, fallback for all others.
+// NewMerger returns a merger without targets. precedence is by destination; fallback applies to all other destinations.
 func NewMerger(precedence map[uint32]Precedence, fallback Precedence) *Merger {
 	m := &Merger{precedence: precedence, fallback: fallback, destinations: map[uint32]*destination{}, locations: map[string]location{}}
 	for s := range m.targets {
@@ -86,8 +87,8 @@
 	return m
 }
 
-// Apply takes in an update of a source and gives what changes in the merged list, as changes: deleted targets among them, each
-// before another target takes its address or id over.
+// Apply processes an update from a source and returns the changes of the merged list, including deleted targets. A deleted target comes
+// before another target that reuses its address or id.
 func (m *Merger) Apply(from Source, u Update) []Target {
 	touched := map[uint32]struct{}{}
 	listed := map[string]struct{}{}
@@ -110,7 +111,7 @@
 	slices.Sort(order)
 	desired := make([]map[string]Target, len(order))
 	var changes []Target
-	for i, n := range order { // first what goes everywhere, so that ids are free that another destination takes
+	for i, n := range order { // removals of all destinations first, so that another destination can reuse their ids
 		desired[i] = m.desired(n)
 		changes = append(changes, m.removals(m.destinations[n], desired[i])...)
 	}
@@ -118,7 +119,7 @@
 	for i, n := range order {
 		changes = append(changes, m.additions(n, m.destinations[n], desired[i])...)
 	}
-	readded := map[string]struct{}{} // the same endpoint, at another destination
+	readded := map[string]struct{}{} // ids of endpoints that move to another destination
 	for _, t := range changes[removedCount:] {
 		readded[t.ID] = struct{}{}
 	}
@@ -128,10 +129,10 @@
 	})
 }
 
-// applyTarget takes in one target of a source and marks the destinations that it touches.
+// applyTarget applies one target of a source and adds the destinations that it changes to touched.
 func (m *Merger) applyTarget(from Source, t Target, touched map[uint32]struct{}) {
 	if old, ok := m.targets[from][t.ID]; ok {
-		if t.Addr == "" { // discovery's changes may leave it out
+		if t.Addr == "" { // changes from discovery may omit it
 			t.Addr = old.Addr
 		}
 		if old.Destination != t.Destination && t.State != Deleted {
@@ -154,7 +155,7 @@
 	m.targets[from][t.ID] = t
 }
 
-// destination is the state of a destination, made if there is none.
+// destination returns the state of a destination, which it creates if necessary.
 func (m *Merger) destination(n uint32) *destination {
 	d := m.destinations[n]
 	if d == nil {
@@ -167,7 +168,7 @@
 	return d
 }
 
-// activeSources says which sources count for a destination now.
+// activeSources returns which sources are active for a destination now.
 func (m *Merger) activeSources(n uint32, d *destination) [sources]bool {
 	p, ok := m.precedence[n]
 	if !ok {
@@ -182,35 +183,35 @@
 	return [sources]bool{Discovery: true}
 }
 
-// desired is what the merged targets of a destination are to be, by address.
+// desired returns the targets that a destination should have after merging, by address.
 func (m *Merger) desired(n uint32) map[string]Target {
 	d := m.destinations[n]
-	counts := m.activeSources(n, d)
+	active := m.activeSources(n, d)
 	desired := map[string]Target{}
 	for s := range sources {
 		for _, id := range sorted(d.ids[s]) {
 			t := m.targets[s][id]
-			have, ok := desired[t.Addr]
+			current, ok := desired[t.Addr]
 			switch {
-			case !counts[s]:
+			case !active[s]:
 			case !ok:
 				desired[t.Addr] = t
-			case have.State == Dropped && t.State != Dropped:
+			case current.State == Dropped && t.State != Dropped:
 				desired[t.Addr] = t
-			case have.State == Serving && t.State == Draining:
-				have.State = Draining
-				desired[t.Addr] = have
+			case current.State == Serving && t.State == Draining:
+				current.State = Draining
+				desired[t.Addr] = current
 			}
 		}
 	}
-	// A source that does not count lists nothing, but a drain is honoured whoever tells of it.
+	// An inactive source adds no targets, but a target that it lists as draining drains.
 	for s := range sources {
-		if !counts[s] {
+		if !active[s] {
 			for id := range d.ids[s] {
 				if t := m.targets[s][id]; t.State == Draining {
-					if have, ok := desired[t.Addr]; ok {
-						have.State = Draining
-						desired[t.Addr] = have
+					if current, ok := desired[t.Addr]; ok {
+						current.State = Draining
+						desired[t.Addr] = current
 					}
 				}
 			}
@@ -219,8 +220,8 @@
 	return desired
 }
 
-// removals takes away what is not desired any more. A target whose id is desired at an address that is new has moved: it stays
-// the endpoint that it is.
+// removals removes the merged targets that are not desired any more. A target whose id is desired at a new address of the same destination
+// has moved: it remains the same endpoint.
 func (m *Merger) removals(d *destination, desired map[string]Target) []Target {
 	var changes []Target
 	for _, addr := range sorted(desired) {
@@ -248,7 +249,7 @@
 	return changes
 }
 
-// additions makes the merged targets of a destination what is desired.
+// additions adds and changes the merged targets of a destination so that they match desired.
 func (m *Merger) additions(n uint32, d *destination, desired map[string]Target) []Target {
 	var changes []Target
 	for _, addr := range sorted(desired) {
@@ -256,7 +257,7 @@
 		old, ok := d.merged[addr]
 		if ok {
 			t.ID = old.ID
-		} else if _, taken := m.locations[t.ID]; taken { // by another address, which another source lists
+		} else if _, taken := m.locations[t.ID]; taken { // at another address, which another source lists
 			t.ID = fmt.Sprintf("at:%d:%s", n, addr)
 		}
 		if t.State == Dropped {
@@ -270,7 +271,7 @@
 	return changes
 }
 
-// List is the merged targets, by destination and address.
+// List returns the merged targets, sorted by destination and address.
 func (m *Merger) List() []Target {
 	var all []Target
 	for _, d := range m.destinations {
@@ -284,7 +285,7 @@
 	return all
 }
 
-// sorted is the keys of a map in order.
+// sorted returns the sorted keys of a map.
 func sorted[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
--- a/internal/membership/resolve.go
+++ b/internal/membership/resolve.go
@@ -10,30 +10,30 @@
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-// Member is a name that says where a destination is.
+// Member is a DNS name that resolves to the endpoints of a destination.
 type Member struct {
 	Destination uint32
 	Name        string        // absolute, lower case
-	SRV         bool          // its SRV records tell targets, ports, priorities and weights (RFC 2782); else its A and AAAA
+	SRV         bool          // use its SRV records with targets, ports, priorities and weights (RFC 2782); else its A and AAAA records
 	Port        uint16        // of the addresses, without SRV
 	Kind, Zone  string        // as in discovery's list
-	Weight      float64       // the rating of its endpoints
-	EmptyAfter  time.Duration // an answer without addresses is believed after so long; 0: at once
+	Weight      float64       // mean weight of its endpoints
+	EmptyAfter  time.Duration // an answer without addresses takes effect after this time; 0: at once
 }
 
-// Result is what became of a query for a name.
+// Result is the result of resolving a name.
 type Result int
 
 // The results.
 const (
 	Found    Result = iota
-	NXDomain        // the name is not there
-	NoData          // it is, and has no address
-	ServFail        // nobody can say: the zone has expired, or the chain of names is broken
+	NXDomain        // the name does not exist
+	NoData          // the name exists and has no address
+	ServFail        // the result is unknown: the zone has expired, or the chain of names is broken
 	Timeout         // the zone was never received
 )
 
-// String is the result as operators are shown it.
+// String returns the result as operators' commands print it.
 func (r Result) String() string {
 	if names := [...]string{"found", "NXDOMAIN", "NODATA", "SERVFAIL", "time-out"}; r >= 0 && int(r) < len(names) {
 		return names[r]
@@ -41,36 +41,36 @@
 	return fmt.Sprintf("result %d", int(r))
 }
 
-// Address is one that a name came to.
+// Address is an address that a name resolved to.
 type Address struct {
 	netip.AddrPort
-	Priority, Weight uint16 // of its SRV record; 0 without
+	Priority, Weight uint16 // of its SRV record; 0 without SRV
 }
 
-// Answer is what a name came to.
+// Answer is the answer for a member's name.
 type Answer struct {
 	Result
 	Addresses []Address
-	Partial   bool   // some of its targets could not be resolved: what is missing may be there
-	Why       string // words for a result without addresses
+	Partial   bool   // some targets could not be resolved: Addresses may be incomplete
+	Why       string // reason for a result without addresses
 }
 
-// ZoneState is a zone as this sender has it.
+// ZoneState is this sender's copy of a zone.
 type ZoneState struct {
-	*zone.Zone // nil: it was never received
+	*zone.Zone // nil: the zone was never received
 	Expired    bool
 }
 
-// Zones finds the zone for a name: that of the longest origin; ok is false if there is none.
+// Zones returns the zone with the longest origin that contains a name; ok is false if there is none.
 type Zones func(name string) (state ZoneState, ok bool)
 
 // The bounds of a resolution.
 const (
 	maxCNAMEChain = 16  // CNAMEs between zones
-	maxTargets    = 256 // records of an SRV set that are followed, and addresses of a member
+	maxTargets    = 256 // records of an SRV set that are resolved, and addresses of a member
 )
 
-// Resolve queries a member's addresses. names is the names that the answer rests on: it is to be asked again when one of them
+// Resolve resolves a member's addresses. names are the names that the answer depends on: the member must be resolved again when one of them
 // changes.
 func Resolve(zones Zones, m *Member) (a Answer, names []string) {
 	r := resolver{zones: zones}
@@ -88,22 +88,22 @@
 		if !ok {
 			continue
 		}
-		if srv.Target == "." { // RFC 2782: the service is decidedly not available
+		if srv.Target == "." { // RFC 2782: the service is not available at this domain
 			continue
 		}
 		if i >= maxTargets {
 			a.Partial = true
 			break
 		}
-		one := r.addresses(zone.Name(srv.Target), srv.Port)
-		for _, addr := range one.Addresses {
+		target := r.addresses(zone.Name(srv.Target), srv.Port)
+		for _, addr := range target.Addresses {
 			addr.Priority, addr.Weight = srv.Priority, srv.Weight
 			a.Addresses = append(a.Addresses, addr)
 		}
-		if one.Result == ServFail || one.Result == Timeout {
+		if target.Result == ServFail || target.Result == Timeout {
 			a.Partial = true
 			if len(a.Addresses) == 0 {
-				a.Result, a.Why = one.Result, one.Why
+				a.Result, a.Why = target.Result, target.Why
 			}
 		}
 	}
@@ -113,13 +113,13 @@
 	return a, r.names
 }
 
-// resolver is one resolution and the names that it has used.
+// resolver resolves one member and records the names that the answer depends on.
 type resolver struct {
 	zones Zones
 	names []string
 }
 
-// addresses queries A and AAAA; a name that has some is found, whatever the other query says.
+// addresses queries A and AAAA records. The result is Found if one of the queries finds addresses.
 func (r *resolver) addresses(name string, port uint16) Answer {
 	a := Answer{Result: NoData, Why: name + " has no address"}
 	for _, kind := range []uint16{dns.TypeA, dns.TypeAAAA} {
@@ -153,22 +153,22 @@
 	return a
 }
 
-// lookup follows a name through the zones, and CNAMEs between them, to records of a type.
+// lookup finds the records of a type for a name, following CNAMEs between zones.
 func (r *resolver) lookup(name string, kind uint16) ([]dns.RR, Result, string) {
 	for range maxCNAMEChain {
-		held, ok := r.zones(name)
+		state, ok := r.zones(name)
 		if !ok {
 			r.names = append(r.names, name)
 			return nil, ServFail, name + " is in no zone that is held"
 		}
 		r.names = append(r.names, name)
-		if held.Zone == nil {
+		if state.Zone == nil {
 			return nil, Timeout, "the zone of " + name + " was never had"
 		}
-		if held.Expired {
-			return nil, ServFail, "zone " + held.Origin() + " has expired"
+		if state.Expired {
+			return nil, ServFail, "zone " + state.Origin() + " has expired"
 		}
-		reply := held.Answer(name, kind)
+		reply := state.Answer(name, kind)
 		var found []dns.RR
 		for _, rr := range reply.Answer {
 			switch rr := rr.(type) {
--- a/internal/membership/resolve_test.go
+++ b/internal/membership/resolve_test.go
@@ -49,20 +49,20 @@
 		"never.": {},
 	}
 	zones := func(name string) (ZoneState, bool) {
-		for origin, h := range all {
+		for origin, state := range all {
 			if zone.Within(origin, name) {
-				return h, true
+				return state, true
 			}
 		}
 		return ZoneState{}, false
 	}
 	for _, c := range []struct {
-		name    string
-		srv     bool
-		result  Result
-		want    string
-		partial bool
-		rests   string // a name that the answer rests on
+		name      string
+		srv       bool
+		result    Result
+		want      string
+		partial   bool
+		dependsOn string // a name that the answer depends on
 	}{
 		{"a.one.", false, Found, "192.0.2.1:80 192.0.2.2:80 [2001:db8::1]:80", false, "a.one."},
 		{"text.one.", false, NoData, "", false, "text.one."},
@@ -93,8 +93,8 @@
 		want := strings.Fields(c.want)
 		slices.Sort(got)
 		slices.Sort(want)
-		if a.Result != c.result || !slices.Equal(got, want) || a.Partial != c.partial || !slices.Contains(names, c.rests) {
-			t.Errorf("%s: %v %v, partial %v, rests on %v", c.name, a.Result, got, a.Partial, names)
+		if a.Result != c.result || !slices.Equal(got, want) || a.Partial != c.partial || !slices.Contains(names, c.dependsOn) {
+			t.Errorf("%s: %v %v, partial %v, depends on %v", c.name, a.Result, got, a.Partial, names)
 		}
 		if (a.Why == "") != (a.Result == Found) {
 			t.Errorf("%s: %v because %q", c.name, a.Result, a.Why)
--- a/internal/membership/rollbackguard.go
+++ b/internal/membership/rollbackguard.go
@@ -2,71 +2,72 @@
 
 import "time"
 
-// RollbackGuard keeps an endpoint list from going back. A source that several machines answer for may give an older version
-// after a newer one: from a machine that lags behind, or from a backup. Endpoints that it had drain or go since, a sender must
-// not take up again by such a list. It is for one source and one goroutine.
+// RollbackGuard prevents an endpoint list from reverting to an older version. A source with several machines may send an older version after
+// a newer one: from a machine that lags behind, or from a backup. A sender must not use endpoints again, because of such a list, that the
+// source has drained or removed since. A RollbackGuard is for one source and one goroutine.
 type RollbackGuard struct {
-	drained map[string]drainRecord // by id, of what drains or is gone
-	listed  map[string]struct{}    // ids that the list has
+	drained map[string]drainRecord // drained or removed endpoints, by id
+	listed  map[string]struct{}    // ids in the list
 }
 
-// drainRecord is when an endpoint was told to drain or go, and by which version.
+// drainRecord is the version that drained or removed an endpoint, and when it was applied.
 type drainRecord struct {
 	version int64
 	at      time.Duration
 }
 
-// rollbackWindow is how long an older version's word that an endpoint serves does not count. A source that numbers its
-// versions anew without saying so, as after the loss of its state, is believed after that.
+// rollbackWindow is how long an endpoint that was drained or removed is not used again because of an older version. After that the older
+// version takes effect, as the source may have restarted its version numbers without VersionsReset, for example after the loss of its
+// state.
 const rollbackWindow = time.Minute
 
-// NewRollbackGuard makes the guard of a source that has sent nothing yet.
+// NewRollbackGuard returns the guard of a source that has sent no update yet.
 func NewRollbackGuard() *RollbackGuard {
 	return &RollbackGuard{drained: map[string]drainRecord{}, listed: map[string]struct{}{}}
 }
 
-// Apply takes in an update and gives what of it counts: its targets, but for those that say an endpoint serves which a newer
-// version had drain or go; such a target counts as draining. That something drains or is gone counts whatever the version, as
-// it does no harm. older is how many targets were held back. now is any clock that does not go back.
-func (t *RollbackGuard) Apply(now time.Duration, u Update) (counts Update, older int) {
+// Apply processes an update and returns it with the states that take effect: a serving target that a newer version has drained or removed is
+// replaced by a draining one. Draining and removal take effect whatever the version, as they are safe. older is the number of targets that
+// were replaced. now is the time of any monotonic clock.
+func (g *RollbackGuard) Apply(now time.Duration, u Update) (effective Update, older int) {
 	if u.VersionsReset {
-		clear(t.drained)
+		clear(g.drained)
 	}
-	for id, drained := range t.drained {
+	for id, drained := range g.drained {
 		if now-drained.at >= rollbackWindow {
-			delete(t.drained, id)
+			delete(g.drained, id)
 		}
 	}
 	recordDrain := func(id string) {
-		if drained, left := t.drained[id]; !left || u.Version >= drained.version {
-			t.drained[id] = drainRecord{u.Version, now}
+		if drained, ok := g.drained[id]; !ok || u.Version >= drained.version {
+			g.drained[id] = drainRecord{u.Version, now}
 		}
 	}
 	listed := map[string]struct{}{}
-	for i, line := range u.Servers {
-		listed[line.ID] = struct{}{}
-		drained, left := t.drained[line.ID]
+	for i, target := range u.Servers {
+		listed[target.ID] = struct{}{}
+		drained, wasDrained := g.drained[target.ID]
 		switch {
-		case line.State != Serving:
-			recordDrain(line.ID)
-		case left && u.Version < drained.version:
+		case target.State != Serving:
+			recordDrain(target.ID)
+		case wasDrained && u.Version < drained.version:
 			if older++; older == 1 {
-				u.Servers = append([]Target(nil), u.Servers...) // it is the caller's
+				u.Servers = append([]Target(nil), u.Servers...) // must not modify the caller's slice
 			}
 			u.Servers[i].State = Draining
 		default:
-			delete(t.drained, line.ID)
+			delete(g.drained, target.ID)
 		}
-		if line.State == Deleted {
-			delete(t.listed, line.ID)
+		if target.State == Deleted {
+			delete(g.listed, target.ID)
 		} else {
-			t.listed[line.ID] = struct{}{}
+			g.listed[target.ID] = struct{}{}
 		}
 	}
 	if u.Full {
-		for id := range t.listed {
+		for id := range g.listed {
 			if _, ok := listed[id]; !ok {
-				delete(t.listed, id)
+				delete(g.listed, id)
 				recordDrain(id)
 			}
 		}
