--- a/internal/health/aggregator_test.go
+++ b/internal/health/aggregator_test.go
@@ -102,7 +102,7 @@
 			tr.observe("b", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(1000 * ms)
 		}, "none"},
-		"no rule asks for it any more": {func(tr *aggregatorTest) {
+		"the rule is removed": {func(tr *aggregatorTest) {
 			tr.observe("a", 7, knowledge.Unhealthy, 0)
 			tr.observe("b", 7, knowledge.Unhealthy, 0)
 			tr.statusAfter(1000 * ms)
--- a/internal/health/machine_test.go
+++ b/internal/health/machine_test.go
@@ -19,7 +19,7 @@
 	epoch uint64
 }
 
-func newLog(t *testing.T) *replicatedLog {
+func newReplicatedLog(t *testing.T) *replicatedLog {
 	l := &replicatedLog{t: t, epoch: 1}
 	l.Machine = NewMachine(func() uint64 { return l.epoch })
 	return l
@@ -54,7 +54,7 @@
 // Checks that set and clear commands based on an outdated status are rejected, that a former owner's commands are rejected, and that an
 // operator's status exists beside the owner's and has no TTL.
 func TestMachine_Commands(t *testing.T) {
-	l := newLog(t)
+	l := newReplicatedLog(t)
 	for _, step := range []struct {
 		name      string
 		command   *pb.HealthCommand
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := newLog(t)
+	restored := newReplicatedLog(t)
 	if err := restored.Restore(raw); err != nil || !proto.Equal(restored.State(), l.State()) {
 		t.Errorf("%v: %v", err, restored.State())
 	}
@@ -109,7 +109,7 @@
 }
 
 func newAggregatorTest(t *testing.T) *aggregatorTest {
-	return &aggregatorTest{replicatedLog: newLog(t), aggregator: NewAggregator(), now: time.Hour, owns: true, rule: Rule{Quorum: 2, ProbeInterval: time.Second, InitialRate: 1, FullRate: 10, SlowStart: 5 * time.Second, TTL: 6 * time.Second}}
+	return &aggregatorTest{replicatedLog: newReplicatedLog(t), aggregator: NewAggregator(), now: time.Hour, owns: true, rule: Rule{Quorum: 2, ProbeInterval: time.Second, InitialRate: 1, FullRate: 10, SlowStart: 5 * time.Second, TTL: 6 * time.Second}}
 }
 
 // statusAfter advances the clock, evaluates every 100 ms, and returns the status of destination 7.
--- a/internal/lease/granter.go
+++ b/internal/lease/granter.go
@@ -10,7 +10,7 @@
 // Granter is the leader's side of leases. Each leader creates a new one when it is elected. It is not safe for concurrent use.
 type Granter struct {
 	terms      Terms
-	graceUntil time.Duration // before it, unknown leases of an earlier leader may exist
+	graceUntil time.Duration // until this time unknown leases of an earlier leader may exist
 	issued     map[HolderID][]issuedLease
 }
 
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -16,9 +16,9 @@
 		rate := func(label string) float64 { return 1 + terms.MaxDrift*rapid.Float64Range(-1, 1).Draw(t, label) }
 		holderRate, granterRate := rate("holder's clock"), rate("granter's clock")
 		shift := time.Duration(rapid.Int64Range(0, 1e15).Draw(t, "granter's clock is ahead by"))
-		holder := func(at time.Duration) time.Duration { return time.Duration(float64(at) * holderRate) }
-		granter := func(at time.Duration) time.Duration { return time.Duration(float64(at)*granterRate) + shift }
-		h, g := NewHolder(terms), NewGranter(terms, granter(0)-terms.GranterDuration())
+		holderClock := func(at time.Duration) time.Duration { return time.Duration(float64(at) * holderRate) }
+		granterClock := func(at time.Duration) time.Duration { return time.Duration(float64(at)*granterRate) + shift }
+		h, g := NewHolder(terms), NewGranter(terms, granterClock(0)-terms.GranterDuration())
 		id := HolderID{"a", 1}
 		now := time.Duration(0) // true time
 		applied, lastIndex := uint64(0), uint64(0)
@@ -27,20 +27,20 @@
 				now += time.Duration(rapid.Int64Range(0, int64(terms.Duration)*3/2).Draw(t, label))
 			}
 			lastIndex += rapid.Uint64Range(0, 2).Draw(t, "entries")
-			requestedAt, actingIndex := h.Request(holder(now)), applied
+			requestedAt, actingIndex := h.Request(holderClock(now)), applied
 			wait("request delay")
 			g.RecordRequest(id, actingIndex)
-			requiredIndex := g.Grant(id, lastIndex, granter(now))
+			requiredIndex := g.Grant(id, lastIndex, granterClock(now))
 			applied = rapid.Uint64Range(applied, lastIndex).Draw(t, "applied")
 			wait("reply delay")
-			h.RecordGrant(requestedAt, requiredIndex, terms.Duration, holder(now))
+			h.RecordGrant(requestedAt, requiredIndex, terms.Duration, holderClock(now))
 			for range 3 {
 				wait("pause")
 				// Allow for rounding in the clocks, which is far below the drift: 1 ms in a million seconds.
-				if mayAct := h.Until(applied) > holder(now)+time.Microsecond; mayAct {
+				if mayAct := h.Until(applied) > holderClock(now)+time.Microsecond; mayAct {
 					for fence := uint64(0); fence <= lastIndex+1; fence++ {
-						if len(g.LeasesBelow(fence, granter(now))) == 0 && applied < fence {
-							t.Fatalf("at %v the holder acts at index %d under a lease until %v (now %v), and the fence at %d has passed", now, applied, h.Until(applied), holder(now), fence)
+						if len(g.LeasesBelow(fence, granterClock(now))) == 0 && applied < fence {
+							t.Fatalf("at %v the holder acts at index %d under a lease until %v (now %v), and the fence at %d has passed", now, applied, h.Until(applied), holderClock(now), fence)
 						}
 					}
 				}
--- a/internal/membership/follow_test.go
+++ b/internal/membership/follow_test.go
@@ -24,9 +24,9 @@
 
 // followerTest is a follower and the list to which its changes add up.
 type followerTest struct {
-	t *testing.T
-	f *Follower
-	l list
+	t        *testing.T
+	follower *Follower
+	list     list
 }
 
 func newFollowerTest(t *testing.T, members ...Member) *followerTest {
@@ -35,7 +35,7 @@
 
 func (f *followerTest) step(now time.Duration, observations ...Observation) *followerTest {
 	f.t.Helper()
-	f.l.apply(f.t, f.f.Step(now, observations))
+	f.list.apply(f.t, f.follower.Step(now, observations))
 	return f
 }
 
@@ -43,7 +43,7 @@
 func (f *followerTest) expect(serving, dropped []int) {
 	f.t.Helper()
 	got := map[string][]int{}
-	for _, t := range f.l {
+	for _, t := range f.list {
 		a := netip.MustParseAddrPort(t.Addr)
 		got[t.State] = append(got[t.State], int(a.Addr().As4()[3]))
 	}
@@ -67,16 +67,16 @@
 		f := newFollowerTest(t, first)
 		f.step(0, observe(0, found(1, 2))).expect([]int{1, 2}, nil)
 		f.step(s, observe(0, found(2))).expect([]int{2}, []int{1})
-		if f.f.Next() != s+DefaultFollowerConfig().Retention {
-			t.Errorf("next step at %v", f.f.Next())
+		if f.follower.Next() != s+DefaultFollowerConfig().Retention {
+			t.Errorf("next step at %v", f.follower.Next())
 		}
 		f.step(s+DefaultFollowerConfig().Retention).expect([]int{2}, nil)
 	})
 	t.Run("an address that returns within the retention is the same endpoint", func(t *testing.T) {
 		f := newFollowerTest(t, first)
 		f.step(0, observe(0, found(1))).step(s, observe(0, found(2))).step(100*s, observe(0, found(1))).expect([]int{1}, []int{2})
-		if len(f.l) != 2 {
-			t.Error(f.l)
+		if len(f.list) != 2 {
+			t.Error(f.list)
 		}
 	})
 	t.Run("an empty answer takes effect at once", func(t *testing.T) {
@@ -161,7 +161,7 @@
 		f := newFollowerTest(t, first)
 		a := Answer{Result: Found, Addresses: []Address{{host(1), 10, 30}, {host(2), 10, 10}, {host(1), 10, 30}, {host(3), 20, 10}, {host(1), 20, 99}}}
 		f.step(0, observe(0, a)).expect([]int{1, 2}, nil)
-		for _, l := range f.l {
+		for _, l := range f.list {
 			if want := map[string]float64{host(1).String(): 1.5, host(2).String(): 0.5}[l.Addr]; l.Weight != want {
 				t.Errorf("%s has weight %v, want %v", l.Addr, l.Weight, want)
 			}
@@ -170,11 +170,11 @@
 	})
 	t.Run("states for operators", func(t *testing.T) {
 		f := newFollowerTest(t, delayed)
-		if s := f.f.MemberStates()[0]; s.Answer != "not asked yet" {
+		if s := f.follower.MemberStates()[0]; s.Answer != "not asked yet" {
 			t.Error(s)
 		}
 		f.step(0, observe(0, found(1))).step(s, observe(0, Answer{Result: NoData, Why: "gone"}))
-		if s := f.f.MemberStates()[0]; s.Answer != "NODATA" || !s.Retained || len(s.Lines) != 1 || s.Why != "gone" {
+		if s := f.follower.MemberStates()[0]; s.Answer != "NODATA" || !s.Retained || len(s.Lines) != 1 || s.Why != "gone" {
 			t.Errorf("%+v", s)
 		}
 	})
--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -17,7 +17,7 @@
 	expiresAt     time.Duration // of the grant
 	peakGranted   int64         // maximum of granted while the units that cool down now were used
 	reserve       int64         // units that this sender has without a grant
-	reserveFrom   time.Duration // before it, an earlier process may still be using reserve or PartitionExtra
+	reserveFrom   time.Duration // until this time an earlier process may be using reserve or PartitionExtra
 	usageLog      []usageRecord // uses that cool down, oldest first
 	cooling       int64         // units in usageLog
 	inFlight      int64         // Concurrent: units of calls in flight
@@ -164,7 +164,7 @@
 	return 0, Never
 }
 
-// Never is a time that does not come.
+// Never is later than any time.
 const Never = time.Duration(1<<63 - 1)
 
 // Relinquish gives up granted units and returns the values to report in a request: from now on the client holds at most held units, and
--- a/internal/quota/grant_table.go
+++ b/internal/quota/grant_table.go
@@ -31,7 +31,7 @@
 type GrantTable struct {
 	limit      Limit
 	terms      Terms
-	graceUntil time.Duration // before it, unknown grants of an earlier owner may exist
+	graceUntil time.Duration // until this time unknown grants of an earlier owner may exist
 	clients    map[lease.HolderID]*clientState
 
 	shares      map[lease.HolderID]int64 // as computed at sharesAt
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -72,11 +72,9 @@
 	return l.CoolDown(drift)
 }
 
-// WorstCase returns the maximum number of units used within a span, as seen by the receiver, while partitionedSenders senders are
+// WorstCase returns the maximum number of units used within a span, as seen by the receiver, while the given number of senders are
 // partitioned from the owner.
-func (l Limit) WorstCase(partitionedSenders int) int64 {
-	return l.Units + l.PartitionExtra*int64(partitionedSenders)
-}
+func (l Limit) WorstCase(partitioned int) int64 { return l.Units + l.PartitionExtra*int64(partitioned) }
 
 // Terms are the parameters of all grants of a fleet.
 type Terms struct {
--- a/internal/quota/server.go
+++ b/internal/quota/server.go
@@ -40,9 +40,7 @@
 }
 
 // OverrideGracePeriod replaces the length of the grace period. It injects faults in tests.
-func (s *Server) OverrideGracePeriod(override func(time.Duration) time.Duration) {
-	s.gracePeriod = override
-}
+func (s *Server) OverrideGracePeriod(grace func(time.Duration) time.Duration) { s.gracePeriod = grace }
 
 // SetLimits replaces the limits.
 func (s *Server) SetLimits(all []Limit, now time.Duration) {
--- a/internal/quota/server_membership.go
+++ b/internal/quota/server_membership.go
@@ -63,7 +63,7 @@
 	return at
 }
 
-// Epoch returns the active membership's epoch; 0 before the first.
+// Epoch returns the active membership's epoch; 0 before the first membership.
 func (s *Server) Epoch() uint64 {
 	if len(s.memberships) == 0 {
 		return 0
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -54,7 +54,7 @@
 	server       *Server
 	events       []ClientEvent
 	down         bool
-	paused       time.Duration
+	pausedUntil  time.Duration
 	leaseUntil   time.Duration // end of its fleet lease, in true time
 	proposedSeen uint64        // epoch of the newest proposed membership that it has received
 	alarm        time.Duration // in true time
@@ -159,8 +159,8 @@
 		deliver = func() {
 			switch {
 			case p.down || p.id.Incarnation != incarnation || m.Epoch < p.client.epoch:
-			case p.paused > s.now:
-				s.at(p.paused-s.now+s.delay(), deliver)
+			case p.pausedUntil > s.now:
+				s.at(p.pausedUntil-s.now+s.delay(), deliver)
 			default:
 				p.proposedSeen = max(p.proposedSeen, m.NextEpoch)
 				p.client.SetMembership(m)
@@ -177,7 +177,7 @@
 	if p.down || p.id.Incarnation != incarnation {
 		return
 	}
-	if p.paused <= p.s.now && (p.s.nextParticipants == nil || p.proposedSeen > p.s.membership.Epoch) {
+	if p.pausedUntil <= p.s.now && (p.s.nextParticipants == nil || p.proposedSeen > p.s.membership.Epoch) {
 		p.leaseUntil = p.s.now + leaseLength
 	}
 	p.s.at(100*time.Millisecond, func() { p.renew(incarnation) })
@@ -208,8 +208,8 @@
 	if p.down {
 		return
 	}
-	if p.paused > p.s.now { // the events are processed when the sender resumes
-		p.s.at(p.paused-p.s.now, func() { p.step(events...) })
+	if p.pausedUntil > p.s.now { // the events are processed when the sender resumes
+		p.s.at(p.pausedUntil-p.s.now, func() { p.step(events...) })
 		return
 	}
 	events = append(events, p.events...)
@@ -263,8 +263,8 @@
 		if to.down {
 			return
 		}
-		if to.paused > s.now {
-			s.at(to.paused-s.now, arrive)
+		if to.pausedUntil > s.now {
+			s.at(to.pausedUntil-s.now, arrive)
 			return
 		}
 		if to.leaseUntil <= s.now {
@@ -303,7 +303,7 @@
 			if p.id.Incarnation != incarnation || l.every == 0 {
 				return
 			}
-			if p.paused <= p.s.now && l.waiting < 100 {
+			if p.pausedUntil <= p.s.now && l.waiting < 100 {
 				l.waiting++
 				p.allowances.AddWaiting(key, 1, 1)
 				p.sendLoad(key, l)
@@ -321,7 +321,7 @@
 	if p.down || l.stuck {
 		return
 	}
-	if p.paused <= s.now {
+	if p.pausedUntil <= s.now {
 		for l.waiting > 0 && l.pacedUntil <= s.now { // paced evenly, as in package sender
 			if ok, _ := p.allowances.Take([]Usage{{key, 1}}, p.clock()); !ok {
 				break
@@ -339,9 +339,9 @@
 	}
 	next := p.allowances.NextAvailable(key, p.clock())
 	if l.waiting == 0 || next == Never || l.retryAt > s.now {
-		return // until more messages come, or units are granted
+		return // until more messages arrive or units are granted
 	}
-	at := max(time.Millisecond, l.pacedUntil-s.now, time.Duration(float64(next-p.clock())/p.rate), p.paused-s.now)
+	at := max(time.Millisecond, l.pacedUntil-s.now, time.Duration(float64(next-p.clock())/p.rate), p.pausedUntil-s.now)
 	l.retryAt = s.now + at
 	s.at(at, func() {
 		if p.id.Incarnation == incarnation {
@@ -416,7 +416,7 @@
 				s.partitioned[[2]int{p.i, o.i}] = true
 				s.at(duration, func() { delete(s.partitioned, [2]int{p.i, o.i}) })
 			case 2, 3:
-				p.paused = max(p.paused, s.now+duration)
+				p.pausedUntil = max(p.pausedUntil, s.now+duration)
 			case 4:
 				p.down = true
 				s.at(duration, func() { restart(p) })
@@ -425,7 +425,7 @@
 				s.loss = 0.3
 				s.at(duration, func() { s.loss = 0 })
 			case 6: // a paused sender is removed from the membership and added again
-				p.paused = max(p.paused, s.now+duration)
+				p.pausedUntil = max(p.pausedUntil, s.now+duration)
 				s.at(duration/2, s.activate)
 				s.at(duration+200*time.Millisecond, s.activate)
 			case 7:
