--- a/internal/replicatedlog/cluster_sim_test.go
+++ b/internal/replicatedlog/cluster_sim_test.go
@@ -18,27 +18,27 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// sim is a fleet in virtual time: voters and replicas as they ship, with a network that delays, loses and cuts, disks that take a
-// while, and clocks that run wrong. One seed gives one run.
+// sim is a fleet in virtual time: the production voters and replicas, with a network that delays, loses and blocks messages, disks with
+// latency, and clocks that drift. A seed always gives the same run.
 type sim struct {
 	t           testing.TB
 	rng         *rand.Rand
 	now         time.Duration
 	queue       eventQueue
-	order       int
+	nextOrder   int
 	voters      []*simVoter
 	replicas    []*simReplica
 	terms       lease.Terms
 	loss        float64
-	partitioned map[[2]int]bool // by from and to: voters first, then replicas
-	newestActed uint64          // newest version that anybody could act under
+	partitioned map[[2]int]bool // directions that are cut, by the indexes of sender and receiver: voters first, then replicas
+	newestActed uint64          // newest version that any replica was allowed to act under
 	bytes       int             // to and from replicas
 	messages    int
 }
 
 type simVoter struct {
 	voter          *Voter
-	disk           *StoredLog // its disk
+	disk           *StoredLog
 	up             bool
 	incarnation    int
 	feed           []*pb.Entry
@@ -46,9 +46,9 @@
 	alarm          time.Duration
 	rate           float64
 	pending        map[uint64]func(Reply)
-	last           uint64
+	lastReplyTo    uint64
 	writes         int
-	crashesAtWrite int // with its save of this number, before that reaches the disk if torn
+	crashesAtWrite int // at its write of this number; before the write reaches the disk if torn
 	torn           bool
 }
 
@@ -59,10 +59,10 @@
 	follows     int
 	view        *fleetpolicy.View
 	leaseUntil  time.Duration // on its own clock
-	sentIndex   uint64        // that its voter has sent it
+	sentIndex   uint64        // up to which its voter has sent the log
 	alarm       time.Duration
 	rate        float64
-	finished    map[uint64]uint64 // change to version
+	finished    map[uint64]uint64 // version by finished change
 }
 
 type simEvent struct {
@@ -109,7 +109,7 @@
 
 func voterName(i int) string { return fmt.Sprintf("v%d", i) }
 
-func newSim(t testing.TB, seed uint64, voters, copies int) *sim {
+func newSim(t testing.TB, seed uint64, voters, replicas int) *sim {
 	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 1)), terms: lease.Terms{Duration: 3 * time.Second, MaxDrift: lease.DefaultDrift}, partitioned: map[[2]int]bool{}}
 	conf := &raftpb.ConfState{}
 	for i := range voters {
@@ -119,7 +119,7 @@
 		s.voters = append(s.voters, &simVoter{disk: &StoredLog{HardState: &raftpb.HardState{}, ConfState: conf}, rate: 1 + 0.01*float64(i%3-1)})
 		s.startVoter(i, map[string]PeerState{"all": {}})
 	}
-	for i := range copies {
+	for i := range replicas {
 		s.replicas = append(s.replicas, &simReplica{rate: 1 + 0.01*float64(i%3-1), finished: map[uint64]uint64{}})
 		s.startReplica(i)
 	}
@@ -127,11 +127,11 @@
 }
 
 func (s *sim) after(d time.Duration, do func()) {
-	s.order++
-	heap.Push(&s.queue, simEvent{s.now + d, s.order, do})
+	s.nextOrder++
+	heap.Push(&s.queue, simEvent{s.now + d, s.nextOrder, do})
 }
 
-// send has something happen at another place after a delay, unless the way is cut or it is lost.
+// send delivers a message to another node after a delay, unless the direction is cut or the message is lost.
 func (s *sim) send(from, to int, do func()) {
 	if s.partitioned[[2]int{from, to}] || s.rng.Float64() < s.loss {
 		return
@@ -139,11 +139,11 @@
 	s.after(time.Millisecond+time.Duration(s.rng.Int64N(int64(4*time.Millisecond))), do)
 }
 
-// startVoter starts a voter from its disk; heard are its peers' answers to the handshake.
-func (s *sim) startVoter(i int, heard map[string]PeerState) {
+// startVoter starts a voter from its disk; peers are its peers' answers to the handshake.
+func (s *sim) startVoter(i int, peers map[string]PeerState) {
 	v := s.voters[i]
 	saved := *v.disk
-	core, _, err := NewVoter(VoterConfig{Name: voterName(i), Stored: &saved, Peers: heard, Terms: s.terms, Policy: fleetpolicy.NewMachine(), Logger: discardLogger{}})
+	core, _, err := NewVoter(VoterConfig{Name: voterName(i), Stored: &saved, Peers: peers, Terms: s.terms, Policy: fleetpolicy.NewMachine(), Logger: discardLogger{}})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -152,9 +152,9 @@
 	s.stepVoter(i)
 }
 
-// handshake gathers the others' answers, of those that run.
+// handshake returns the answers of the other voters to the handshake; nil if one of them is down.
 func (s *sim) handshake(i int) map[string]PeerState {
-	heard := map[string]PeerState{}
+	answers := map[string]PeerState{}
 	for j, v := range s.voters {
 		if j == i {
 			continue
@@ -167,9 +167,9 @@
 		if v.voter.isLeader() {
 			h.MatchIndex = v.voter.node.Status().Progress[VoterID(voterName(i))].Match
 		}
-		heard[voterName(j)] = h
+		answers[voterName(j)] = h
 	}
-	return heard
+	return answers
 }
 
 func (s *sim) stepVoter(i int, events ...VoterEvent) {
@@ -177,7 +177,7 @@
 	if !v.up {
 		return
 	}
-	life := v.incarnation
+	incarnation := v.incarnation
 	clock := time.Duration(float64(s.now) * v.rate)
 	actions, alarm := v.voter.Step(clock+time.Hour*time.Duration(i), events)
 	disk := time.Duration(0)
@@ -199,9 +199,9 @@
 			to := slices.IndexFunc(s.voters, func(o *simVoter) bool { return o.voter.id == a.Message.GetTo() })
 			if to >= 0 {
 				m := proto.Clone(a.Message).(*raftpb.Message)
-				toLife := s.voters[to].incarnation
+				toIncarnation := s.voters[to].incarnation
 				s.send(i, to, func() {
-					if v.incarnation == life && s.voters[to].incarnation == toLife {
+					if v.incarnation == incarnation && s.voters[to].incarnation == toIncarnation {
 						s.stepVoter(to, MessageReceived{m})
 					}
 				})
@@ -213,7 +213,7 @@
 			}
 		case Committed:
 			if a.Snapshot != nil {
-				v.feed = nil // none is taken in runs this short
+				v.feed = nil // runs are too short for a voter to take a snapshot
 			}
 			v.feed = append(v.feed, a.Entries...)
 			s.after(disk, func() { s.sendLog(i) })
@@ -224,7 +224,7 @@
 	if at := max(s.now+time.Microsecond, time.Duration(float64(alarm-time.Hour*time.Duration(i))/v.rate)); at != v.alarm {
 		v.alarm = at
 		s.after(at-s.now, func() {
-			if v.incarnation == life && v.alarm == at {
+			if v.incarnation == incarnation && v.alarm == at {
 				s.stepVoter(i)
 			}
 		})
@@ -254,9 +254,9 @@
 			p := &pb.LogChunk{Entries: s.voters[i].feed[c.sentIndex:n], CommitIndex: n}
 			c.sentIndex = n
 			s.count(p)
-			life := c.incarnation
+			incarnation := c.incarnation
 			s.send(i, len(s.voters)+j, func() {
-				if c.incarnation == life {
+				if c.incarnation == incarnation {
 					s.stepReplica(j, LogReceived{p})
 				}
 			})
@@ -276,13 +276,14 @@
 	c.replica = NewReplica(fmt.Sprintf("s%d", j), uint64(c.incarnation), fleetpolicy.Settings{}, s.terms)
 	c.follows = j % len(s.voters)
 	s.stepReplica(j)
-	s.followAgain(j, c.incarnation)
+	s.resumeFollowing(j, c.incarnation)
 }
 
-// followAgain is the follower that notices silence: it asks again from where it stands.
-func (s *sim) followAgain(j, life int) {
+// resumeFollowing resumes the log's stream from the replica's index each second. It turns to the next voter if the current one does not
+// deliver.
+func (s *sim) resumeFollowing(j, incarnation int) {
 	c := s.replicas[j]
-	if c.incarnation != life {
+	if c.incarnation != incarnation {
 		return
 	}
 	if c.replica.State().Index() < c.sentIndex || !s.voters[c.follows].up || s.partitioned[[2]int{c.follows, len(s.voters) + j}] {
@@ -290,7 +291,7 @@
 	}
 	c.sentIndex = min(c.replica.State().Index(), uint64(len(s.voters[c.follows].feed)))
 	s.sendLog(c.follows)
-	s.after(time.Second, func() { s.followAgain(j, life) })
+	s.after(time.Second, func() { s.resumeFollowing(j, incarnation) })
 }
 
 func (s *sim) stepReplica(j int, events ...ReplicaEvent) {
@@ -298,13 +299,13 @@
 	if !c.up {
 		return
 	}
-	life, place := c.incarnation, len(s.voters)+j
-	ahead := time.Duration(j) * time.Minute
-	clock := time.Duration(float64(s.now)*c.rate) + ahead
+	incarnation, node := c.incarnation, len(s.voters)+j
+	clockOffset := time.Duration(j) * time.Minute
+	clock := time.Duration(float64(s.now)*c.rate) + clockOffset
 	actions, alarm := c.replica.Step(clock, events)
-	back := func(d time.Duration, e ReplicaEvent) {
+	deliver := func(d time.Duration, e ReplicaEvent) {
 		s.after(d, func() {
-			if c.incarnation == life {
+			if c.incarnation == incarnation {
 				s.stepReplica(j, e)
 			}
 		})
@@ -312,23 +313,23 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case StageChange:
-			back(2*time.Millisecond, ChangeStaged{ChangeID: a.ChangeID})
+			deliver(2*time.Millisecond, ChangeStaged{ChangeID: a.ChangeID})
 		case PublishView:
 			c.view, c.leaseUntil = a.View, a.LeaseUntil
 			if a.Drain {
-				back(time.Millisecond, Drained{a.View.Index})
+				deliver(time.Millisecond, Drained{a.View.Index})
 			}
 		case SendLeaseRequest:
 			s.count(a.Request)
-			s.requestLease(place, c.follows, a.Request, true, func(reply Reply) {
+			s.requestLease(node, c.follows, a.Request, true, func(reply Reply) {
 				if r, ok := reply.Message.(*pb.LeaseReply); ok {
 					s.count(r)
-					back(0, LeaseGranted{a.RequestedAt, r.RequiredIndex, time.Duration(r.DurationUs) * time.Microsecond})
+					deliver(0, LeaseGranted{a.RequestedAt, r.RequiredIndex, time.Duration(r.DurationUs) * time.Microsecond})
 				}
 			})
 		case SubmitJoin:
 			body, _ := proto.Marshal(a.Command)
-			s.submit(place, c.follows, &pb.Command{Kind: KindJoin, Session: uint64(j+1)<<32 | uint64(c.incarnation), Sequence: 1, Body: body}, func(Reply) {})
+			s.submit(node, c.follows, &pb.Command{Kind: KindJoin, Session: uint64(j+1)<<32 | uint64(c.incarnation), Sequence: 1, Body: body}, func(Reply) {})
 		case LeaseExpired:
 		}
 	}
@@ -336,34 +337,34 @@
 		c.finished[p.Id] = p.Version
 	}
 	s.checkVersions()
-	if at := max(s.now+time.Microsecond, time.Duration(float64(alarm-ahead)/c.rate)); at != c.alarm {
+	if at := max(s.now+time.Microsecond, time.Duration(float64(alarm-clockOffset)/c.rate)); at != c.alarm {
 		c.alarm = at
 		s.after(at-s.now, func() {
-			if c.incarnation == life && c.alarm == at {
+			if c.incarnation == incarnation && c.alarm == at {
 				s.stepReplica(j)
 			}
 		})
 	}
 }
 
-// requestLease puts a question to a voter, which passes it on to the one that leads.
-func (s *sim) requestLease(from, at int, r *pb.LeaseRequest, on bool, answer func(Reply)) {
-	s.callVoter(from, at, on, func(to uint64) VoterEvent { return LeaseRequested{to, r} }, answer)
+// requestLease sends a lease request to a voter, which forwards it to the leader.
+func (s *sim) requestLease(from, at int, r *pb.LeaseRequest, forward bool, answer func(Reply)) {
+	s.callVoter(from, at, forward, func(to uint64) VoterEvent { return LeaseRequested{to, r} }, answer)
 }
 
 func (s *sim) submit(from, at int, c *pb.Command, answer func(Reply)) {
 	s.callVoter(from, at, true, func(to uint64) VoterEvent { return CommandSubmitted{to, c} }, answer)
 }
 
-func (s *sim) callVoter(from, at int, on bool, event func(uint64) VoterEvent, answer func(Reply)) {
+func (s *sim) callVoter(from, at int, forward bool, event func(uint64) VoterEvent, answer func(Reply)) {
 	s.send(from, at, func() {
 		v := s.voters[at]
 		if !v.up {
 			return
 		}
-		v.last++
-		v.pending[v.last] = func(reply Reply) {
-			if on && errors.Is(reply.Err, ErrNotLeader) {
+		v.lastReplyTo++
+		v.pending[v.lastReplyTo] = func(reply Reply) {
+			if forward && errors.Is(reply.Err, ErrNotLeader) {
 				lead := slices.IndexFunc(s.voters, func(o *simVoter) bool { return o.voter.id == v.leader })
 				if lead >= 0 && lead != at {
 					s.callVoter(at, lead, false, event, func(reply Reply) { s.send(at, from, func() { answer(reply) }) })
@@ -372,11 +373,12 @@
 			}
 			s.send(at, from, func() { answer(reply) })
 		}
-		s.stepVoter(at, event(v.last))
+		s.stepVoter(at, event(v.lastReplyTo))
 	})
 }
 
-// checkVersions checks the safety property: nobody may begin the call that all changes affect under a version that another could have acted past.
+// checkVersions checks the safety property: once a replica was allowed to begin the call that all changes affect under a version, no
+// replica may begin that call under an older version.
 func (s *sim) checkVersions() {
 	newest := s.newestActed
 	may := func(j int, c *simReplica) (uint64, bool) {
@@ -396,7 +398,7 @@
 	}
 	for j, c := range s.replicas {
 		if v, ok := may(j, c); ok && v < newest {
-			s.t.Fatalf("at %v s%d may act under version %d, and %d is acted under", s.now, j, v, newest)
+			s.t.Fatalf("at %v s%d may act under version %d after another could under version %d", s.now, j, v, newest)
 		}
 	}
 	s.newestActed = newest
@@ -424,7 +426,7 @@
 	return n
 }
 
-// propose proposes a change at a replica's voter; its number is set when the log has it.
+// propose proposes a change at a replica's voter; number is set to the change's id once the log has applied it.
 func (s *sim) propose(at int, base uint64, number *uint64) {
 	doc := "[[route]]\ndestinations = [7]\nstate = \"closed\"\n"
 	if base%2 == 1 {
@@ -440,10 +442,10 @@
 
 // restartVoter starts a voter from its disk once all its peers answer the handshake.
 func (s *sim) restartVoter(i int) {
-	heard := s.handshake(i)
-	if heard == nil {
+	answers := s.handshake(i)
+	if answers == nil {
 		s.after(100*time.Millisecond, func() { s.restartVoter(i) })
 		return
 	}
-	s.startVoter(i, heard)
+	s.startVoter(i, answers)
 }
--- a/internal/replicatedlog/errors.go
+++ b/internal/replicatedlog/errors.go
@@ -6,18 +6,18 @@
 )
 
 var (
-	// ErrUnknownCommand reports that the log has a command of a kind that this program does not know. It must not go on as if that were not
-	// there.
-	ErrUnknownCommand = errors.New("the fleet's log has a command that this program does not know: it needs a newer one")
+	// ErrUnknownCommand reports that the log has a command of a kind that this program does not support. The program must stop applying
+	// the log; it must not skip the command.
+	ErrUnknownCommand = errors.New("the fleet's log has a command that this program does not support; a newer program is needed")
 	// ErrNotLeader reports that another voter leads, or none does.
 	ErrNotLeader = errors.New("another voter leads, or none does")
-	// ErrTooManyReads reports that the leader has as many lease requests to confirm as it takes.
+	// ErrTooManyReads reports that too many lease requests already wait for the leader to be confirmed.
 	ErrTooManyReads = errors.New("too many questions wait")
 )
 
 // DecodeError reports that bytes of the log, of a snapshot or of a request can't be decoded.
 type DecodeError struct {
-	What string // of what kind they should be
+	What string // what the bytes should encode
 	Err  error
 }
 
@@ -38,15 +38,15 @@
 	return fmt.Sprintf("entry %d can't follow entry %d", e.Index, e.Applied)
 }
 
-// SnapshotFormatError reports that a snapshot was written in another format than this program reads.
+// SnapshotFormatError reports that a snapshot has a format other than the one that this program reads.
 type SnapshotFormatError struct{ Got, Want uint32 }
 
 // Error is the text that users and logs see.
 func (e *SnapshotFormatError) Error() string {
-	return fmt.Sprintf("the snapshot is of format %d; this program reads %d", e.Got, e.Want)
+	return fmt.Sprintf("the snapshot has format %d; this program reads only format %d", e.Got, e.Want)
 }
 
-// RemovedMemberError reports that a sender asks for a lease which an operator has removed for good.
+// RemovedMemberError reports a lease request from a sender that an operator has removed for good.
 type RemovedMemberError struct{ Name string }
 
 // Error is the text that users and logs see.
@@ -54,7 +54,7 @@
 	return fmt.Sprintf("%s was declared gone for good", e.Name)
 }
 
-// CommandTooLargeError reports that a command is larger than the log takes.
+// CommandTooLargeError reports that an encoded command is larger than maxCommandBytes.
 type CommandTooLargeError struct{ Bytes int }
 
 // Error is the text that users and logs see.
--- a/internal/replicatedlog/events.go
+++ b/internal/replicatedlog/events.go
@@ -27,20 +27,20 @@
 		ReplyTo uint64
 		Request *pb.LeaseRequest
 	}
-	// HandshakeRequested is the question of another voter that starts.
+	// HandshakeRequested is the handshake call of another voter that starts.
 	HandshakeRequested struct {
 		ReplyTo uint64
 		VoterID uint64
 	}
-	// VoterChangeRequested changes who keeps the log, by a joint configuration change: voters that are added catch up before
+	// VoterChangeRequested changes the set of voters, by a joint configuration change: voters that are added catch up before
 	// they count.
 	VoterChangeRequested struct {
 		ReplyTo uint64
 		Command *pb.Command // of KindVoters
 	}
-	// PeerUnreachable reports that messages to another voter are lost.
+	// PeerUnreachable reports that messages to another voter are not delivered.
 	PeerUnreachable struct{ VoterID uint64 }
-	// LeadershipTransferRequested has another voter lead, before a planned stop.
+	// LeadershipTransferRequested hands leadership over to another voter, before a planned stop.
 	LeadershipTransferRequested struct{}
 )
 
@@ -52,18 +52,18 @@
 func (PeerUnreachable) voterEvent()             {}
 func (LeadershipTransferRequested) voterEvent() {}
 
-// VoterAction is what a Voter wants done, in the order given.
+// VoterAction is what the caller of Voter.Step has to carry out, in the order given.
 //
 //sumtype:decl
 type VoterAction interface{ voterAction() }
 
 type (
-	// Persist goes to the disk in one transaction, and is there before any action behind it begins. Nil and zero fields leave what
-	// is stored.
+	// Persist must be written to the disk in one transaction, and be there before any action behind it begins. Nil and zero fields
+	// leave the stored values unchanged.
 	Persist struct {
 		HardState  *raftpb.HardState
 		ConfState  *raftpb.ConfState
-		Entries    []*raftpb.Entry // they replace all that is stored from the first one's index on
+		Entries    []*raftpb.Entry // they replace all stored entries from the first one's index on
 		Snapshot   *raftpb.Snapshot
 		CompactTo  uint64 // entries up to this index are deleted
 		ReplaceLog bool   // the snapshot came from another voter: all entries are deleted
@@ -76,12 +76,12 @@
 		Message proto.Message // *pb.SubmitReply, *pb.LeaseReply or *pb.HelloReply; nil if Err is set
 		Err     error         // ErrNotLeader and others of this package
 	}
-	// Committed is what the log has committed, for those that follow it.
+	// Committed is a newly committed part of the log, for the replicas that follow it.
 	Committed struct {
 		Entries  []*pb.Entry
 		Snapshot []byte // a pb.Snapshot that replaces all before it; nil: none
 	}
-	// Status is how the voter stands, after each step.
+	// Status is the voter's status after each step.
 	Status struct {
 		Leader       uint64 // voter id; 0: none is known
 		IsLeader     bool
--- a/internal/replicatedlog/handshake.go
+++ b/internal/replicatedlog/handshake.go
@@ -7,33 +7,34 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// A voter that starts does not know whether its folder is the newest: it may be a backup or a machine's snapshot, and then the voter
-// has forgotten votes that it gave and entries that it acknowledged. Raft assumes that it never does: a second leader of one term, or
-// the loss of committed entries, would be possible. The folder can't tell; the peers can. So before it takes part it asks every other
-// voter of its log (the Hello call), and starts from what they answer:
+// A voter that starts can't tell from its folder whether the folder is the newest: it may be a backup or a machine's snapshot, and then
+// the voter has forgotten votes that it gave and entries that it acknowledged. Raft assumes that this never happens: otherwise a second
+// leader in one term, or the loss of committed entries, would be possible. The other voters have the missing information. So before a
+// voter takes part it calls every other voter of its log (the Hello call), and starts from their answers:
 //
-//   - They drop messages of its earlier incarnations that are still under way: no old vote or acknowledgement counts any more.
-//   - Its term becomes the highest that it hears of, and its vote in that term counts as given: no vote is given twice.
-//   - A minimum log position: it votes for nobody whose log ends before the furthest end that it heard of, nor is a candidate
-//     itself, until its own log has come there. An entry that it acknowledged and forgot is held by one of its peers if it was
-//     committed, so no leader without that entry gets this vote.
-//   - If a leader knows it to hold more than it does, its folder is surely stale: it goes one term further, so that this leader steps
-//     down and the next one learns anew what it holds. (The raft library takes a follower that lost entries for damage.)
+//   - The peers drop messages of its earlier incarnations that are still in flight: no old vote or acknowledgement counts any more.
+//   - Its term becomes the highest term in the answers, and its vote in that term counts as given: it can't vote twice in one term.
+//   - It gets a minimum log position, which is the furthest log end in the answers: it votes for no candidate whose log ends before
+//     that position, and is not a candidate itself until its own log has reached the position. If an entry that it acknowledged and
+//     forgot was committed, one of its peers has that entry, so no leader without the entry gets this vote.
+//   - If a leader has a match index for it beyond the end of its log, its folder is certainly stale. Then it increases the term by one,
+//     so that this leader steps down and the next one determines the match index anew. (The raft library treats a follower that lost
+//     entries as damaged.)
 //
-// All peers have to answer. While one can't, the voter waits outside, which costs one of the failures that the voters tolerate. An
-// operator who knows that the folder is the newest may vouch for it, once (saffronyard fleet vouch).
+// All peers have to answer. While one can't, the voter does not take part, which uses up one of the failures that the voters tolerate.
+// An operator who is certain that the folder is the newest may vouch for it, once (saffronyard fleet vouch).
 
 // StoredLog is what a voter has stored.
 type StoredLog struct {
 	HardState *raftpb.HardState
 	ConfState *raftpb.ConfState // the first voters, while there is no snapshot
 	Snapshot  *raftpb.Snapshot  // nil: none
-	Entries   []*raftpb.Entry   // those behind BaseIndex; the snapshot lies among them or at their begin
+	Entries   []*raftpb.Entry   // those after BaseIndex; the snapshot's index is BaseIndex or that of one of them
 	BaseIndex uint64            // of the last entry that was compacted
 	BaseTerm  uint64            // of that entry
 }
 
-// Position is where the stored log stands.
+// Position returns the stored term and vote, and the end of the stored log.
 func (s *StoredLog) Position() StoredPosition {
 	p := StoredPosition{Term: s.HardState.GetTerm(), Vote: s.HardState.GetVote(), LastIndex: s.BaseIndex, LastTerm: s.BaseTerm}
 	if n := len(s.Entries); n > 0 {
@@ -50,19 +51,19 @@
 // PeerState is a peer's answer to the handshake.
 type PeerState struct {
 	Term, LastTerm, LastIndex uint64 // of the peer's own log
-	MatchIndex                uint64 // up to which the peer, as leader, knows the caller to hold the log; 0 if it does not lead
+	MatchIndex                uint64 // raft's match index of the caller if the peer leads; 0 if it does not
 }
 
 // StartState is what a voter starts with.
 type StartState struct {
 	Term, Vote  uint64 // in place of the stored ones
-	MinLogTerm  uint64 // it votes for nobody whose log ends before this position
+	MinLogTerm  uint64 // it rejects candidates whose log ends before this position
 	MinLogIndex uint64
-	StaleReason string // why the folder is known to be older than what was acknowledged from it; "" if nothing shows that
+	StaleReason string // evidence that entries acknowledged from the folder are missing in it; "": there is none
 }
 
-// reconcile makes the start state of a voter from what it has stored and the answers of all its peers; without answers it has no peers, or
-// an operator vouched for the folder.
+// reconcile makes the start state of a voter from its stored position and the answers of all its peers. peers is empty if there are no
+// other voters, or if an operator vouched for the folder.
 func reconcile(id uint64, stored StoredPosition, peers map[string]PeerState) StartState {
 	s := StartState{Term: stored.Term, Vote: stored.Vote, MinLogTerm: stored.LastTerm, MinLogIndex: stored.LastIndex}
 	for name, p := range peers {
@@ -86,7 +87,8 @@
 	return s
 }
 
-// upToDate reports whether a log that ends there reaches the minimum position; logs are ordered by term first (thesis, 3.6.1).
+// upToDate reports whether a log that ends at the given term and index reaches the minimum position; logs are ordered by term first
+// (thesis, 3.6.1).
 func (s StartState) upToDate(lastTerm, lastIndex uint64) bool {
 	return lastTerm > s.MinLogTerm || lastTerm == s.MinLogTerm && lastIndex >= s.MinLogIndex
 }
--- a/internal/replicatedlog/leader.go
+++ b/internal/replicatedlog/leader.go
@@ -13,10 +13,10 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// addressSlack is how many addresses beyond twice the leases are kept before those of expired leases are dropped.
+// addressSlack is how many addresses, beyond twice the number of leases, are kept before those of expired leases are dropped.
 const addressSlack = 16
 
-// stepLeader does what falls to a leader: it moves the open change and the membership on, and shows the leases.
+// stepLeader does the periodic work of a leader: it advances the open change and the membership, and reports the leases in the status.
 func (v *Voter) stepLeader(now time.Duration) {
 	if !v.isLeader() || v.granter == nil {
 		v.status.WaitingOn, v.status.Leases = nil, nil
@@ -25,7 +25,7 @@
 	if cmd, waitingOn := v.policyCoordinator.Step(now, v.policy.State(), v.granter); cmd != nil {
 		v.proposeOwn(KindPolicy, cmd)
 		v.processReady(now)
-		if v.granter == nil { // the step has ended the lead
+		if v.granter == nil { // this voter lost the leadership meanwhile
 			v.status.WaitingOn, v.status.Leases = nil, nil
 			return
 		}
@@ -36,7 +36,7 @@
 	v.stepMembership(now)
 }
 
-// proposeOwn proposes a command of the leader's own. One that raft drops is proposed again by its coordinator.
+// proposeOwn proposes a command of the leader itself. If raft drops it, its coordinator proposes it again.
 func (v *Voter) proposeOwn(kind uint32, p proto.Message) {
 	body, err := proto.Marshal(p)
 	mustSucceed(err)
@@ -45,7 +45,7 @@
 	_ = v.node.Propose(raw)
 }
 
-// stepMembership proposes memberships as leases come and expire.
+// stepMembership proposes new memberships as leases are granted and expire.
 func (v *Voter) stepMembership(now time.Duration) {
 	var candidates []coordinator.Participant
 	for _, l := range v.status.Leases {
@@ -65,7 +65,7 @@
 	}
 }
 
-// transferLeadership has the voter lead that holds most of the log.
+// transferLeadership hands leadership over to the active voter with the highest match index.
 func (v *Voter) transferLeadership() {
 	if !v.isLeader() {
 		return
@@ -81,7 +81,8 @@
 	}
 }
 
-// leadershipChanged starts a leader's state anew in each term, and answers all that waits when it leads no more.
+// leadershipChanged creates new leader state in each term that this voter leads. When it stops leading, it fails all pending requests
+// with ErrNotLeader.
 func (v *Voter) leadershipChanged(now time.Duration) {
 	term := v.node.BasicStatus().HardState.GetTerm()
 	if v.isLeader() {
@@ -98,15 +99,15 @@
 		}
 	}
 	clear(v.pendingReads)
-	// Whether the log has these commands is not known: their clients submit them again, and they count once.
+	// It is unknown whether these commands will be committed: their clients submit them again, and each is applied only once.
 	for _, to := range v.pendingCommands {
 		v.replyError(to, ErrNotLeader)
 	}
 	clear(v.pendingCommands)
 }
 
-// handleLeaseRequest takes in what a sender says with its request, and keeps the request until a linearizable read (thesis, 6.4) shows
-// that this voter led after it came.
+// handleLeaseRequest records what a sender reports with its request, and keeps the request pending until a linearizable read
+// (thesis, 6.4) confirms that this voter led after the request arrived.
 func (v *Voter) handleLeaseRequest(e LeaseRequested) {
 	if !v.isLeader() || v.granter == nil {
 		v.replyError(e.ReplyTo, ErrNotLeader)
@@ -131,7 +132,8 @@
 	v.pendingReads[v.lastRead+1] = append(v.pendingReads[v.lastRead+1], e)
 }
 
-// answerReads grants leases for requests that a read has confirmed; each must come to the read's index first.
+// answerReads answers the lease requests that a read has confirmed. A lease counts only once its holder has applied the log to the
+// read's index.
 func (v *Voter) answerReads(now time.Duration, read, index uint64) {
 	for _, r := range v.pendingReads[read] {
 		if v.granter == nil {
@@ -149,7 +151,7 @@
 	delete(v.pendingReads, read)
 }
 
-// waitingOn is the first few senders that the open change waits for.
+// waitingOn returns up to maxWaitingReported senders that the open change waits for.
 func (v *Voter) waitingOn() (all []*pb.PendingSender) {
 	for _, w := range v.status.WaitingOn[:min(len(v.status.WaitingOn), maxWaitingReported)] {
 		all = append(all, &pb.PendingSender{Name: w.Name, Reason: w.Reason, RemainingUs: w.Remaining.Microseconds()})
--- a/internal/replicatedlog/members.go
+++ b/internal/replicatedlog/members.go
@@ -11,7 +11,7 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// join adds a member, or records which commands its program knows by now.
+// join adds a member, or updates the highest kind of command that a member's program supports.
 func (s *State) join(index uint64, body []byte) (rejection string, err error) {
 	j := &pb.Join{}
 	if err := proto.Unmarshal(body, j); err != nil {
@@ -33,7 +33,7 @@
 	return "", nil
 }
 
-// leave removes a member for good. It stays known, so that its name is not used again.
+// leave removes a member for good. The removed member stays recorded, so that its name can't be used again.
 func (s *State) leave(body []byte) (rejection string, err error) {
 	l := &pb.Leave{}
 	if err := proto.Unmarshal(body, l); err != nil {
@@ -47,7 +47,7 @@
 	return "", nil
 }
 
-// changeVoters records a change of voters. It was checked before it was proposed, and raft has applied it by now.
+// changeVoters records a change of voters, which was checked before it was proposed and which raft has already applied.
 func (s *State) changeVoters(body []byte) error {
 	v := &pb.VoterChange{}
 	if err := proto.Unmarshal(body, v); err != nil {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// Members are all members, removed ones included, by name.
+// Members are all members, removed ones included, sorted by name.
 func (s *State) Members() []*pb.Member {
 	return slices.SortedFunc(maps.Values(s.members), func(a, b *pb.Member) int { return cmp.Compare(a.Name, b.Name) })
 }
@@ -79,7 +79,7 @@
 	}
 	before := 0
 	for _, o := range s.members {
-		// Members of programs that did not record their join's index have 0: they are ordered by name.
+		// JoinIndex is 0 for members that joined under a program that did not record it: they are ordered by name.
 		if o.JoinIndex < m.JoinIndex || o.JoinIndex == m.JoinIndex && o.Name < m.Name {
 			before++
 		}
@@ -87,7 +87,8 @@
 	return before
 }
 
-// CheckKind says which member's program does not know a kind of command, so that none may be proposed yet; "" if all know it.
+// CheckKind returns why commands of a kind may not be proposed yet, which names a member whose program does not support the kind;
+// "" if the programs of all members support it.
 func (s *State) CheckKind(kind uint32) string {
 	for _, m := range s.Members() {
 		if !m.Removed && m.MaxCommandKind < kind {
@@ -97,7 +98,7 @@
 	return ""
 }
 
-// Voters are those that were added to the first ones, and all that were removed, by name.
+// Voters are the voters that were added after the first ones, and all that were removed, sorted by name.
 func (s *State) Voters() []*pb.Voter {
 	return slices.SortedFunc(maps.Values(s.voters), func(a, b *pb.Voter) int { return cmp.Compare(a.Name, b.Name) })
 }
--- a/internal/replicatedlog/ready.go
+++ b/internal/replicatedlog/ready.go
@@ -11,7 +11,7 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// processReady takes from raft what it has for the disk, for peers and for the state, until it has no more.
+// processReady processes raft's Ready values, which hold what is to be stored, sent and applied, until there are no more.
 func (v *Voter) processReady(now time.Duration) {
 	for {
 		if len(v.pendingReads[v.lastRead+1]) > 0 && v.isLeader() {
@@ -50,19 +50,19 @@
 		mustSucceed(v.storage.SetHardState(rd.HardState))
 		v.hardState = rd.HardState
 	}
-	if rd.MustSync { // a commit index alone binds nobody: it is stored along with the next vote, term or entry
+	if rd.MustSync { // a commit index alone need not be durable: it is stored along with the next vote, term or entry
 		v.emit(Persist{HardState: v.hardState, Entries: rd.Entries})
 	}
 }
 
-// mustSucceed ends the voter or replica with a panic: its log can't be followed.
+// mustSucceed panics on an error, which ends the voter or replica: its log can't be applied.
 func mustSucceed(err error) {
 	if err != nil {
 		panic(fmt.Sprintf("the fleet's log: %v", err))
 	}
 }
 
-// restore replaces the state by a leader's snapshot.
+// restore replaces the state with a leader's snapshot.
 func (v *Voter) restore(s *raftpb.Snapshot) {
 	mustSucceed(v.state.Restore(s.Data))
 	v.confState = s.GetMetadata().GetConfState()
@@ -98,7 +98,7 @@
 	return &pb.SubmitReply{Index: o.Index, Result: o.Result, Rejection: o.Rejection}
 }
 
-// compact takes a snapshot once there are enough entries since the last, and drops those before the ones that are retained.
+// compact takes a snapshot once enough entries were applied since the last one, and drops the entries before the retained ones.
 func (v *Voter) compact() {
 	applied := v.state.Index()
 	if applied < v.compactedTo+snapshotInterval+retainedEntries {
@@ -115,7 +115,7 @@
 
 func encodeReadID(id uint64) []byte { return binary.LittleEndian.AppendUint64(nil, id) }
 
-// decodeReadID takes contexts of any length, as they come with messages of peers.
+// decodeReadID accepts contexts of any length, because they arrive in messages from peers.
 func decodeReadID(b []byte) uint64 {
 	var id [8]byte
 	copy(id[:], b)
--- a/internal/replicatedlog/reconfiguration.go
+++ b/internal/replicatedlog/reconfiguration.go
@@ -9,14 +9,14 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// changeVoters begins a joint change of voters (thesis, 4.3). The command goes along as the change's context, so that the state
-// learns the voters' names and addresses.
+// changeVoters begins a joint change of voters (thesis, 4.3). The command is attached as the change's context, so that the state gets
+// the voters' names and addresses.
 func (v *Voter) changeVoters(e VoterChangeRequested) {
 	if !v.isLeader() {
 		v.replyError(e.ReplyTo, ErrNotLeader)
 		return
 	}
-	if outcome, ok := v.state.Outcome(e.Command.Session, e.Command.Sequence); ok { // its answer was lost
+	if outcome, ok := v.state.Outcome(e.Command.Session, e.Command.Sequence); ok { // applied already: the reply to it was lost
 		v.reply(e.ReplyTo, submitReply(outcome))
 		return
 	}
@@ -41,7 +41,7 @@
 	v.pendingCommands[commandID{e.Command.Session, e.Command.Sequence}] = e.ReplyTo
 }
 
-// confChange is raft's form of a change of voters, or why it can't be made.
+// confChange converts a change of voters to raft's form, or returns why the change is rejected.
 func (v *Voter) confChange(change *pb.VoterChange) (cc *raftpb.ConfChangeV2, rejection string) {
 	voters := v.node.Status().Config.Voters.IDs()
 	cc = &raftpb.ConfChangeV2{Transition: raftpb.ConfChangeTransitionAuto.Enum()}
--- a/internal/replicatedlog/replica.go
+++ b/internal/replicatedlog/replica.go
@@ -13,12 +13,12 @@
 // never marks that something has not been done yet.
 const never time.Duration = -1
 
-// Replica is a sender's own replica of the state, and what the sender may do by it. Each sender has one, voters too. See the package's
-// comment for its contract.
+// Replica is a sender's own replica of the state, and decides what the sender may do under it. Each sender has one, voters too. See the
+// package comment for its contract.
 type Replica struct {
 	name        string
 	incarnation uint64
-	address     string // where other senders reach this one; "": it is no participant
+	address     string // at which other senders reach this one; "": it is no candidate for memberships
 	settings    fleetpolicy.Settings
 	terms       lease.Terms
 
@@ -27,18 +27,18 @@
 	membership *coordinator.Machine
 
 	health           *health.Machine
-	healthSeenAt     map[uint64]time.Duration // when a status was first seen, by the entry that set or renewed it
+	healthSeenAt     map[uint64]time.Duration // when a status was first seen, by the index of the entry that set or renewed it
 	liveHealth       *pb.HealthState          // as published: statuses that have not expired here
 	liveHealthSource *pb.HealthState          // the state that it was made from
 	nextHealthExpiry time.Duration            // of liveHealth; 0: none expires
 
 	holder        *lease.Holder
 	view          *fleetpolicy.View // as published
-	shown         viewKey           // what that view shows
+	publishedKey  viewKey           // key of that view
 	leaseUntil    time.Duration     // as published
-	stopsActingAt time.Duration     // end of the lease and the policy's grace; 0: it was said, or there was none
-	actingIndex   uint64            // no call waits that was begun under an older state
-	drainingIndex uint64            // of the view that is not drained yet; 0: none
+	stopsActingAt time.Duration     // end of the lease and the policy's grace; 0: LeaseExpired was emitted, or there was no lease
+	actingIndex   uint64            // no call that was begun under an older state waits to be written
+	drainingIndex uint64            // of the published view that waits for its Drained event; 0: none
 
 	staging        uint64 // change that is being stored
 	staged         uint64 // change that is stored
@@ -46,16 +46,16 @@
 	rejection      string // why
 
 	requestedAt     time.Duration // of the last lease request; never: none yet
-	reported        leaseReport   // what that request told
+	reported        leaseReport   // what that request reported
 	joinSubmittedAt time.Duration // never: not yet
 
 	actions []ReplicaAction
 }
 
-// viewKey is what makes a view differ for some call.
+// viewKey is the part of the state that views depend on: views with equal keys are the same for each call.
 type viewKey struct{ version, openChange, freezeIndex uint64 }
 
-// NewReplica makes the replica of a process that has just begun: it holds no lease. incarnation is drawn at random by the process.
+// NewReplica makes the replica of a process that has just started: it holds no lease. The process draws its incarnation at random.
 func NewReplica(name string, incarnation uint64, settings fleetpolicy.Settings, terms lease.Terms) *Replica {
 	r := &Replica{name: name, incarnation: incarnation, settings: settings, terms: terms, policy: fleetpolicy.NewMachine(),
 		healthSeenAt: map[uint64]time.Duration{}, holder: lease.NewHolder(terms), requestedAt: never, joinSubmittedAt: never}
@@ -65,16 +65,17 @@
 	return r
 }
 
-// Participate makes this sender a candidate for memberships, reached at an address. It is called before the first step.
+// Participate makes this sender a candidate for memberships, reached at an address. It must be called before the first Step.
 func (r *Replica) Participate(address string) { r.address = address }
 
-// State is the replicated state as far as it is known here. It is read only, between steps.
+// State is the replicated state as far as this replica has applied the log. Callers may only read it, and only between steps.
 func (r *Replica) State() *State { return r.state }
 
-// Policy is the part of the state that says which calls are begun, and where they go. It is read only, between steps.
+// Policy is the part of the state that decides which calls may be begun, and where they go. Callers may only read it, and only between
+// steps.
 func (r *Replica) Policy() *fleetpolicy.Machine { return r.policy }
 
-// Step takes events in and returns what is to be done, and when it wants to be called at the latest.
+// Step handles events and returns the actions to carry out, and the latest time of the next call.
 func (r *Replica) Step(now time.Duration, events []ReplicaEvent) ([]ReplicaAction, time.Duration) {
 	for _, e := range events {
 		r.handle(now, e)
@@ -119,7 +120,7 @@
 	}
 }
 
-// applyChunk applies what is committed. An entry that can't be applied is a panic: the replica stops, and its lease expires.
+// applyChunk applies a part of the committed log. It panics on an entry that can't be applied: the replica stops, and its lease expires.
 func (r *Replica) applyChunk(p *pb.LogChunk) {
 	if len(p.Snapshot) > 0 && SnapshotIndex(p.Snapshot) > r.state.Index() {
 		mustSucceed(r.state.Restore(p.Snapshot))
@@ -129,14 +130,14 @@
 			continue
 		}
 		if e.Index > r.state.Index()+1 {
-			return // some are missing: they are sent again from where the replica stands
+			return // entries are missing: they are sent again from the replica's index on
 		}
 		_, err := r.state.Apply(e.Index, e.Term, e.Command)
 		mustSucceed(err)
 	}
 }
 
-// stageOpenChange checks the open change against this sender's settings and has it stored.
+// stageOpenChange checks the open change against this sender's settings and requests that it be stored.
 func (r *Replica) stageOpenChange() {
 	open := r.policy.State().GetOpenChange()
 	if open == nil || r.staged == open.Id || r.staging == open.Id || r.rejectedChange == open.Id {
@@ -166,14 +167,14 @@
 	r.rejectedChange, r.rejection = change, reason
 }
 
-// publish says what calls go by, if that or the lease is another than before. Where only the index moved on, the view is the same to each
-// call, and nothing has to drain.
+// publish emits the view that calls are checked against, if the view or the end of the lease has changed. If only the index has changed,
+// the new view is the same for each call, and no calls have to drain.
 func (r *Replica) publish(now time.Duration) {
 	p := PublishView{View: r.view}
 	open := r.policy.State().GetOpenChange()
 	key := viewKey{r.policy.State().GetVersion(), open.GetId(), open.GetFreezeIndex()}
 	switch {
-	case r.view == nil || key != r.shown:
+	case r.view == nil || key != r.publishedKey:
 		p.View = r.policy.View(r.state.Index(), r.settings)
 		p.Drain = r.view != nil
 	case r.view.Index != r.state.Index():
@@ -198,15 +199,15 @@
 	if p.Drain {
 		r.drainingIndex = p.View.Index
 	}
-	r.view, r.shown, r.leaseUntil = p.View, key, p.LeaseUntil
+	r.view, r.publishedKey, r.leaseUntil = p.View, key, p.LeaseUntil
 	if r.leaseUntil > now {
 		r.stopsActingAt = r.leaseUntil + p.View.Policy.PartitionGrace()
 	}
 	r.emit(p)
 }
 
-// unexpiredHealth is the health statuses that have not expired here: one that is not renewed is over, also for a sender that receives
-// nothing any more.
+// unexpiredHealth returns the health statuses that have not expired by this sender's clock: a status that is not renewed expires even at
+// a sender that no longer receives the log.
 func (r *Replica) unexpiredHealth(now time.Duration) *pb.HealthState {
 	all := r.health.State()
 	if all == r.liveHealthSource && (r.nextHealthExpiry == 0 || now < r.nextHealthExpiry) {
--- a/internal/replicatedlog/replica_events.go
+++ b/internal/replicatedlog/replica_events.go
@@ -17,13 +17,13 @@
 	LogReceived struct{ Chunk *pb.LogChunk }
 	// LeaseGranted is the answer to a request for a lease.
 	LeaseGranted struct {
-		RequestedAt   time.Duration // as SendLeaseRequest had it
+		RequestedAt   time.Duration // of the SendLeaseRequest
 		RequiredIndex uint64
 		Duration      time.Duration // 0: no lease
 	}
 	// LeaseRequestFailed reports that a request got no answer.
 	LeaseRequestFailed struct{ RequestedAt time.Duration }
-	// ChangeStaged reports that a proposed policy is on the disk, or why it can't be.
+	// ChangeStaged reports that a proposed policy is on the disk, or why it could not be stored.
 	ChangeStaged struct {
 		ChangeID uint64
 		Err      error
@@ -38,23 +38,23 @@
 func (ChangeStaged) replicaEvent()       {}
 func (Drained) replicaEvent()            {}
 
-// ReplicaAction is what a Replica wants done.
+// ReplicaAction is what the caller of Replica.Step has to carry out.
 //
 //sumtype:decl
 type ReplicaAction interface{ replicaAction() }
 
 type (
-	// StageChange stores a proposed policy on the disk. ChangeStaged says when it is there.
+	// StageChange stores a proposed policy on the disk. ChangeStaged reports the result.
 	StageChange struct {
 		ChangeID uint64
 		Document []byte
 	}
-	// SendLeaseRequest goes to the leader. LeaseGranted or LeaseRequestFailed is the answer.
+	// SendLeaseRequest sends a lease request to the leader. LeaseGranted or LeaseRequestFailed reports the result.
 	SendLeaseRequest struct {
 		RequestedAt time.Duration
 		Request     *pb.LeaseRequest
 	}
-	// PublishView is what calls go by from now on. If Drain is set, Drained is wanted.
+	// PublishView replaces the view and the lease that calls are checked against. If Drain is set, a Drained event must follow.
 	PublishView struct {
 		View       *fleetpolicy.View
 		LeaseUntil time.Duration // end of the lease; 0 or past: there is none
@@ -62,7 +62,7 @@
 	}
 	// LeaseExpired reports that no call may be begun any more.
 	LeaseExpired struct{}
-	// SubmitJoin proposes that this sender is a member, and which commands its program knows.
+	// SubmitJoin proposes to make this sender a member, with the highest kind of command that its program supports.
 	SubmitJoin struct{ Command *pb.Join }
 )
 
--- a/internal/replicatedlog/replica_lease.go
+++ b/internal/replicatedlog/replica_lease.go
@@ -6,24 +6,25 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// leaseReport is what a lease request tells that a change or a membership may wait for. When it differs, a request goes out at once.
+// leaseReport is the part of a lease request that a change or a membership may wait for. When it differs from the last request's, a
+// request is sent at once.
 type leaseReport struct {
-	freezePassed     uint64 // index of the open change's freeze once it is acted under; 1: a change is open; 0: none is
+	freezePassed     uint64 // the open change's freeze index once this sender acts at it; until then 1; 0: no change is open
 	staged           uint64 // change
 	rejected         uint64 // change
-	membershipPassed uint64 // index of the proposed membership once it is acted under; 0: none is proposed
+	membershipPassed uint64 // the proposed membership's fence index once this sender acts at it; until then, and without a proposal, 0
 }
 
-// renewInterval is how often a lease is requested: three times in its duration, so that two answers may be lost.
+// renewInterval is the time between lease requests: a third of the lease's duration, so that two replies may be lost.
 func (r *Replica) renewInterval() time.Duration { return r.terms.Duration / 3 }
 
-// retryLeaseRequest has the next request go out soon, an eighth of the interval from now at the latest.
+// retryLeaseRequest makes the next request due an eighth of the renewal interval from now at the latest.
 func (r *Replica) retryLeaseRequest(now time.Duration) {
 	r.requestedAt = min(r.requestedAt, now-r.renewInterval()+r.renewInterval()/8)
 }
 
-// requestLease requests a lease when it is time, or when there is something to tell that a change waits for. next is when it is time
-// again.
+// requestLease requests a lease when the renewal interval is over, or when the report that a change may wait for differs from the last
+// one. next is when the next renewal is due.
 func (r *Replica) requestLease(now time.Duration) (next time.Duration) {
 	report := r.leaseReport()
 	if due := r.requestedAt + r.renewInterval(); r.requestedAt >= 0 && report == r.reported && now < due {
@@ -55,7 +56,8 @@
 	return report
 }
 
-// submitJoin proposes that this sender is a member with what its program knows, until the state says so.
+// submitJoin proposes to make this sender a member with its program's highest kind of command. It repeats the proposal until the state
+// has such a member.
 func (r *Replica) submitJoin(now time.Duration) {
 	if m := r.state.Member(r.name); m != nil && (m.MaxCommandKind == MaxCommandKind || m.Removed) || r.state.Index() == 0 {
 		return
--- a/internal/replicatedlog/snapshot.go
+++ b/internal/replicatedlog/snapshot.go
@@ -13,7 +13,7 @@
 // snapshotFormat is the version of pb.Snapshot that this program writes and reads.
 const snapshotFormat = 1
 
-// Snapshot encodes the complete state as a pb.Snapshot, equal states equally.
+// Snapshot encodes the complete state as a pb.Snapshot; equal states have equal encodings.
 func (s *State) Snapshot() ([]byte, error) {
 	snap := &pb.Snapshot{Format: snapshotFormat, Index: s.index, Term: s.term, Sessions: s.sessions, Members: s.Members(), Voters: s.Voters()}
 	for _, kind := range slices.Sorted(maps.Keys(s.machines)) {
@@ -22,14 +22,14 @@
 			return nil, fmt.Errorf("snapshot: kind %d: %w", kind, err)
 		}
 		if len(raw) == 0 {
-			continue // untouched: a program that does not know the kind can take the snapshot
+			continue // no such command was applied: a program that does not support the kind can restore the snapshot
 		}
 		snap.Machines = append(snap.Machines, &pb.MachineState{Kind: kind, State: raw})
 	}
 	return proto.MarshalOptions{Deterministic: true}.Marshal(snap)
 }
 
-// Restore replaces the state by a snapshot's. The error is a *DecodeError, a *SnapshotFormatError, one that wraps ErrUnknownCommand,
+// Restore replaces the state with a snapshot's. The error is a *DecodeError, a *SnapshotFormatError, one that wraps ErrUnknownCommand,
 // or a machine's.
 func (s *State) Restore(raw []byte) error {
 	snap := &pb.Snapshot{}
@@ -46,7 +46,7 @@
 	}
 	for _, m := range snap.Machines {
 		if s.machines[m.Kind] == nil {
-			return fmt.Errorf("%w (its state has kind %d; this one knows up to %d)", ErrUnknownCommand, m.Kind, MaxCommandKind)
+			return fmt.Errorf("%w (the snapshot has kind %d; this program supports up to %d)", ErrUnknownCommand, m.Kind, MaxCommandKind)
 		}
 		if err := s.machines[m.Kind].Restore(m.State); err != nil {
 			return fmt.Errorf("snapshot: kind %d: %w", m.Kind, err)
--- a/internal/replicatedlog/state.go
+++ b/internal/replicatedlog/state.go
@@ -17,17 +17,17 @@
 	KindJoin       uint32 = 1
 	KindLeave      uint32 = 2
 	KindPolicy     uint32 = 3
-	KindVoters     uint32 = 4 // along with raft's own change of configuration
+	KindVoters     uint32 = 4 // applied along with raft's own configuration change
 	KindMembership uint32 = 5
 	KindHealth     uint32 = 6
 )
 
-// MaxCommandKind is the highest kind of command that this program knows. A command of a higher kind is proposed only once all members
-// know it, and a program that meets one it does not know stops following the log.
+// MaxCommandKind is the highest kind of command that this program supports. A command is proposed only once the programs of all members
+// support its kind, and a program that finds a command of an unsupported kind in the log stops applying the log.
 const MaxCommandKind uint32 = 6
 
 const (
-	maxSessions     = 1000    // whose last outcome is remembered; the least recently used goes first
+	maxSessions     = 1000    // whose last outcome is kept; the least recently used is dropped first
 	maxMembers      = 10_000  // of a fleet, removed ones included
 	maxCommandBytes = 2 << 20 // of one encoded command
 	maxNameBytes    = 128     // of a sender's name
@@ -36,12 +36,12 @@
 // Machine is the part of the state that one kind of command works on. It is deterministic: the same commands in the same order make
 // the same state at each sender.
 type Machine interface {
-	// Apply applies a command at its index of the log. A rejection says why the command changed nothing; an error is that the
-	// command can't be read, and then the log can't be followed.
+	// Apply applies a command at its index of the log. A rejection is the reason why the command changed nothing; an error means
+	// that the command can't be decoded, and then the log can't be applied any further.
 	Apply(index uint64, body []byte) (result []byte, rejection string, err error)
 	// Snapshot encodes the complete state; empty if no command was applied yet.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by one that Snapshot gave; nil makes it empty.
+	// Restore replaces the state with one that Snapshot encoded; nil makes it empty.
 	Restore([]byte) error
 }
 
@@ -50,11 +50,11 @@
 	index, term uint64
 	sessions    []*pb.Session // least recently used first
 	members     map[string]*pb.Member
-	voters      map[uint64]*pb.Voter // those added to the first ones, and all that were removed
+	voters      map[uint64]*pb.Voter // those added after the first ones, and all that were removed
 	machines    map[uint32]Machine
 }
 
-// Outcome is what became of a command.
+// Outcome is the result of a command.
 type Outcome struct {
 	Index     uint64 // of the entry that decided it
 	Session   uint64
@@ -68,7 +68,7 @@
 	return &State{members: map[string]*pb.Member{}, voters: map[uint64]*pb.Voter{}, machines: machines}
 }
 
-// newMachines makes the machines of this program around the given policy.
+// newMachines makes the machine of each kind of command; policy is that of KindPolicy.
 func newMachines(policy *fleetpolicy.Machine) (map[uint32]Machine, *coordinator.Machine, *health.Machine) {
 	membership := coordinator.NewMachine()
 	statuses := health.NewMachine(func() uint64 { return membership.State().GetEpoch() })
@@ -78,8 +78,8 @@
 // Index is the index of the entry applied last; 0 before the first.
 func (s *State) Index() uint64 { return s.index }
 
-// Apply applies the entry behind the last one. An entry without a command moves the index all the same. The error is a *GapError, a
-// *DecodeError, one that wraps ErrUnknownCommand, or a machine's; the state is then not to be used any more.
+// Apply applies the entry that follows the last one. An entry without a command only advances the index. The error is a *GapError, a
+// *DecodeError, one that wraps ErrUnknownCommand, or a machine's; the state must not be used any more after an error.
 func (s *State) Apply(index, term uint64, raw []byte) (Outcome, error) {
 	if index != s.index+1 {
 		return Outcome{}, &GapError{Index: index, Applied: s.index}
@@ -120,8 +120,8 @@
 	return outcome, nil
 }
 
-// repeatedOutcome is the outcome of a command that does not move its session on: the recorded one if it is the session's last command
-// again, as its answer was lost, or a rejection if it is an older one.
+// repeatedOutcome is the outcome of a command that its session has submitted before: the recorded outcome if it is the session's last
+// command, whose reply was lost, or a rejection if it is an older one.
 func repeatedOutcome(last *pb.Session, c *pb.Command, index uint64) (outcome Outcome, repeated bool) {
 	switch {
 	case c.Sequence == last.Sequence:
@@ -147,14 +147,14 @@
 	default:
 		m := s.machines[c.Kind]
 		if m == nil {
-			return outcome, fmt.Errorf("%w (kind %d; this one knows up to %d)", ErrUnknownCommand, c.Kind, MaxCommandKind)
+			return outcome, fmt.Errorf("%w (kind %d; this program supports up to %d)", ErrUnknownCommand, c.Kind, MaxCommandKind)
 		}
 		outcome.Result, outcome.Rejection, err = m.Apply(index, c.Body)
 	}
 	return outcome, err
 }
 
-// Outcome is what became of a session's last command, if it is the one with that sequence.
+// Outcome is the outcome of a session's last command, if that command has the given sequence number.
 func (s *State) Outcome(session, sequence uint64) (Outcome, bool) {
 	for _, o := range s.sessions {
 		if o.Id == session && o.Sequence == sequence {
--- a/internal/replicatedlog/state_test.go
+++ b/internal/replicatedlog/state_test.go
@@ -26,7 +26,7 @@
 	return b
 }
 
-// apply carries a command out as the next entry.
+// apply applies a command as the next entry.
 func apply(t *testing.T, s *State, kind uint32, session, sequence uint64, body proto.Message) (Outcome, error) {
 	t.Helper()
 	return s.Apply(s.Index()+1, 1, raw(t, &pb.Command{Kind: kind, Session: session, Sequence: sequence, Body: raw(t, body)}))
@@ -36,7 +36,8 @@
 	return &pb.PolicyCommand{Command: &pb.PolicyCommand_Propose{Propose: &pb.ProposePolicy{BaseVersion: base, Document: []byte("# none\n"), Author: "a", StageTimeoutUs: 1e6}}}
 }
 
-// A command that comes again after a lost answer counts once, and is answered as it was, refused or not; an older one changes nothing.
+// A command that is submitted again after a lost reply is applied once and gets the recorded outcome, also if that is a rejection. An
+// older command of the session changes nothing.
 func TestState_SessionsDeduplicateCommands(t *testing.T) {
 	s := newTestState()
 	first, err := apply(t, s, KindPolicy, 7, 1, propose(0))
@@ -45,15 +46,15 @@
 	}
 	again, _ := apply(t, s, KindPolicy, 7, 1, propose(0))
 	if again.Rejection != "" || again.Index != first.Index {
-		t.Errorf("again: %+v", again)
+		t.Errorf("the repeated command: %+v", again)
 	}
 	refused, _ := apply(t, s, KindPolicy, 7, 2, propose(0))
 	same, _ := apply(t, s, KindPolicy, 7, 2, propose(0))
 	if refused.Rejection == "" || same.Rejection != refused.Rejection || same.Index != refused.Index {
-		t.Errorf("refused %+v, and again %+v", refused, same)
+		t.Errorf("rejected: %+v, repeated: %+v", refused, same)
 	}
 	if old, _ := apply(t, s, KindPolicy, 7, 1, propose(0)); !strings.Contains(old.Rejection, "command 1 of a session that has come to 2") {
-		t.Errorf("an older one: %+v", old)
+		t.Errorf("an older command: %+v", old)
 	}
 	for i := range uint64(maxSessions) {
 		if _, err := apply(t, s, KindJoin, 100+i, 1, &pb.Join{Name: "n", MaxCommandKind: MaxCommandKind}); err != nil {
@@ -61,15 +62,16 @@
 		}
 	}
 	if _, known := s.Outcome(7, 2); known || len(s.sessions) != maxSessions {
-		t.Errorf("%d sessions are remembered", len(s.sessions))
+		t.Errorf("%d sessions are kept", len(s.sessions))
 	}
 }
 
-// A program stops at a command that it does not know and never skips it; a new kind is not handed in while a member lacks it.
+// A program stops at a command of an unsupported kind and never skips it. A new kind is not proposed while a member's program does not
+// support it.
 func TestState_CommandKindsOfMixedVersions(t *testing.T) {
 	s := newTestState()
-	for name, speaks := range map[string]uint32{"new": MaxCommandKind, "old": KindPolicy - 1} {
-		if _, err := apply(t, s, KindJoin, 0, 0, &pb.Join{Name: name, MaxCommandKind: speaks}); err != nil {
+	for name, maxKind := range map[string]uint32{"new": MaxCommandKind, "old": KindPolicy - 1} {
+		if _, err := apply(t, s, KindJoin, 0, 0, &pb.Join{Name: name, MaxCommandKind: maxKind}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -77,10 +79,10 @@
 		t.Errorf("%q", why)
 	}
 	if done, _ := apply(t, s, KindLeave, 0, 0, &pb.Leave{Name: "old", Author: "a"}); done.Rejection != "" || s.CheckKind(KindPolicy) != "" {
-		t.Errorf("once it is gone: %+v %q", done, s.CheckKind(KindPolicy))
+		t.Errorf("after the old member was removed: %+v %q", done, s.CheckKind(KindPolicy))
 	}
 	if done, _ := apply(t, s, KindJoin, 0, 0, &pb.Join{Name: "old", MaxCommandKind: MaxCommandKind}); !strings.Contains(done.Rejection, "gone for good") {
-		t.Errorf("it comes back: %+v", done)
+		t.Errorf("a removed member joins again: %+v", done)
 	}
 	if done, _ := apply(t, s, KindLeave, 0, 0, &pb.Leave{Name: "nobody"}); !strings.Contains(done.Rejection, "no member") {
 		t.Errorf("%+v", done)
@@ -93,11 +95,11 @@
 		t.Error("an entry is skipped")
 	}
 	if _, err := s.Apply(at+1, 1, []byte{0xff}); err == nil {
-		t.Error("an entry that can't be read is taken")
+		t.Error("an entry that can't be decoded is applied")
 	}
 }
 
-// A snapshot holds all of the state: what comes behind it has the same effect.
+// A snapshot holds the complete state: entries applied after a restore have the same effect.
 func TestState_SnapshotIsComplete(t *testing.T) {
 	a := newTestState()
 	step := func(s *State, i int) string {
@@ -130,7 +132,7 @@
 			t.Fatal(err)
 		}
 		if x, y := step(a, i), step(b, i); x != y {
-			t.Fatalf("step %d: %s, from a snapshot %s", i, x, y)
+			t.Fatalf("step %d: %s, after a restore %s", i, x, y)
 		}
 		x, _ := a.Snapshot()
 		y, _ := b.Snapshot()
@@ -142,6 +144,6 @@
 		t.Errorf("a newer format: %v", err)
 	}
 	if err := newTestState().Restore(raw(t, &pb.Snapshot{Format: snapshotFormat, Machines: []*pb.MachineState{{Kind: 99}}})); !errors.Is(err, ErrUnknownCommand) {
-		t.Errorf("a kind that is not known: %v", err)
+		t.Errorf("a kind that is not supported: %v", err)
 	}
 }
--- a/internal/replicatedlog/voter.go
+++ b/internal/replicatedlog/voter.go
@@ -18,25 +18,26 @@
 )
 
 const (
-	// Tick is the step of raft's time, in which a leader sends heartbeats.
+	// Tick is the length of a raft tick. A leader sends heartbeats at each tick.
 	Tick = 50 * time.Millisecond
-	// ElectionTicks is the election time-out: a leader that is silent for so many to twice as many ticks is replaced.
+	// ElectionTicks is the minimum election time-out in ticks; each time-out is random, from this to twice as many ticks without a
+	// message from the leader.
 	ElectionTicks = 10
 
-	maxCatchUpTicks     = 2       // that one step makes up for after the voter stood still
+	maxCatchUpTicks     = 2       // that one step makes up for after the voter was stalled
 	snapshotInterval    = 5000    // entries between snapshots
 	retainedEntries     = 1000    // before a snapshot, for voters and followers that are a little behind
 	maxMessageBytes     = 1 << 20 // of entries in one raft message
-	maxUncommittedBytes = 8 << 20 // that a leader holds; beyond that commands are rejected
+	maxUncommittedBytes = 8 << 20 // of entries at a leader; beyond that commands are rejected
 	maxInflightMessages = 256     // to one follower
 	maxWaitingReported  = 20      // senders that a change waits for, in a lease reply
 	maxPendingReads     = 4096    // lease requests that wait for the leader to be confirmed
 )
 
-// commandID is what tells commands of clients apart.
+// commandID identifies a client's command.
 type commandID struct{ session, sequence uint64 }
 
-// Voter is a raft voter as a state machine; see the package's comment for its contract. Only Step may be called once it runs.
+// Voter is a raft voter as a state machine; see the package comment for its contract. Once it runs, only Step may be called.
 type Voter struct {
 	id              uint64
 	terms           lease.Terms
@@ -48,15 +49,15 @@
 	membership      *coordinator.Machine
 	confState       *raftpb.ConfState
 	hardState       *raftpb.HardState // as of now; its commit index may be ahead of the stored one
-	compactedTo     uint64            // entries up to here are in memory no more
+	compactedTo     uint64            // entries up to this index are no longer in memory
 	nextTick        time.Duration
-	pendingCommands map[commandID]uint64 // whom to answer
+	pendingCommands map[commandID]uint64 // ReplyTo of the client that waits
 
-	// Of a leader.
+	// Used while this voter leads.
 	granter               *lease.Granter // nil: it does not lead
 	policyCoordinator     *fleetpolicy.Coordinator
 	membershipCoordinator *coordinator.Coordinator
-	addresses             map[lease.HolderID]string   // where those that asked are reached
+	addresses             map[lease.HolderID]string   // of the senders that requested leases
 	pendingReads          map[uint64][]LeaseRequested // by the linearizable read that confirms them
 	lastRead              uint64
 	ledTerm               uint64 // term in which it led last
@@ -75,7 +76,7 @@
 	Logger raft.Logger          // of the raft library; nil: its default
 }
 
-// NewVoter makes a voter that goes on from what it has stored. Its first step persists the term and vote it starts with.
+// NewVoter makes a voter that continues from its stored log. Its first step persists the term and vote that it starts with.
 func NewVoter(cfg VoterConfig) (*Voter, StartState, error) {
 	v := &Voter{id: VoterID(cfg.Name), terms: cfg.Terms, storage: raft.NewMemoryStorage(), policy: cfg.Policy,
 		pendingCommands: map[commandID]uint64{}, pendingReads: map[uint64][]LeaseRequested{}}
@@ -94,7 +95,7 @@
 	if err != nil {
 		return nil, v.start, fmt.Errorf("raft: %w", err)
 	}
-	v.emit(Persist{HardState: v.hardState}) // the vote that is spent is on the disk before the first message
+	v.emit(Persist{HardState: v.hardState}) // the start vote must be on the disk before the first message is sent
 	if applied > 0 {
 		raw, err := v.state.Snapshot()
 		if err != nil {
@@ -105,7 +106,7 @@
 	return v, v.start, nil
 }
 
-// load fills state and raft's storage from what is stored.
+// load fills the state and raft's storage from the stored log.
 func (v *Voter) load(stored *StoredLog) error {
 	v.confState = stored.ConfState
 	base := &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{ConfState: v.confState, Index: &stored.BaseIndex, Term: &stored.BaseTerm}}
@@ -124,7 +125,7 @@
 	if err := v.storage.Append(stored.Entries); err != nil {
 		return fmt.Errorf("the folder's log: %w", err)
 	}
-	if stored.Snapshot != nil { // it lies within the entries that are retained
+	if stored.Snapshot != nil { // its index lies within the retained entries
 		if _, err := v.storage.CreateSnapshot(v.state.Index(), v.confState, stored.Snapshot.Data); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 			return fmt.Errorf("the folder's snapshot: %w", err)
 		}
@@ -139,8 +140,8 @@
 
 func (v *Voter) replyError(to uint64, err error) { v.emit(Reply{To: to, Err: err}) }
 
-// Step takes events in and returns what is to be done, and when it wants to be called at the latest. A log that can't be followed is a
-// panic: the voter ends there.
+// Step handles events and returns the actions to carry out, and the latest time of the next call. It panics if the log can't be applied:
+// the voter has to end then.
 func (v *Voter) Step(now time.Duration, events []VoterEvent) ([]VoterAction, time.Duration) {
 	for _, e := range events {
 		v.handle(e)
@@ -157,8 +158,9 @@
 	return actions, v.nextTick
 }
 
-// tick moves raft's time on. After the voter stood still, for its disk perhaps, it makes up for a few ticks only: the rest was no
-// silence of its peers. A voter whose log has not reached the handshake's minimum does not tick, so it is no candidate.
+// tick advances raft's clock. After a stall of the voter, for example on its disk, it makes up for at most maxCatchUpTicks: the rest of
+// that time must not count as time without messages from peers. A voter whose log has not reached the handshake's minimum does not tick,
+// so it does not become a candidate.
 func (v *Voter) tick(now time.Duration) {
 	if v.nextTick == 0 {
 		v.nextTick = now
@@ -173,7 +175,7 @@
 
 func (v *Voter) isLeader() bool { return v.node.BasicStatus().RaftState == raft.StateLeader }
 
-// lastEntry is where the own log ends. Raft's storage always knows its last index and that entry's term.
+// lastEntry is the term and index of this voter's last entry. Raft's in-memory storage always has both.
 func (v *Voter) lastEntry() (term, index uint64) {
 	index, _ = v.storage.LastIndex()
 	term, _ = v.storage.Term(index)
@@ -199,8 +201,8 @@
 	}
 }
 
-// handleMessage passes a message on to raft, but for those that would have it vote for a log, or be a candidate with one, that ends
-// before the handshake's minimum.
+// handleMessage passes a message to raft. It drops vote requests of candidates whose log ends before the handshake's minimum, and
+// requests to start an election while this voter's own log ends before it.
 func (v *Voter) handleMessage(m *raftpb.Message) {
 	switch m.GetType() {
 	case raftpb.MsgVote, raftpb.MsgPreVote:
@@ -213,7 +215,7 @@
 		}
 	default:
 	}
-	_ = v.node.Step(m) // raft drops what does not fit, as the network might have
+	_ = v.node.Step(m) // on an error raft has dropped the message, as the network might have
 }
 
 func (v *Voter) handleHandshake(e HandshakeRequested) {
