--- a/internal/fleetpolicy/affected.go
+++ b/internal/fleetpolicy/affected.go
@@ -1,12 +1,12 @@
 package fleetpolicy
 
-// Affected is the calls that two policies judge differently, which a switch between them suspends. A nil Affected has none.
+// Affected is the set of calls that two policies treat differently, which a switch between them suspends. A nil Affected is empty.
 type Affected struct {
 	destinations map[uint32]struct{}
 	tenants      map[string]struct{}
 }
 
-// AffectedBySwitch is the calls that a switch between two policies affects.
+// AffectedBySwitch returns the calls that a switch between two policies affects.
 func AffectedBySwitch(a, b *Policy) *Affected {
 	t := &Affected{map[uint32]struct{}{}, map[string]struct{}{}}
 	addDifferences(t.destinations, a.routes, b.routes)
--- a/internal/fleetpolicy/coordinator.go
+++ b/internal/fleetpolicy/coordinator.go
@@ -10,13 +10,13 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Coordinator moves the open change on at the leader, by what senders report of it. Its decisions are proposals: they count when the log
-// applies them, and only if the change is then in the state that the coordinator took it for. The zero value is ready; a new leader begins
-// a new one, and senders report again.
+// Coordinator advances the open change at the leader, based on what senders report about it. Its decisions are proposals: they take effect
+// when the log applies them, and only if the change is then still in the state that the decision was made for. The zero value is ready to
+// use; a new leader starts with a new Coordinator, and senders report again.
 //
 // While a change is staging, every sender that holds a lease checks it and stores it; while it is frozen, no call that it affects is
-// begun; once it is committed, each sender goes on as soon as it hears so. It is frozen, and committed, only when each holder of a lease
-// has stored it, and committed only when no lease is left below the freeze.
+// begun; once it is committed, each sender resumes these calls when it has applied the commit. The change is frozen, and committed, only
+// when each holder of a lease has stored it, and committed only when no lease is left below the freeze index.
 type Coordinator struct {
 	change     uint64
 	openSince  time.Duration // when this leader first saw the change; unseen: not yet
@@ -25,7 +25,7 @@
 	lastStep   sentStep
 }
 
-// unseen is the time of a change that this leader has not seen open yet.
+// unseen is openSince of a change that this leader has not seen open yet.
 const unseen time.Duration = -1
 
 // sentStep is the step that was proposed last.
@@ -35,7 +35,7 @@
 	at     time.Duration
 }
 
-// resendInterval is after how long a step that the log does not show is proposed again, as it may have been lost with a leader.
+// resendInterval is the time after which a step that was not applied is proposed again, as it may have been lost with a leader.
 const resendInterval = time.Second
 
 // PendingSender is a sender that a change waits for.
@@ -45,22 +45,23 @@
 	Reason    string        `json:"for"`
 }
 
-// RecordStaged takes a sender's report that it has stored a change, or why it rejects it.
-func (c *Coordinator) RecordStaged(w lease.HolderID, change uint64, refused string) {
+// RecordStaged records a sender's report that it has stored a change, or why it rejects the change.
+func (c *Coordinator) RecordStaged(w lease.HolderID, change uint64, rejection string) {
 	c.observe(change)
 	if change != c.change {
 		return
 	}
-	if refused != "" {
-		c.rejections[w.Name] = refused
+	if rejection != "" {
+		c.rejections[w.Name] = rejection
 		return
 	}
 	c.staged[w] = true
 }
 
-// MayGrant reports whether a holder that acts at an index may be granted a lease: while a change is open, only once it has stored it, and, once it
-// is frozen, acts under the freeze. A healthy sender misses no lease for that, as it requests one as soon as it has; but a holder whose
-// requests arrive while no reply reaches it would otherwise hold up the change without end.
+// MayGrant reports whether a holder that acts at an index may be granted a lease. While a change is open, the holder must have stored the
+// change and, once the change is frozen, act at the freeze index or above. A healthy sender loses no lease by this rule, as it sends a new
+// request as soon as it meets the condition. Without the rule, a holder whose requests arrive but which receives no replies would delay the
+// change forever.
 func (c *Coordinator) MayGrant(w lease.HolderID, acts uint64, s *pb.PolicyState) bool {
 	o := s.GetOpenChange()
 	if o == nil || o.Id < c.change {
@@ -69,7 +70,7 @@
 	return o.Id == c.change && c.staged[w] && acts >= o.FreezeIndex
 }
 
-// observe begins anew for a change that is newer than the one known.
+// observe resets the coordinator for a change that is newer than the current one.
 func (c *Coordinator) observe(change uint64) {
 	if change > c.change {
 		*c = Coordinator{change: change, openSince: unseen, staged: map[lease.HolderID]bool{}, rejections: map[string]string{}, lastStep: c.lastStep}
@@ -83,7 +84,7 @@
 	stepAbort  = "abort"
 )
 
-// Why a change waits for a sender, as operators read it.
+// Reasons why a change waits for a sender, as operators read them.
 const (
 	waitsToStage  = "to stage it"
 	waitsToFreeze = "to hold up what the change touches"
@@ -99,7 +100,7 @@
 		return nil, nil
 	}
 	if c.observe(open.Id); c.change != open.Id {
-		return nil, nil // a later change was reported: the state here is behind
+		return nil, nil // a sender has reported a later change: this leader's state is behind
 	}
 	if c.openSince == unseen {
 		c.openSince = now
@@ -124,8 +125,8 @@
 	return nil, waitingOn
 }
 
-// waitingOn is the senders that the change waits for. Also once it is frozen it waits for those that have not stored it, as one may have come
-// meanwhile.
+// waitingOn returns the senders that the change waits for. A frozen change, too, waits for lease holders that have not stored it, as a new
+// holder may have appeared since the freeze.
 func (c *Coordinator) waitingOn(now time.Duration, open *pb.Change, g *lease.Granter) (all []PendingSender) {
 	if open.FreezeIndex != 0 {
 		for _, l := range g.LeasesBelow(open.FreezeIndex, now) {
@@ -144,7 +145,7 @@
 	return all
 }
 
-// once is a step's command, or nil if it was proposed a moment ago.
+// once returns a step's command, or nil if the step was proposed less than resendInterval ago.
 func (c *Coordinator) once(now time.Duration, open *pb.Change, step string, command *pb.PolicyCommand) *pb.PolicyCommand {
 	if c.lastStep.change == open.Id && c.lastStep.step == step && now-c.lastStep.at < resendInterval {
 		return nil
--- a/internal/fleetpolicy/diff.go
+++ b/internal/fleetpolicy/diff.go
@@ -5,38 +5,38 @@
 	"slices"
 )
 
-// Diff tells operators in words how two policies differ, a line for each difference.
-func Diff(was, is *Policy) []string {
+// Diff describes in words for operators how two policies differ, with a line for each difference.
+func Diff(before, after *Policy) []string {
 	var lines []string
-	say := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	if was.document.OnPartition != is.document.OnPartition || was.document.PartitionGrace != is.document.PartitionGrace {
-		say("a sender that is cut off: %s -> %s", was.describePartition(), is.describePartition())
+	addLine := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
+	if before.document.OnPartition != after.document.OnPartition || before.document.PartitionGrace != after.document.PartitionGrace {
+		addLine("a sender that is cut off: %s -> %s", before.describePartition(), after.describePartition())
 	}
-	t := AffectedBySwitch(was, is)
+	t := AffectedBySwitch(before, after)
 	// Destinations that change in the same way share a line.
 	type change struct{ from, to string }
 	by := map[change][]uint32{}
 	var order []change
 	for _, d := range sortedKeys(t.destinations) {
-		c := change{was.routed(d), is.routed(d)}
+		c := change{before.describeRoute(d), after.describeRoute(d)}
 		if by[c] == nil {
 			order = append(order, c)
 		}
 		by[c] = append(by[c], d)
 	}
 	for _, c := range order {
-		say("destination %s: %s -> %s", ranges(by[c]), c.from, c.to)
+		addLine("destination %s: %s -> %s", ranges(by[c]), c.from, c.to)
 	}
-	word := map[bool]string{true: "suspended", false: "served"}
+	description := map[bool]string{true: "suspended", false: "served"}
 	for _, n := range sortedKeys(t.tenants) {
-		say("tenant %q: %s -> %s", n, word[was.suspended[n]], word[is.suspended[n]])
+		addLine("tenant %q: %s -> %s", n, description[before.suspended[n]], description[after.suspended[n]])
 	}
-	lines = append(lines, diffLimits(was, is)...)
-	lines = append(lines, diffHealthRules(was, is)...)
+	lines = append(lines, diffLimits(before, after)...)
+	lines = append(lines, diffHealthRules(before, after)...)
 	classes := map[string]struct{}{}
-	addDifferences(classes, was.classes, is.classes)
+	addDifferences(classes, before.classes, after.classes)
 	for _, n := range sortedKeys(classes) {
-		say("class %q, deadline at most: %s -> %s (messages that are handed in from then on)", n, bound(was, n), bound(is, n))
+		addLine("class %q, deadline at most: %s -> %s (messages that are handed in from then on)", n, describeDeadline(before, n), describeDeadline(after, n))
 	}
 	return lines
 }
@@ -48,7 +48,7 @@
 	return "begins no call"
 }
 
-func (p *Policy) routed(d uint32) string {
+func (p *Policy) describeRoute(d uint32) string {
 	r, ruled := p.routes[d]
 	switch {
 	case !ruled:
@@ -61,7 +61,7 @@
 	return fmt.Sprintf("moved to %d", r.to)
 }
 
-func bound(p *Policy, class string) string {
+func describeDeadline(p *Policy, class string) string {
 	if d, ok := p.classes[class]; ok {
 		return d.String()
 	}
@@ -88,8 +88,8 @@
 	return text
 }
 
-// CountMessages counts the pending messages that a switch affects, in all and by destination, the most first: operators are told before they
-// propose.
+// CountMessages counts the pending messages that a switch affects, in total and by destination in descending order. Operators see the counts
+// before they propose a change.
 func (t *Affected) CountMessages(held map[Call]int) (total int, by []MessageCount) {
 	counts := map[uint32]int{}
 	for c, n := range held {
--- a/internal/fleetpolicy/document.go
+++ b/internal/fleetpolicy/document.go
@@ -10,10 +10,10 @@
 	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
-// Document is a policy as operators write it, in TOML. What it does not name goes as the platform's settings have it.
+// Document is a policy as operators write it, in TOML. The platform's settings apply to what it does not name.
 type Document struct {
-	// OnPartition is what a sender without a lease does: "hold" (the default) begins no call; "go-on" goes on under the version that it had, for
-	// PartitionGrace at most, which gives up that no call is begun under a version that others have left.
+	// OnPartition is what a sender without a lease does: "hold" (the default) begins no call; "go-on" continues under its last version, for
+	// PartitionGrace at most. With "go-on", calls may be begun under a version that other senders have already replaced.
 	OnPartition    string        `toml:"cut_off,omitempty"`
 	PartitionGrace tomlfile.Span `toml:"go_on_for,omitempty"`
 
@@ -46,7 +46,7 @@
 // Class bounds the messages of a class.
 type Class struct {
 	Name        string        `toml:"name"`
-	MaxDeadline tomlfile.Span `toml:"deadline_most"` // a message is given up no later than this after its submission
+	MaxDeadline tomlfile.Span `toml:"deadline_most"` // upper bound on a message's deadline, from its submission
 }
 
 // Bounds of a document. A larger one would not fit a command of the log.
@@ -57,7 +57,7 @@
 	maxPartitionGrace = 24 * time.Hour
 )
 
-// Words of a document.
+// Values in a document.
 const (
 	partitionHold     = "hold"
 	partitionContinue = "go-on"
@@ -67,7 +67,7 @@
 	stateSuspended    = "suspended"
 )
 
-// Parse reads a document and checks all of it; name is for its errors, which are of type *DocumentError or the TOML decoder's.
+// Parse decodes a document and checks all of it; errors begin with name, and are of type *DocumentError or the TOML decoder's.
 func Parse(name string, raw []byte) (*Policy, error) {
 	if len(raw) > maxDocumentBytes {
 		return nil, invalidIn(name, "%d bytes; %d are the most", len(raw), maxDocumentBytes)
--- a/internal/fleetpolicy/document_test.go
+++ b/internal/fleetpolicy/document_test.go
@@ -24,9 +24,9 @@
 
 const closed7 = "[[route]]\ndestinations = [7]\nstate = \"closed\"\n"
 
-// What is wrong with a document is said with its name, and the line or the rule.
+// Each error has the document's name, and the line or the rule that is violated.
 func TestParse_Errors(t *testing.T) {
-	for text, says := range map[string]string{
+	for text, want := range map[string]string{
 		"x = 1":                 `p.toml:1: unknown key "x"`,
 		"cut_off = \"perhaps\"": `cut_off = "perhaps"; there are "hold" and "go-on"`,
 		"cut_off = \"go-on\"":   "go_on_for = 0s: it goes with",
@@ -64,8 +64,8 @@
 		"[[class]]\nname = \"a\"\ndeadline_most = \"soon\"":                                                "p.toml:3:",
 		strings.Repeat("#", maxDocumentBytes+1):                                                            "are the most",
 	} {
-		if _, err := Parse("p.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%.60q: %v, want %q", text, err, says)
+		if _, err := Parse("p.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%.60q: %v, want %q", text, err, want)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 	return Call{Destination: destination, Tenant: tenant}
 }
 
-// What a call takes of which limits, and what limits are.
+// The units that a call uses of each limit, and the limits' descriptions.
 func TestPolicy_Limits(t *testing.T) {
 	p := parse(t, `
 [[limit]]
@@ -116,75 +116,75 @@
 		{Call{Destination: 1, Class: "big"}, []string{"class big, bytes: 1"}},
 	} {
 		if got := uses(c.call); !slices.Equal(got, c.want) {
-			t.Errorf("%+v takes %q, not %q", c.call, got, c.want)
+			t.Errorf("%+v uses %q, want %q", c.call, got, c.want)
 		}
 	}
-	var words []string
+	var descriptions []string
 	for _, l := range p.Limits() {
-		words = append(words, l.Key+": "+DescribeLimit(l))
+		descriptions = append(descriptions, l.Key+": "+DescribeLimit(l))
 	}
 	if want := []string{"class big, bytes: 1000 bytes in 1s, 10 of them kept by each of the first 5 senders", "destination 7: 30 calls in 1s, or as the receiver tells",
 		"destination 7, tenant a: 5 calls in 10s, and 2 more by each that is cut off", "destination 7, tenant b: 5 calls in 10s, and 2 more by each that is cut off",
-		"destination 8: 30 calls in 1s, or as the receiver tells", "destination 9: 1 calls in 2s", "endpoint s-1, at once: 3 calls at once, of 5s at most"}; !slices.Equal(words, want) {
-		t.Errorf("%q", words)
+		"destination 8: 30 calls in 1s, or as the receiver tells", "destination 9: 1 calls in 2s", "endpoint s-1, at once: 3 calls at once, of 5s at most"}; !slices.Equal(descriptions, want) {
+		t.Errorf("%q", descriptions)
 	}
 	if l, ok := p.RateLimit(8); !ok || l.Key != "destination 8" {
-		t.Error("destination 8 is not paced")
+		t.Error("destination 8 has no rate limit")
 	}
 	if _, ok := p.RateLimit(1); ok {
-		t.Error("destination 1 is paced")
+		t.Error("destination 1 has a rate limit")
 	}
 	if err := p.CheckSettings(Settings{Tenants: []string{"a", "b"}, Classes: []string{"small"}}); err == nil || !strings.Contains(err.Error(), `class "big" is not`) {
 		t.Error(err)
 	}
 }
 
-// What a policy says of calls, and which of them a switch touches.
+// Which calls a policy allows, and which calls a switch between two policies affects.
 func TestPolicy_CallsAndSwitches(t *testing.T) {
-	was := parse(t, "cut_off = \"go-on\"\ngo_on_for = \"1m\"\n[[route]]\ndestinations = [1, 2, 3, 7]\nstate = \"closed\"\n[[tenant]]\nname = \"acme\"\nstate = \"suspended\"\n[[class]]\nname = \"keyed\"\ndeadline_most = \"5s\"\n")
-	is := parse(t, "[[route]]\ndestinations = [2]\nstate = \"closed\"\n[[route]]\ndestinations = [7]\nstate = \"moved\"\nto = 9\n[[route]]\ndestinations = [5]\nstate = \"apart\"\nkind = \"single\"\n[[limit]]\ndestinations = [4]\ncalls = 2.5\n[[tenant]]\nname = \"other\"\nstate = \"suspended\"\n")
+	oldPolicy := parse(t, "cut_off = \"go-on\"\ngo_on_for = \"1m\"\n[[route]]\ndestinations = [1, 2, 3, 7]\nstate = \"closed\"\n[[tenant]]\nname = \"acme\"\nstate = \"suspended\"\n[[class]]\nname = \"keyed\"\ndeadline_most = \"5s\"\n")
+	newPolicy := parse(t, "[[route]]\ndestinations = [2]\nstate = \"closed\"\n[[route]]\ndestinations = [7]\nstate = \"moved\"\nto = 9\n[[route]]\ndestinations = [5]\nstate = \"apart\"\nkind = \"single\"\n[[limit]]\ndestinations = [4]\ncalls = 2.5\n[[tenant]]\nname = \"other\"\nstate = \"suspended\"\n")
 	for _, c := range []struct {
-		call             Call
-		was, is, touched bool
+		call                                  Call
+		allowedBefore, allowedAfter, affected bool
 	}{
 		{to(1, "a"), false, true, true}, {to(2, "a"), false, false, false}, {to(7, "a"), false, false, true}, {to(9, "a"), true, true, false},
 		{to(5, "a"), true, true, true}, {to(4, "a"), true, true, false},
 		{to(9, "acme"), false, true, true}, {to(9, "other"), true, false, true},
 	} {
-		before, _ := was.Allows(c.call)
-		after, _ := is.Allows(c.call)
-		if touched := AffectedBySwitch(was, is).HasCall(c.call); before != c.was || after != c.is || touched != c.touched {
-			t.Errorf("%+v: before %v, after %v, touched %v", c.call, before, after, touched)
+		before, _ := oldPolicy.Allows(c.call)
+		after, _ := newPolicy.Allows(c.call)
+		if affected := AffectedBySwitch(oldPolicy, newPolicy).HasCall(c.call); before != c.allowedBefore || after != c.allowedAfter || affected != c.affected {
+			t.Errorf("%+v: before %v, after %v, affected %v", c.call, before, after, affected)
 		}
 	}
-	if is.MovedTo(7) != 9 || is.MovedTo(2) != 2 || was.PartitionGrace() != time.Minute || is.PartitionGrace() != 0 || was.MaxDeadline("keyed") != 5*time.Second || is.MaxDeadline("keyed") != 0 ||
-		is.Kind(5, "x") != "single" || is.Kind(4, "x") != "x" || is.MovedTo(5) != 5 {
-		t.Error("what a policy says beside calls")
+	if newPolicy.MovedTo(7) != 9 || newPolicy.MovedTo(2) != 2 || oldPolicy.PartitionGrace() != time.Minute || newPolicy.PartitionGrace() != 0 || oldPolicy.MaxDeadline("keyed") != 5*time.Second || newPolicy.MaxDeadline("keyed") != 0 ||
+		newPolicy.Kind(5, "x") != "single" || newPolicy.Kind(4, "x") != "x" || newPolicy.MovedTo(5) != 5 {
+		t.Error("destinations, kinds, deadlines or grace periods of a policy are wrong")
 	}
 	want := []string{"a sender that is cut off: goes on for 1m0s -> begins no call", "destination 1, 3: closed -> open", `destination 5: open -> as of kind "single"`, "destination 7: closed -> moved to 9",
 		`tenant "acme": suspended -> served`, `tenant "other": served -> suspended`, "destination 4: not limited -> 2 calls in 1s", `class "keyed", deadline at most: 5s -> its own (messages that are handed in from then on)`}
-	if got := Diff(was, is); !slices.Equal(got, want) {
+	if got := Diff(oldPolicy, newPolicy); !slices.Equal(got, want) {
 		t.Errorf("%q", got)
 	}
-	if got := Diff(is, is); got != nil {
-		t.Errorf("from itself: %q", got)
+	if got := Diff(newPolicy, newPolicy); got != nil {
+		t.Errorf("difference from itself: %q", got)
 	}
-	total, by := AffectedBySwitch(was, is).CountMessages(map[Call]int{to(1, "a"): 2, to(3, "a"): 5, to(9, "a"): 9, to(9, "acme"): 1})
+	total, by := AffectedBySwitch(oldPolicy, newPolicy).CountMessages(map[Call]int{to(1, "a"): 2, to(3, "a"): 5, to(9, "a"): 9, to(9, "acme"): 1})
 	if total != 8 || !slices.Equal(by, []MessageCount{{3, 5}, {1, 2}, {9, 1}}) {
 		t.Errorf("%d, %v", total, by)
 	}
-	if err := was.CheckSettings(Settings{Classes: []string{"keyed"}, Tenants: []string{"acme"}}); err != nil {
+	if err := oldPolicy.CheckSettings(Settings{Classes: []string{"keyed"}, Tenants: []string{"acme"}}); err != nil {
 		t.Error(err)
 	}
-	if err := is.CheckSettings(Settings{Tenants: []string{"other"}, Kinds: []string{"x"}}); err == nil || !strings.Contains(err.Error(), `kind "single" is not`) {
+	if err := newPolicy.CheckSettings(Settings{Tenants: []string{"other"}, Kinds: []string{"x"}}); err == nil || !strings.Contains(err.Error(), `kind "single" is not`) {
 		t.Errorf("%v", err)
 	}
-	if err := was.CheckSettings(Settings{Classes: []string{"safe"}, Tenants: []string{"acme"}}); err == nil || !strings.Contains(err.Error(), `class "keyed" is not in this sender's settings, which have "safe"`) {
+	if err := oldPolicy.CheckSettings(Settings{Classes: []string{"safe"}, Tenants: []string{"acme"}}); err == nil || !strings.Contains(err.Error(), `class "keyed" is not in this sender's settings, which have "safe"`) {
 		t.Errorf("%v", err)
 	}
 }
 
-// A document of 5,000 destinations is read, compared and asked without going through it.
+// A document of 5,000 destinations is parsed and compared. A call is checked against it by a look-up that does not allocate.
 func TestParse_LargeDocument(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("[[route]]\nstate = \"closed\"\ndestinations = [")
@@ -210,14 +210,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, refused, err := m.Apply(index, raw)
+	_, rejection, err := m.Apply(index, raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return refused
+	return rejection
 }
 
-// The rules of the change, a step each: what fits is done, what does not changes nothing and says why.
+// The states of a change, one command at a time: a valid command takes effect, an invalid one changes nothing and returns the reason.
 func TestMachine_Changes(t *testing.T) {
 	propose := func(base uint64, doc string, wait int64) *pb.PolicyCommand {
 		return &pb.PolicyCommand{Command: &pb.PolicyCommand_Propose{Propose: &pb.ProposePolicy{BaseVersion: base, Document: []byte(doc), Author: "ann", StageTimeoutUs: wait}}}
@@ -233,11 +233,11 @@
 	}
 	m := NewMachine()
 	for i, c := range []struct {
-		do      *pb.PolicyCommand
-		says    string
-		version uint64
-		frozen  bool // destination 7 is held up
-		open    bool // and calls for it are begun
+		do        *pb.PolicyCommand
+		rejection string
+		version   uint64
+		frozen    bool // calls to destination 7 are suspended
+		open      bool // calls to destination 7 are allowed
 	}{
 		{freeze(1), "change 1 is over", 0, false, true},
 		{propose(1, "", 1e6), "made from version 1; version 0 is in force", 0, false, true},
@@ -259,40 +259,40 @@
 		{commit(16), "", 2, false, true},
 	} {
 		index := uint64(i + 1)
-		if refused := step(t, m, index, c.do); (refused == "") != (c.says == "") || !strings.Contains(refused, c.says) {
-			t.Fatalf("step %d: %q, want %q", index, refused, c.says)
+		if rejection := step(t, m, index, c.do); (rejection == "") != (c.rejection == "") || !strings.Contains(rejection, c.rejection) {
+			t.Fatalf("step %d: %q, want %q", index, rejection, c.rejection)
 		}
-		again := NewMachine()
+		restored := NewMachine()
 		snap, err := m.Snapshot()
 		if err == nil {
-			err = again.Restore(snap)
+			err = restored.Restore(snap)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		for name, m := range map[string]*Machine{"it": m, "its snapshot": again} {
+		for name, m := range map[string]*Machine{"the state": m, "the restored state": restored} {
 			v := m.View(index, Settings{})
 			may, _ := v.Allows(Call{Destination: 7})
 			if v.Version != c.version || v.Suspended.HasDestination(7) != c.frozen || may != c.open {
 				t.Errorf("step %d: %s: version %d, frozen %v, open %v", index, name, v.Version, v.Suspended.HasDestination(7), may)
 			}
 			if other, _ := v.Allows(Call{Destination: 8}); !other {
-				t.Errorf("step %d: %s: a call that no change touches is held up", index, name)
+				t.Errorf("step %d: %s: a call that no change affects is suspended", index, name)
 			}
 		}
 	}
-	if past := m.State().History; len(past) != 3 || past[1].AbortReason != "no" || string(past[0].Document) != closed7 {
-		t.Errorf("%v", past)
+	if history := m.State().History; len(history) != 3 || history[1].AbortReason != "no" || string(history[0].Document) != closed7 {
+		t.Errorf("%v", history)
 	}
 	if _, _, err := m.Apply(19, []byte{0xff}); err == nil {
-		t.Error("a command that can't be read is taken")
+		t.Error("a command that can't be decoded is applied")
 	}
 	if _, _, err := m.Apply(19, nil); err == nil {
-		t.Error("a command of no sort is taken")
+		t.Error("a command without a type is applied")
 	}
 }
 
-// What is remembered of changes is bounded, by number and by bytes; the version in force stays.
+// The history of changes is bounded, in number and in bytes; the document in force is kept.
 func TestMachine_HistoryIsBounded(t *testing.T) {
 	m, index := NewMachine(), uint64(0)
 	doc := "# " + strings.Repeat("x", maxDocumentBytes-100) + "\n"
@@ -304,8 +304,8 @@
 		index += 3
 		for i, p := range []*pb.PolicyCommand{{Command: &pb.PolicyCommand_Propose{Propose: &pb.ProposePolicy{BaseVersion: v, Document: []byte(text), StageTimeoutUs: 1}}},
 			{Command: &pb.PolicyCommand_Freeze{Freeze: &pb.ChangeStep{ChangeId: index}}}, {Command: &pb.PolicyCommand_Commit{Commit: &pb.ChangeStep{ChangeId: index}}}} {
-			if refused := step(t, m, index+uint64(i), p); refused != "" {
-				t.Fatal(refused)
+			if rejection := step(t, m, index+uint64(i), p); rejection != "" {
+				t.Fatal(rejection)
 			}
 		}
 		size := 0
@@ -317,6 +317,6 @@
 		}
 	}
 	if n := len(m.State().History); n != maxHistory {
-		t.Errorf("%d changes are remembered", n)
+		t.Errorf("%d changes are kept", n)
 	}
 }
--- a/internal/fleetpolicy/errors.go
+++ b/internal/fleetpolicy/errors.go
@@ -5,8 +5,9 @@
 	"fmt"
 )
 
-// ErrUnknownCommand reports that a policy command is of a type that this program does not know. It must not go on as if it had applied it.
-var ErrUnknownCommand = errors.New("a command on the policy is of a sort that this program does not know")
+// ErrUnknownCommand reports that a policy command is of a type that this program does not know. The
+// program must not continue as if it had applied the command.
+var ErrUnknownCommand = errors.New("a policy command is of a type that this program does not support")
 
 // DecodeError reports that a command or the state can't be decoded.
 type DecodeError struct {
@@ -20,11 +21,11 @@
 // Unwrap gives the decoder's error.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// DocumentError is what is wrong with a document, for the operator who wrote it.
+// DocumentError reports a fault in a document to the operator who wrote it.
 type DocumentError struct {
-	Document string // its name; "" inside of one that has it
+	Document string // name of the document or of a part of one; "": an enclosing error has it
 	Problem  string
-	Err      error // the cause, if another error tells it
+	Err      error // the underlying error; nil: there is none
 }
 
 // Error is the text that users and logs see.
@@ -48,7 +49,7 @@
 	return &DocumentError{Document: document, Problem: fmt.Sprintf(format, args...)}
 }
 
-// within is an error as that of the named document, or of a part of one.
+// within attributes an error to the named document, or to a part of one.
 func within(document string, err error) error {
 	return &DocumentError{Document: document, Problem: err.Error(), Err: err}
 }
--- a/internal/fleetpolicy/health_rules.go
+++ b/internal/fleetpolicy/health_rules.go
@@ -11,14 +11,14 @@
 	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
-// HealthRule is a table that has the fleet decide the health of destinations together. Without it each sender decides by itself.
+// HealthRule is a table by which the fleet decides the health of destinations together. Without one, each sender decides by itself.
 type HealthRule struct {
 	Destinations  []uint32      `toml:"destinations"`
-	Quorum        int           `toml:"agree,omitempty"`    // senders that have to report it out; default 2. One alone counts after 2 s
-	ProbeInterval tomlfile.Span `toml:"probe,omitempty"`    // while it is ejected one call of all senders goes there in each; default 500ms
-	InitialRate   int64         `toml:"cold"`               // calls per second of all senders as it comes back
-	FullRate      int64         `toml:"warm"`               // which grow to this
-	SlowStart     tomlfile.Span `toml:"warm_for,omitempty"` // in this time; default 14s
+	Quorum        int           `toml:"agree,omitempty"`    // senders that have to report the destination as out; default 2. A single report counts after 2 s
+	ProbeInterval tomlfile.Span `toml:"probe,omitempty"`    // while the destination is ejected, all senders together send it one call per interval; default 500ms
+	InitialRate   int64         `toml:"cold"`               // calls per second of all senders together when slow start begins
+	FullRate      int64         `toml:"warm"`               // calls per second of all senders together when slow start ends
+	SlowStart     tomlfile.Span `toml:"warm_for,omitempty"` // duration of slow start; default 14s
 	TTL           tomlfile.Span `toml:"lasts,omitempty"`    // after which a status that is not renewed expires; default 15s
 	TransitJitter tomlfile.Span `toml:"transit,omitempty"`  // by which the transit of two calls may differ; default 20ms
 }
@@ -29,7 +29,7 @@
 	defaultProbeInterval = 500 * time.Millisecond
 	defaultSlowStart     = 14 * time.Second
 	defaultTTL           = 15 * time.Second
-	minTTL               = 3 * time.Second // it is renewed three times in it
+	minTTL               = 3 * time.Second // a status is renewed three times in its TTL
 	minProbeInterval     = 50 * time.Millisecond
 	maxSlowStart         = time.Hour
 )
@@ -69,7 +69,7 @@
 	return rules, nil
 }
 
-// HealthRule is the rule of a destination; ok is false if there is none, and each sender decides its health by itself.
+// HealthRule is the rule of a destination. ok is false if there is none: then each sender decides the destination's health by itself.
 func (p *Policy) HealthRule(destination uint32) (r health.Rule, ok bool) {
 	r, ok = p.healthRules[destination]
 	return r, ok
@@ -79,10 +79,10 @@
 func (p *Policy) HasHealthRules() bool { return len(p.healthRules) > 0 }
 
 // diffHealthRules is the part of Diff on health rules.
-func diffHealthRules(was, is *Policy) (lines []string) {
+func diffHealthRules(before, after *Policy) (lines []string) {
 	changed := map[uint32]struct{}{}
-	addDifferences(changed, was.healthRules, is.healthRules)
-	word := func(p *Policy, d uint32) string {
+	addDifferences(changed, before.healthRules, after.healthRules)
+	describe := func(p *Policy, d uint32) string {
 		r, ok := p.healthRules[d]
 		if !ok {
 			return "each sender by itself"
@@ -90,7 +90,7 @@
 		return fmt.Sprintf("%d agree, a probe every %v, back with %d calls a second, %d after %v, lasts %v", r.Quorum, r.ProbeInterval, r.InitialRate, r.FullRate, r.SlowStart, r.TTL)
 	}
 	for _, d := range slices.Sorted(maps.Keys(changed)) {
-		lines = append(lines, fmt.Sprintf("destination %d, verdicts: %s -> %s", d, word(was, d), word(is, d)))
+		lines = append(lines, fmt.Sprintf("destination %d, verdicts: %s -> %s", d, describe(before, d), describe(after, d)))
 	}
 	return lines
 }
--- a/internal/fleetpolicy/limit_edit.go
+++ b/internal/fleetpolicy/limit_edit.go
@@ -9,37 +9,37 @@
 	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
-// WithLimit is a document in which a limit replaces those of the same kind of a destination by itself; if remove is set, it has none. Comments of the
-// document are lost.
-func WithLimit(raw []byte, destination uint32, l Limit, none bool) ([]byte, error) {
+// WithLimit returns a document in which a limit replaces the limit of the same kind that applies to a destination alone. If remove is set,
+// the document has no limit of any kind for that destination alone. Comments of the document are lost.
+func WithLimit(raw []byte, destination uint32, l Limit, remove bool) ([]byte, error) {
 	d := &Document{}
 	if err := tomlfile.Decode("the version in force", raw, d); err != nil {
 		return nil, err
 	}
 	l.Destinations, l.Endpoints, l.Tenants, l.Classes = []uint32{destination}, nil, nil, nil
-	var sort quota.Kind
-	if !none {
+	var kind quota.Kind
+	if !remove {
 		q, err := l.quota()
 		if err != nil {
 			return nil, err
 		}
-		sort = q.Kind
+		kind = q.Kind
 	}
-	var keep []Limit
-	for _, was := range d.Limits {
-		q, err := was.quota()
+	var limits []Limit
+	for _, limit := range d.Limits {
+		q, err := limit.quota()
 		if err != nil {
 			return nil, err
 		}
-		if len(was.Tenants)+len(was.Classes) == 0 && (none || q.Kind == sort) {
-			was.Destinations = slices.DeleteFunc(slices.Clone(was.Destinations), func(o uint32) bool { return o == destination })
-			if len(was.Destinations) == 0 && len(was.Endpoints) == 0 {
+		if len(limit.Tenants)+len(limit.Classes) == 0 && (remove || q.Kind == kind) {
+			limit.Destinations = slices.DeleteFunc(slices.Clone(limit.Destinations), func(o uint32) bool { return o == destination })
+			if len(limit.Destinations) == 0 && len(limit.Endpoints) == 0 {
 				continue
 			}
 		}
-		keep = append(keep, was)
+		limits = append(limits, limit)
 	}
-	if d.Limits = keep; !none {
+	if d.Limits = limits; !remove {
 		d.Limits = append(d.Limits, l)
 	}
 	return toml.Marshal(d)
--- a/internal/fleetpolicy/limit_index.go
+++ b/internal/fleetpolicy/limit_index.go
@@ -7,13 +7,13 @@
 	"saffronyard.example/saffronyard/internal/quota"
 )
 
-// limitIndex is the limits of a policy by what they limit, as calls are looked up in it.
+// limitIndex holds the limits of a policy by subject, for looking up the limits of a call.
 type limitIndex struct {
 	bySubject map[subject][]quota.Limit
 	shapes    []shape // that occur, sorted
 }
 
-// add adds a limit of a subject; false if there is one of that key.
+// add adds a limit of a subject. It returns false if the subject already has a limit with that key.
 func (x *limitIndex) add(s subject, l quota.Limit) bool {
 	if slices.ContainsFunc(x.bySubject[s], func(o quota.Limit) bool { return o.Key == l.Key }) {
 		return false
@@ -25,11 +25,11 @@
 	return true
 }
 
-// Usages are the units that a call uses of each limit that applies to it. Of one that is not about to be written, and goes to no
-// endpoint yet, those of endpoints are missing.
+// Usages are the units that a call uses of each limit that applies to it. For a call that is not about to be written, and has no endpoint
+// yet, the limits of endpoints are missing.
 func (p *Policy) Usages(c Call) (uses []quota.Usage) {
-	for _, is := range p.limits.shapes {
-		for _, l := range p.limits.bySubject[c.subjectOf(is)] {
+	for _, shape := range p.limits.shapes {
+		for _, l := range p.limits.bySubject[c.subjectOf(shape)] {
 			units := int64(1)
 			if l.Kind == quota.Bytes {
 				units = max(1, c.Bytes)
@@ -50,7 +50,7 @@
 	return all
 }
 
-// RateLimit is the limit of calls that a destination is under by itself; ok is false if it is under none. It is what its calls are spread by.
+// RateLimit is the limit of calls that applies to a destination alone; ok is false if there is none. The destination's calls are paced by it.
 func (p *Policy) RateLimit(destination uint32) (l quota.Limit, ok bool) {
 	for _, l := range p.limits.bySubject[subject{destination: destination, shape: byDestination}] {
 		if l.Kind == quota.Calls {
@@ -60,7 +60,7 @@
 	return quota.Limit{}, false
 }
 
-// names are the classes and tenants that limits name.
+// names returns the classes and tenants that limits name.
 func (x limitIndex) names() (classes, tenants []string) {
 	c, t := map[string]bool{}, map[string]bool{}
 	for s := range x.bySubject {
--- a/internal/fleetpolicy/limit_text.go
+++ b/internal/fleetpolicy/limit_text.go
@@ -8,7 +8,7 @@
 	"saffronyard.example/saffronyard/internal/quota"
 )
 
-// DescribeLimit is a limit in words for operators.
+// DescribeLimit describes a limit in words for operators.
 func DescribeLimit(l quota.Limit) string {
 	text := ""
 	switch l.Kind {
@@ -34,7 +34,7 @@
 }
 
 // diffLimits is the part of Diff on limits.
-func diffLimits(was, is *Policy) (lines []string) {
+func diffLimits(before, after *Policy) (lines []string) {
 	by := func(p *Policy) map[string]quota.Limit {
 		m := map[string]quota.Limit{}
 		for _, l := range p.Limits() {
@@ -42,17 +42,17 @@
 		}
 		return m
 	}
-	a, b := by(was), by(is)
+	a, b := by(before), by(after)
 	changed := map[string]struct{}{}
 	addDifferences(changed, a, b)
-	word := func(m map[string]quota.Limit, key string) string {
+	describe := func(m map[string]quota.Limit, key string) string {
 		if l, ok := m[key]; ok {
 			return DescribeLimit(l)
 		}
 		return "not limited"
 	}
 	for _, key := range slices.Sorted(maps.Keys(changed)) {
-		lines = append(lines, fmt.Sprintf("%s: %s -> %s", key, word(a, key), word(b, key)))
+		lines = append(lines, fmt.Sprintf("%s: %s -> %s", key, describe(a, key), describe(b, key)))
 	}
 	return lines
 }
--- a/internal/fleetpolicy/limits.go
+++ b/internal/fleetpolicy/limits.go
@@ -11,8 +11,8 @@
 	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
-// Limit is a table that bounds what all senders do together: one of calls, bytes, at_once and a_day, for each of the destinations or endpoints
-// named, each of the tenants, each of the classes, or each pair of two of these.
+// Limit is a table that bounds the calls of all senders together by one of calls, bytes, at_once and a_day, for each of the destinations or
+// endpoints named, each of the tenants, each of the classes, or each pair of two of these.
 type Limit struct {
 	Destinations []uint32 `toml:"destinations,omitempty"`
 	Endpoints    []string `toml:"endpoints,omitempty"`
@@ -20,25 +20,25 @@
 	Classes      []string `toml:"classes,omitempty"`
 
 	Calls      float64 `toml:"calls,omitempty"`   // begun in any span
-	Bytes      int64   `toml:"bytes,omitempty"`   // of the messages of those
+	Bytes      int64   `toml:"bytes,omitempty"`   // of the messages sent in any span
 	Concurrent int64   `toml:"at_once,omitempty"` // calls in flight
-	Daily      int64   `toml:"a_day,omitempty"`   // calls begun in a day (UTC), by the calendars of the limit's owners; it outlasts every process
+	Daily      int64   `toml:"a_day,omitempty"`   // calls begun in a day (UTC), by the clocks of the limit's owners; the count survives restarts of all processes
 
 	Span          tomlfile.Span `toml:"span,omitempty"`    // of calls and bytes; default 1s
 	TransitJitter tomlfile.Span `toml:"transit,omitempty"` // by which the transit of two calls may differ; default 20ms
-	MaxCallTime   tomlfile.Span `toml:"lasts,omitempty"`   // of at_once: no call lasts longer; needed there
+	MaxCallTime   tomlfile.Span `toml:"lasts,omitempty"`   // upper bound on a call's duration; goes with at_once, and is needed there
 
-	PartitionExtra int64 `toml:"over,omitempty"`      // units that each sender without a lease may use beyond what it holds; default 0
-	Reserve        int64 `toml:"floor,omitempty"`     // units that each of the first floor_for members always has, without a lease too
-	ReserveCount   int64 `toml:"floor_for,omitempty"` // goes with floor
-	Adaptive       bool  `toml:"learn,omitempty"`     // of calls: a lower limit that the receiver reports counts
+	PartitionExtra int64 `toml:"over,omitempty"`      // units that each sender without a lease may use beyond its grant; default 0
+	Reserve        int64 `toml:"floor,omitempty"`     // units that each of the first floor_for members always has, even without a lease
+	ReserveCount   int64 `toml:"floor_for,omitempty"` // number of members that have the floor; goes with floor
+	Adaptive       bool  `toml:"learn,omitempty"`     // goes with calls: a lower limit that the receiver reports applies instead
 }
 
 const (
 	maxUnits         = 1 << 40
 	maxSpan          = 24 * time.Hour
 	maxTransitJitter = 10 * time.Second
-	maxLimits        = 20_000 // that the tables of a document come to
+	maxLimits        = 20_000 // that the tables of a document define in total
 
 	defaultSpan          = time.Second
 	defaultTransitJitter = 20 * time.Millisecond
@@ -75,7 +75,7 @@
 	return index, nil
 }
 
-// quota checks the figures of a table, and is the limit that they make, without its key.
+// quota checks the values of a table, and returns the limit that they define, without its key.
 func (l Limit) quota() (q quota.Limit, err error) {
 	q = quota.Limit{Span: cmp.Or(l.Span.D(), defaultSpan), TransitJitter: cmp.Or(l.TransitJitter.D(), defaultTransitJitter), PartitionExtra: l.PartitionExtra, Reserve: l.Reserve, ReserveCount: l.ReserveCount, Adaptive: l.Adaptive}
 	given := 0
@@ -85,7 +85,7 @@
 			return q, invalid("calls = %v: up to %d in the span, and one in %v at least", l.Calls, maxUnits, maxSpan)
 		}
 		q.Kind, q.Units = quota.Calls, int64(l.Calls)
-		if l.Calls < 1 { // fewer than one is one in a longer span
+		if l.Calls < 1 { // less than one call in the span becomes one call in a longer span
 			q.Units, q.Span = 1, time.Duration(float64(q.Span)/l.Calls)
 		}
 	}
--- a/internal/fleetpolicy/machine.go
+++ b/internal/fleetpolicy/machine.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxHistory      = 100     // finished changes that are remembered
+	maxHistory      = 100     // finished changes that are kept
 	maxHistoryBytes = 4 << 20 // of their documents: the oldest are dropped first, the one in force never
 
 	// MaxStageTimeout bounds how long a proposal may wait to be staged everywhere.
@@ -35,7 +35,7 @@
 func (m *Machine) Apply(index uint64, body []byte) (result []byte, rejection string, err error) {
 	c := &pb.PolicyCommand{}
 	if err := proto.Unmarshal(body, c); err != nil {
-		return nil, "", &DecodeError{What: "a command on the policy", Err: err}
+		return nil, "", &DecodeError{What: "a policy command", Err: err}
 	}
 	switch c := c.GetCommand().(type) {
 	case *pb.PolicyCommand_Propose:
@@ -73,7 +73,7 @@
 	return ""
 }
 
-// freeze has the calls that the open change affects be suspended.
+// freeze suspends the calls that the open change affects.
 func (m *Machine) freeze(index uint64, step *pb.ChangeStep) (rejection string) {
 	if rejection := m.checkStep(step); rejection != "" {
 		return rejection
@@ -139,12 +139,12 @@
 	}
 }
 
-// Snapshot encodes the complete state, equal states equally.
+// Snapshot encodes the complete state; equal states have equal encodings.
 func (m *Machine) Snapshot() ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m.state)
 }
 
-// Restore replaces the state by a snapshot's; nil makes it empty. The error is a *DecodeError, or Parse's for a document.
+// Restore replaces the state with a snapshot's; nil makes it empty. The error is a *DecodeError, or Parse's for a document.
 func (m *Machine) Restore(raw []byte) error {
 	s := &pb.PolicyState{}
 	if err := proto.Unmarshal(raw, s); err != nil {
--- a/internal/fleetpolicy/model_state_test.go
+++ b/internal/fleetpolicy/model_state_test.go
@@ -4,7 +4,7 @@
 	"maps"
 )
 
-// Clone is a coordinator with the same state, for those who explore what can become of it.
+// Clone returns a copy of the coordinator, for the model checker.
 func (c *Coordinator) Clone() *Coordinator {
 	d := *c
 	d.staged, d.rejections = maps.Clone(c.staged), maps.Clone(c.rejections)
--- a/internal/fleetpolicy/model_test.go
+++ b/internal/fleetpolicy/model_test.go
@@ -18,46 +18,46 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// The model plays leases and changes with the code that ships (Holder, Granter, Coordinator, Machine, View) against every order
-// of what can happen, breadth first, so that a fault is found by a shortest trace. The log is one list that only the voter that
-// leads adds to, which is what raft gives; all else is free: messages are late, lost or repeated, senders stand still for as
-// long as they like, crash and come back, a leader that was replaced goes on answering as if it led. A leader has applied what it added: it grants at the index that a
-// linearizable read gives, which is never less.
+// The model runs leases and changes with the production code (Holder, Granter, Coordinator, Machine, View) through every order of
+// events, breadth first, so that a fault is found by a shortest trace. The log is one list to which only the leader appends, as raft
+// guarantees. Everything else is unrestricted: messages are late, lost or repeated, senders stall for any time, crash and restart, and
+// a replaced leader continues to answer as if it led. A leader has applied all entries that it appended: it grants at the index that
+// a linearizable read gives, which is never lower.
 
 const tick = time.Second
 
 var modelTerms = lease.Terms{Duration: 2 * tick}
 
-// fault is what a wrong program does.
+// fault is a fault that is injected into the model.
 type fault string
 
 const (
 	none                     fault = ""
-	countedFromReply         fault = "the lease is counted from the answer"
-	stagedBeforeSync         fault = "staged is told before it is on the disk"
-	noWaitForExpiry          fault = "committed without waiting for a lapse"
-	formerLeaderBelieved     fault = "an old leader's word is taken"
-	noGracePeriod            fault = "a new leader takes nobody for a holder"
-	requiredIndexIgnored     fault = "a lease counts before its state has come"
-	actingIndexAhead         fault = "acts is told for what has come and is not applied"
+	countedFromReply         fault = "the lease is counted from the reply"
+	stagedBeforeSync         fault = "a change is reported as staged before it is on the disk"
+	noWaitForExpiry          fault = "committed without waiting for leases to expire"
+	formerLeaderAccepted     fault = "a grant of a former leader is accepted"
+	noGracePeriod            fault = "a new leader has no grace period"
+	requiredIndexIgnored     fault = "a lease counts before its required index is applied"
+	actingIndexAhead         fault = "the acting index is reported before it is applied"
 	freezeSkipped            fault = "committed as soon as it is staged"
 	freezeIgnored            fault = "a frozen call is begun"
-	leaseOutlivesProcess     fault = "a new process goes by the lease of the former one"
-	checkedAtWake            fault = "the lease is looked at when the sender wakes, not when it writes"
-	granterCountsFromRequest fault = "the granter counts from before it granted"
+	leaseOutlivesProcess     fault = "a restarted process uses the lease of the former one"
+	checkedAtWake            fault = "the lease is checked when the sender wakes, not when it writes"
+	granterCountsFromRequest fault = "the granter counts the lease from before the grant"
 )
 
-// world is one state.
+// world is one state of the model.
 type world struct {
-	now       int
-	log       string // steps: p, f, c, a
-	leader    modelLeader
-	old       *modelLeader // replaced, and unaware of it
-	elections int
-	crashes   int
-	senders   [3]modelSender
-	repeats   int    // questions that were heard twice
-	acted     uint64 // the newest version that anybody could act under
+	now          int
+	log          string // a letter per entry: p propose, f freeze, c commit, a abort
+	leader       modelLeader
+	formerLeader *modelLeader // a replaced leader that continues to answer
+	elections    int
+	crashes      int
+	senders      [3]modelSender
+	repeats      int    // requests that were delivered twice
+	newestActed  uint64 // the newest version that any sender was allowed to act under
 }
 
 type modelLeader struct {
@@ -68,11 +68,11 @@
 
 type modelSender struct {
 	incarnation uint64
-	applied     int    // of the log
+	applied     int    // entries of the log
 	staged      uint64 // change on the disk
 	reported    uint64 // change that it reported as staged
 	holder      *lease.Holder
-	wokeAt      int // when it last did anything
+	wokeAt      int // time of its last event
 	request     *modelRequest
 	grant       *modelGrant
 }
@@ -92,26 +92,26 @@
 }
 
 type model struct {
-	fault   fault
-	senders int
-	ticks   int
-	changes int
-	crashes int
-	elects  int
-	repeats int
-	wait    int                    // ticks until a change that is not staged is aborted; 0: a minute
-	states  map[string]*modelState // by log
-	names   [3]string
+	fault        fault
+	senders      int
+	ticks        int
+	changes      int
+	crashes      int
+	maxElections int
+	repeats      int
+	wait         int                    // ticks until a change that is not staged is aborted; 0: a minute
+	states       map[string]*modelState // by log
+	names        [3]string
 }
 
-// modelState is the state that a log makes, and what a sender goes by that has come so far.
+// modelState is the state that results from a log, and the view of a sender that has applied that log.
 type modelState struct {
 	*Machine
 	view   *View
-	frozen bool // the call that all changes touch
+	frozen bool // the call that all changes affect is suspended
 }
 
-// machine is the state that a log makes; made once for each.
+// machine returns the state that results from a log. It computes the state of each log once.
 func (m *model) machine(log string) *modelState {
 	if got := m.states[log]; got != nil {
 		return got
@@ -123,7 +123,7 @@
 		switch step {
 		case "p":
 			doc := []byte("[[route]]\ndestinations = [7]\nstate = \"closed\"\n")
-			if ma.state.Version%2 == 1 { // and back: each version differs for the same call
+			if ma.state.Version%2 == 1 { // consecutive versions differ for the same call
 				doc = []byte("# open again\n")
 			}
 			c.Command = &pb.PolicyCommand_Propose{Propose: &pb.ProposePolicy{BaseVersion: ma.state.Version, Document: doc, StageTimeoutUs: m.waitUS()}}
@@ -138,8 +138,8 @@
 		if err != nil {
 			panic(err)
 		}
-		if _, refused, err := ma.Apply(index, body); err != nil || refused != "" {
-			panic(fmt.Sprint(log, i, refused, err))
+		if _, rejection, err := ma.Apply(index, body); err != nil || rejection != "" {
+			panic(fmt.Sprint(log, i, rejection, err))
 		}
 	}
 	st := &modelState{Machine: ma, view: ma.View(uint64(len(log)), Settings{})}
@@ -167,11 +167,11 @@
 
 var seed = maphash.MakeSeed()
 
-// Key tells states apart, as they matter from now on. Senders are alike to the property: those that swap places make the
-// same state.
+// Key is equal for states from which the same can follow. The property treats all senders alike: states that differ only by a
+// permutation of senders have the same key.
 func (m *model) Key(w *world) modelcheck.Key {
 	now := w.clock()
-	b := append(make([]byte, 0, 256), byte(w.now), byte(w.elections), byte(w.crashes), byte(w.repeats), byte(w.acted))
+	b := append(make([]byte, 0, 256), byte(w.now), byte(w.elections), byte(w.crashes), byte(w.repeats), byte(w.newestActed))
 	b = append(b, w.log...)
 	c := w.leader.coord
 	b = append(w.leader.granter.AppendState(append(b, ';'), now, ""), byte(w.leader.applied), byte(c.change), byte(c.lastStep.change), byte(c.lastStep.at/tick))
@@ -200,13 +200,13 @@
 			e = append(e, 'g', byte(g.incarnation), byte(g.requestedAt/tick), byte(g.requiredIndex))
 		}
 		e = w.leader.granter.AppendState(append(e, 'l'), now, name)
-		for life := range s.incarnation + 1 {
-			if c.staged[lease.HolderID{Name: name, Incarnation: life}] {
-				e = append(e, 's', byte(life))
+		for incarnation := range s.incarnation + 1 {
+			if c.staged[lease.HolderID{Name: name, Incarnation: incarnation}] {
+				e = append(e, 's', byte(incarnation))
 			}
 		}
-		if w.old != nil && m.fault == formerLeaderBelieved {
-			e = w.old.granter.AppendState(append(e, 'o', byte(w.old.applied)), now, name)
+		if w.formerLeader != nil && m.fault == formerLeaderAccepted {
+			e = w.formerLeader.granter.AppendState(append(e, 'o', byte(w.formerLeader.applied)), now, name)
 		}
 		each = append(each, string(e))
 	}
@@ -219,8 +219,8 @@
 
 func (w *world) clock() time.Duration { return time.Duration(w.now+1) * tick }
 
-// may is whether a sender may begin the call that all changes touch, and under which version.
-func (m *model) may(w *world, i int) (uint64, bool) {
+// mayAct reports whether a sender may begin the call that all changes affect, and under which version.
+func (m *model) mayAct(w *world, i int) (uint64, bool) {
 	s := &w.senders[i]
 	now := w.clock()
 	if m.fault == checkedAtWake {
@@ -240,24 +240,24 @@
 	return st.view.Version, true
 }
 
-// broken says which property a state breaks; "" for none.
-func (m *model) broken(w *world) string {
-	newest := w.acted
+// violation describes the violation of the property in a state; "": there is none.
+func (m *model) violation(w *world) string {
+	newest := w.newestActed
 	for i := range m.senders {
-		if v, may := m.may(w, i); may {
+		if v, may := m.mayAct(w, i); may {
 			newest = max(newest, v)
 		}
 	}
 	for i := range m.senders {
-		if v, may := m.may(w, i); may && v < newest {
-			return fmt.Sprintf("%s may act under version %d, and version %d was acted under", m.names[i], v, newest)
+		if v, may := m.mayAct(w, i); may && v < newest {
+			return fmt.Sprintf("%s may act under version %d after a sender could under version %d", m.names[i], v, newest)
 		}
 	}
-	w.acted = newest
+	w.newestActed = newest
 	return ""
 }
 
-// Next is all that can happen, each with what it is called.
+// Next visits the successors of a state, each with the name of its event.
 func (m *model) Next(w *world, visit func(what string, n *world, broken string)) {
 	do := func(what string, change func(n *world) (broken string)) {
 		n := w.clone()
@@ -266,12 +266,12 @@
 			return
 		}
 		if broken == "" {
-			broken = m.broken(n)
+			broken = m.violation(n)
 		}
 		visit(what, n, broken)
 	}
 	if w.now < m.ticks {
-		do("a second goes by", func(n *world) string { n.now++; return "" })
+		do("a second passes", func(n *world) string { n.now++; return "" })
 	}
 	if n := strings.Count(w.log, "p"); n < m.changes && m.machine(w.log).State().OpenChange == nil {
 		do(fmt.Sprintf("change %d is proposed", n+1), func(n *world) string {
@@ -280,11 +280,11 @@
 			return ""
 		})
 	}
-	if w.elections < m.elects {
-		do("another voter leads", func(n *world) string {
+	if w.elections < m.maxElections {
+		do("another voter becomes leader", func(n *world) string {
 			n.elections++
 			old := n.leader
-			n.old = &old
+			n.formerLeader = &old
 			n.leader = modelLeader{lease.NewGranter(modelTerms, n.clock()), &Coordinator{}, len(n.log)}
 			if m.fault == noGracePeriod {
 				n.leader.granter = withoutGracePeriod()
@@ -336,8 +336,8 @@
 	return ""
 }
 
-// closed is whether all changes are over.
-func (m *model) closed(w *world) bool {
+// allFinished reports whether all changes are finished.
+func (m *model) allFinished(w *world) bool {
 	st := m.machine(w.log).State()
 	return st.OpenChange == nil && len(st.History) == m.changes
 }
@@ -363,17 +363,17 @@
 			return ""
 		})
 		if s.reported < o.Id {
-			do(name+" tells that it has staged", func(n *world) string { n.senders[i].reported = o.Id; return "" })
+			do(name+" reports the change as staged", func(n *world) string { n.senders[i].reported = o.Id; return "" })
 		}
 	}
 	acts := s.applied
 	if m.fault == actingIndexAhead {
 		acts = len(w.log)
 	}
-	if m.fault == none && m.closed(w) {
-		// Nothing comes behind the log any more. What is granted from now on counts only for one that has all of it.
+	if m.fault == none && m.allFinished(w) {
+		// The log does not grow any more. A lease granted from now on counts only for a sender that has applied all of the log.
 	} else if s.request == nil || s.request.incarnation != s.incarnation || s.request.actingIndex != acts || s.request.staged != s.reported || s.request.requestedAt < w.clock() {
-		do(name+" asks", func(n *world) string {
+		do(name+" requests a lease", func(n *world) string {
 			t := &n.senders[i]
 			t.holder = t.holder.Clone()
 			t.request = &modelRequest{t.incarnation, t.holder.Request(n.clock()), acts, t.reported, false}
@@ -381,36 +381,36 @@
 			return ""
 		})
 	}
-	if s.request != nil && (!s.request.received || w.repeats < m.repeats) && !(m.fault == none && m.closed(w)) {
-		do("the leader hears "+name, func(n *world) string { n.leader = n.leader.clone(); return m.hear(n, &n.leader, i, true) })
-		if w.old != nil {
-			do("the old leader hears "+name, func(n *world) string {
-				old := n.old.clone()
-				n.old = &old
-				return m.hear(n, n.old, i, m.fault == formerLeaderBelieved)
+	if s.request != nil && (!s.request.received || w.repeats < m.repeats) && !(m.fault == none && m.allFinished(w)) {
+		do("the leader receives the request of "+name, func(n *world) string { n.leader = n.leader.clone(); return m.receiveRequest(n, &n.leader, i, true) })
+		if w.formerLeader != nil {
+			do("the former leader receives the request of "+name, func(n *world) string {
+				old := n.formerLeader.clone()
+				n.formerLeader = &old
+				return m.receiveRequest(n, n.formerLeader, i, m.fault == formerLeaderAccepted)
 			})
 		}
 	}
 	if g := s.grant; g != nil && g.incarnation == s.incarnation {
-		do(name+" is granted", func(n *world) string {
+		do(name+" receives its grant", func(n *world) string {
 			t := &n.senders[i]
-			asked := g.requestedAt
+			requestedAt := g.requestedAt
 			t.holder = t.holder.Clone()
 			if m.fault == countedFromReply {
-				asked = t.holder.Request(n.clock())
+				requestedAt = t.holder.Request(n.clock())
 			}
-			t.holder.RecordGrant(asked, g.requiredIndex, modelTerms.Duration, n.clock())
-			t.grant = nil // again it would say nothing: the question is answered
+			t.holder.RecordGrant(requestedAt, g.requiredIndex, modelTerms.Duration, n.clock())
+			t.grant = nil // a repeated reply has no effect: the request is answered
 			t.wokeAt = n.now
 			return ""
 		})
 	}
 	if w.crashes < m.crashes {
 		for _, old := range []bool{false, true} {
-			what := " crashes and comes back"
+			what := " crashes and restarts"
 			if old {
 				if s.applied == 0 && s.staged == 0 {
-					continue // the same folder
+					continue // an old folder has the same content
 				}
 				what += " with an old folder"
 			}
@@ -431,35 +431,35 @@
 	}
 }
 
-// hear is a question that reaches one who leads, or believes so; confirmed is whether a majority says that it does.
-func (m *model) hear(n *world, l *modelLeader, i int, confirmed bool) string {
+// receiveRequest delivers a sender's request to the leader or to a former one; confirmed is whether a majority confirms the leadership.
+func (m *model) receiveRequest(n *world, l *modelLeader, i int, confirmed bool) string {
 	s := &n.senders[i]
 	if s.request.received {
 		n.repeats++
 	}
-	ask := *s.request
-	ask.received = true
-	s.request = &ask
-	who := lease.HolderID{Name: m.names[i], Incarnation: s.request.incarnation}
-	l.granter.RecordRequest(who, uint64(s.request.actingIndex))
+	request := *s.request
+	request.received = true
+	s.request = &request
+	holder := lease.HolderID{Name: m.names[i], Incarnation: s.request.incarnation}
+	l.granter.RecordRequest(holder, uint64(s.request.actingIndex))
 	if s.request.staged > 0 {
-		l.coord.RecordStaged(who, s.request.staged, "")
+		l.coord.RecordStaged(holder, s.request.staged, "")
 	}
 	if !confirmed {
 		return ""
 	}
-	if !l.coord.MayGrant(who, uint64(s.request.actingIndex), m.machine(n.log[:l.applied]).State()) {
+	if !l.coord.MayGrant(holder, uint64(s.request.actingIndex), m.machine(n.log[:l.applied]).State()) {
 		return ""
 	}
 	at := n.clock()
 	if m.fault == granterCountsFromRequest {
 		at = s.request.requestedAt - tick
 	}
-	s.grant = &modelGrant{s.request.incarnation, s.request.requestedAt, l.granter.Grant(who, uint64(l.applied), at)}
+	s.grant = &modelGrant{s.request.incarnation, s.request.requestedAt, l.granter.Grant(holder, uint64(l.applied), at)}
 	return ""
 }
 
-// Three senders and two changes have too many states to be walked whole: all that lie within a number of steps are.
+// Three senders and two changes have too many states for a complete search: all states within a number of steps are checked.
 func TestModel_HoldsWithinSteps(t *testing.T) {
 	steps := 9
 	if n, err := strconv.Atoi(os.Getenv("SAFFRONYARD_MODEL_STEPS")); err == nil {
@@ -472,11 +472,11 @@
 		t.Fatal(r.Broken)
 	}
 	t.Logf("%d states within %d steps: %v", r.States, steps, r.Layers)
-	// The bound reaches a wrong program's fault, so that what it does not find says something.
-	wrong := *m
-	wrong.fault, wrong.crashes, wrong.repeats = countedFromReply, 0, 0
-	if r := modelcheck.Reach(&wrong, steps); r.Broken == "" {
-		t.Errorf("within %d steps not even a lease that is counted from its answer is found", steps)
+	// The bound is high enough to find an injected fault: a search that can't reach any fault would prove nothing.
+	faulty := *m
+	faulty.fault, faulty.crashes, faulty.repeats = countedFromReply, 0, 0
+	if r := modelcheck.Reach(&faulty, steps); r.Broken == "" {
+		t.Errorf("within %d steps the fault of a lease that is counted from the reply is not found", steps)
 	}
 }
 
@@ -491,18 +491,18 @@
 	return w
 }
 
-// No order of events breaks the property: all states of small fleets to the bounds named. SAFFRONYARD_MODEL=large walks larger
-// ones, for some minutes (docs/design/agreed.md has their counts).
+// No order of events violates the property: all states of small fleets within the given bounds are checked. SAFFRONYARD_MODEL=large
+// checks larger fleets, which takes some minutes (docs/design/agreed.md has their counts).
 func TestModel_Holds(t *testing.T) {
 	small := map[string]*model{
 		"two senders":                       {senders: 2, ticks: 3, changes: 1},
 		"two senders, a deadline":           {senders: 2, ticks: 2, changes: 1, wait: 1},
-		"two senders, new leaders":          {senders: 2, ticks: 2, changes: 1, elects: 1},
+		"two senders, new leaders":          {senders: 2, ticks: 2, changes: 1, maxElections: 1},
 		"two senders, a crash and a repeat": {senders: 2, ticks: 2, changes: 1, crashes: 1, repeats: 1},
 	}
 	large := map[string]*model{
 		"two senders, two changes":           {senders: 2, ticks: 3, changes: 2},
-		"two senders, a crash, a new leader": {senders: 2, ticks: 2, changes: 1, crashes: 1, elects: 1},
+		"two senders, a crash, a new leader": {senders: 2, ticks: 2, changes: 1, crashes: 1, maxElections: 1},
 		"two senders, two deadlines":         {senders: 2, ticks: 2, changes: 2, wait: 1},
 		"three senders":                      {senders: 3, ticks: 2, changes: 1},
 		"three senders, two changes":         {senders: 3, ticks: 2, changes: 2},
@@ -521,23 +521,23 @@
 				t.Fatalf("%s, after\n  %s", r.Broken, strings.Join(r.Trace, "\n  "))
 			}
 			if r.States >= most {
-				t.Errorf("more than %d states: they were not all seen", most)
+				t.Errorf("more than %d states: not all were checked", most)
 			}
 			t.Logf("%d states", r.States)
 		})
 	}
 }
 
-// Each wrong program is found, by a shortest trace.
+// Each injected fault is found, by a shortest trace.
 func TestModel_FindsFaults(t *testing.T) {
-	for _, f := range []fault{countedFromReply, stagedBeforeSync, noWaitForExpiry, formerLeaderBelieved, noGracePeriod, requiredIndexIgnored, actingIndexAhead, freezeSkipped,
+	for _, f := range []fault{countedFromReply, stagedBeforeSync, noWaitForExpiry, formerLeaderAccepted, noGracePeriod, requiredIndexIgnored, actingIndexAhead, freezeSkipped,
 		freezeIgnored, leaseOutlivesProcess, checkedAtWake, granterCountsFromRequest} {
 		t.Run(string(f), func(t *testing.T) {
 			t.Parallel()
 			m := &model{fault: f, senders: 2, ticks: 2, changes: 1}
 			switch f {
-			case formerLeaderBelieved, noGracePeriod:
-				m.elects = 1
+			case formerLeaderAccepted, noGracePeriod:
+				m.maxElections = 1
 			case leaseOutlivesProcess, stagedBeforeSync:
 				m.crashes = 1
 			default:
--- a/internal/fleetpolicy/policy.go
+++ b/internal/fleetpolicy/policy.go
@@ -7,7 +7,7 @@
 	"saffronyard.example/saffronyard/internal/health"
 )
 
-// Policy is a checked document, in the form that calls are judged by. It is immutable.
+// Policy is a checked document, in the form that calls are checked against. It is immutable.
 type Policy struct {
 	document    *Document
 	routes      map[uint32]routeRule
@@ -17,22 +17,22 @@
 	healthRules map[uint32]health.Rule
 }
 
-// routeRule is what a route says of a destination.
+// routeRule is the rule that a route sets for a destination.
 type routeRule struct {
 	closed bool
-	kind   string // whose settings apply; "": its own
-	to     uint32 // if it is neither closed nor has a kind: where its messages move
+	kind   string // kind whose settings apply; "": the destination's own kind
+	to     uint32 // destination that the messages move to, if closed is false and kind is empty
 }
 
-// Empty is the policy before the first document: all calls go as the platform's settings have it.
+// Empty is the policy before the first document: the platform's settings apply to all calls.
 func Empty() *Policy { return &Policy{document: &Document{OnPartition: partitionHold}} }
 
-// Call is what a policy judges: a message and its destination.
+// Call is a call to check against a policy: a message and its destination.
 type Call struct {
 	Destination uint32
 	Tenant      string
 
-	// What else limits apply to; empty where no call is about to be written.
+	// Other fields that limits apply to; empty unless a call is about to be written.
 	Endpoint string
 	Class    string
 	Bytes    int64
@@ -52,7 +52,7 @@
 	return listed
 }
 
-// Allows reports whether a call may be begun; if not, why tells the reason in words for operators.
+// Allows reports whether a call may be begun; if not, why is the reason in words for operators.
 func (p *Policy) Allows(c Call) (ok bool, why string) {
 	if r, ruled := p.routes[c.Destination]; ruled && r.kind == "" {
 		if r.closed {
@@ -74,10 +74,10 @@
 	return destination
 }
 
-// MaxDeadline bounds the deadline of a class's messages, from their submission; 0: it does not.
+// MaxDeadline bounds the deadline of a class's messages, from their submission; 0: there is no bound.
 func (p *Policy) MaxDeadline(class string) time.Duration { return p.classes[class] }
 
-// PartitionGrace is for how long a sender without a lease goes on beginning calls; 0: it stops at once.
+// PartitionGrace is for how long a sender may still begin calls after its lease has expired; 0: not at all.
 func (p *Policy) PartitionGrace() time.Duration {
 	if p.document.OnPartition == partitionContinue {
 		return p.document.PartitionGrace.D()
--- a/internal/fleetpolicy/settings.go
+++ b/internal/fleetpolicy/settings.go
@@ -10,7 +10,7 @@
 // Settings are the names of a sender's settings that a policy may use.
 type Settings struct{ Classes, Tenants, Kinds []string }
 
-// CheckSettings checks that a sender with these settings can follow the policy. If one can't, it rejects the policy, which then takes effect
+// CheckSettings checks that a sender with these settings can apply the policy. A sender that can't rejects the policy, which then takes effect
 // nowhere. The error is a *SettingsError.
 func (p *Policy) CheckSettings(s Settings) error {
 	kinds := map[string]bool{}
@@ -24,7 +24,7 @@
 		checkNames("kind", sortedKeys(kinds), s.Kinds))
 }
 
-// checkNames is the first name that the settings lack, as an error.
+// checkNames returns a *SettingsError for the first name that the settings lack.
 func checkNames(what string, names, has []string) error {
 	for _, name := range names {
 		if !slices.Contains(has, name) {
--- a/internal/fleetpolicy/subject.go
+++ b/internal/fleetpolicy/subject.go
@@ -14,7 +14,7 @@
 	class       string
 }
 
-// shape is the set of a subject's fields that are named.
+// shape is the set of fields that a subject names.
 type shape uint8
 
 const (
@@ -42,19 +42,19 @@
 	return strings.Join(parts, ", ")
 }
 
-// subjectOf is the subject of a shape that a call falls under.
-func (c Call) subjectOf(is shape) subject {
-	s := subject{shape: is}
-	if is&byDestination != 0 {
+// subjectOf is the subject with the given shape that a call belongs to.
+func (c Call) subjectOf(shape shape) subject {
+	s := subject{shape: shape}
+	if shape&byDestination != 0 {
 		s.destination = c.Destination
 	}
-	if is&byEndpoint != 0 {
+	if shape&byEndpoint != 0 {
 		s.endpoint = c.Endpoint
 	}
-	if is&byTenant != 0 {
+	if shape&byTenant != 0 {
 		s.tenant = c.Tenant
 	}
-	if is&byClass != 0 {
+	if shape&byClass != 0 {
 		s.class = c.Class
 	}
 	return s
