--- a/internal/fleet/addresses.go
+++ b/internal/fleet/addresses.go
@@ -7,7 +7,7 @@
 	"saffronyard.example/saffronyard/internal/replicatedlog"
 )
 
-// address is where a voter is reached: as configured, or else as the command that added it says; "" if it is not known.
+// address returns a voter's address: the configured one, or else that of the command that added the voter; "" if none is known.
 func (n *Node) address(name string) string {
 	for _, v := range n.cfg.Voters {
 		if v.Name == name {
@@ -24,7 +24,7 @@
 	return ""
 }
 
-// nameOf is the name of a voter by its id; one that is not known is named for the id.
+// nameOf returns the name of a voter by its id; for an unknown voter it is made from the id.
 func (n *Node) nameOf(id uint64) string {
 	for _, v := range n.cfg.Voters {
 		if replicatedlog.VoterID(v.Name) == id {
@@ -41,7 +41,8 @@
 	return fmt.Sprintf("voter %x", id)
 }
 
-// voterNames are the voters in the order in which they are called: this sender if it is one, then the one that is followed, then the others.
+// voterNames are the voters in the order in which they are called: this sender if it is a voter, then the voter whose
+// log is followed, then the others.
 func (n *Node) voterNames() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleet/admission.go
+++ b/internal/fleet/admission.go
@@ -4,9 +4,9 @@
 	"saffronyard.example/saffronyard/internal/fleetpolicy"
 )
 
-// Admit asks, at the moment of writing, whether a call may be begun, and takes the units that it uses of limits. If it may, written is to be called
-// as soon as it is written, or will not be; finished, if it is not nil, when it has ended, with whether it was written. If it may not, why
-// tells the reason in words for operators.
+// Admit decides, when a call is about to be written, whether it may be begun, and takes the units of limits that the call uses. If the call may
+// be begun, the caller must call written as soon as the call is written, or will not be written, and finished, if it is not nil, when the call
+// has ended, with whether it was written. If the call may not be begun, why is the reason in words for operators.
 func (n *Node) Admit(c fleetpolicy.Call) (written func(), finished func(wasWritten bool), why string) {
 	written, why = n.gate.Admit(c)
 	if why != "" {
@@ -30,7 +30,7 @@
 	}, ""
 }
 
-// AddBacklog changes the number of messages that wait to be sent as the given call, by a number that may be negative.
+// AddBacklog adds a number of messages, which may be negative, to the backlog of messages that wait to be sent as the given call.
 func (n *Node) AddBacklog(c fleetpolicy.Call, messages int64) {
 	v := n.gate.current()
 	if v == nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// SetBacklog replaces the numbers of waiting messages.
+// SetBacklog replaces the backlog of all calls.
 func (n *Node) SetBacklog(waiting map[fleetpolicy.Call]int64) {
 	v := n.gate.current()
 	if v == nil {
--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -8,17 +8,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the time since the machine was started, including time in which it was suspended: leases go on meanwhile. (CLOCK_BOOTTIME; package
-// time uses CLOCK_MONOTONIC, which stands still then.)
+// Now is the time since the machine was started, including time in which it was suspended, because leases expire meanwhile. It reads
+// CLOCK_BOOTTIME; package time uses CLOCK_MONOTONIC, which does not advance while the machine is suspended.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic(fmt.Sprintf("the machine's clock: %v", err)) // it has had one since Linux 2.6.39
+		panic(fmt.Sprintf("the machine's clock: %v", err)) // CLOCK_BOOTTIME exists since Linux 2.6.39
 	}
 	return time.Duration(ts.Nano())
 }
 
-// coarseClock is Now without a system call, set by it once a second: it lacks time in which the machine was suspended since.
+// coarseClock returns a clock that calls Now once a second and makes no system call in between. It lacks time in which the machine was
+// suspended since the last such call.
 func coarseClock() func() time.Duration {
 	type mark struct {
 		at  time.Time
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -12,8 +12,8 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Propose proposes a change of the policy, and returns its id once the log has it; see FinishedChange for how it ends. The error wraps ErrRejected
-// if the fleet rejected it.
+// Propose proposes a change of the policy, and returns its id once the log has it. FinishedChange reports how the change ended. The error wraps
+// ErrRejected if the fleet rejected the proposal.
 func (n *Node) Propose(ctx context.Context, p *pb.ProposePolicy) (change uint64, err error) {
 	if _, err := fleetpolicy.Parse("document", p.Document); err != nil {
 		return 0, err
@@ -53,7 +53,7 @@
 	return r.Index, nil
 }
 
-// FinishedChange is how a change ended; ok is false while it has not, as far as this sender knows.
+// FinishedChange returns how a change ended; ok is false if it has not ended as far as this sender has applied the log.
 func (n *Node) FinishedChange(change uint64) (finished *pb.FinishedChange, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -65,7 +65,8 @@
 	return nil, false
 }
 
-// WaitCurrent waits until this sender's replica has come to where the log was at the call, as a majority confirms: a linearizable read.
+// WaitCurrent is a linearizable read: it waits until this sender's replica has applied all that was committed at the time of the call, which a
+// majority confirms.
 func (n *Node) WaitCurrent(ctx context.Context) error {
 	var need uint64
 	if err := n.callAnyVoter(ctx, func(ctx context.Context, client pb.FleetClient) error {
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -16,7 +16,7 @@
 	maxNameBytes         = 128
 )
 
-// Check checks a configuration, defaults applied. The error is a *ConfigError.
+// Check checks a configuration after ApplyDefaults. The error is a *ConfigError.
 func (c *Config) Check() error {
 	if c.Name == "" || len(c.Name) > maxNameBytes {
 		return invalidConfig("name %q is empty or over %d bytes", c.Name, maxNameBytes)
@@ -37,7 +37,7 @@
 		return invalidConfig("%d voters; from 1 to %d are possible", len(c.Voters), maxVoters)
 	}
 	if least := c.minQuotaDuration(); c.QuotaDuration != 0 && (c.QuotaDuration < least || c.QuotaDuration > MaxQuotaDuration) {
-		return invalidConfig("lend = %v is not from %v, which a lease that lapses and a roster take, to %v", c.QuotaDuration, least, MaxQuotaDuration)
+		return invalidConfig("lend = %v is not from %v (the time until a failed owner is replaced) to %v", c.QuotaDuration, least, MaxQuotaDuration)
 	}
 	if _, err := peers.NewRouteTable(c.Reach); err != nil {
 		return &ConfigError{Problem: err.Error(), Err: err}
@@ -45,7 +45,7 @@
 	seen := map[string]bool{}
 	for i, v := range c.Voters {
 		if v.Name == "" || len(v.Name) > maxNameBytes || seen[v.Name] {
-			return invalidConfig("voter %d: name %q is empty, too long or there twice", i+1, v.Name)
+			return invalidConfig("voter %d: name %q is empty, too long or a duplicate", i+1, v.Name)
 		}
 		seen[v.Name] = true
 		if err := loopback(v.Address); err != nil {
@@ -58,14 +58,14 @@
 // MaxQuotaDuration bounds how long units of a limit are granted for.
 const MaxQuotaDuration = 10 * time.Minute
 
-// minQuotaDuration is how long a limit has no owner after one died: until its lease has expired and a membership without it is active. Clients
-// would be without units meanwhile.
+// minQuotaDuration is how long a limit has no owner after its owner died: until the owner's lease has expired and a membership without it is
+// active. With shorter grants, clients would be without units meanwhile.
 func (c *Config) minQuotaDuration() time.Duration {
 	return c.LeaseTerms.GranterDuration() + 300*time.Millisecond
 }
 
-// quotaDrift is the clock drift that limits allow for: it costs them twice that fraction of each span. The fleet is tested at it; where clocks
-// are known to be worse, the lease's counts.
+// quotaDrift is the clock drift that limits allow for. It costs them twice that fraction of each span. The fleet is tested with this drift; if a
+// drift above the default is configured for leases, it applies to limits as well.
 func (c *Config) quotaDrift() float64 {
 	if c.LeaseTerms.MaxDrift > lease.DefaultDrift {
 		return c.LeaseTerms.MaxDrift
@@ -73,7 +73,7 @@
 	return min(c.LeaseTerms.MaxDrift, lease.DefaultDrift/2)
 }
 
-// quotaDuration is how long units are granted for: half as long again as a lease, and some requests.
+// quotaDuration is how long units are granted for; by default one and a half times a lease, and 500 ms for some requests.
 func (c *Config) quotaDuration() time.Duration {
 	if c.QuotaDuration > 0 {
 		return c.QuotaDuration
--- a/internal/fleet/connections.go
+++ b/internal/fleet/connections.go
@@ -29,7 +29,7 @@
 	return &connections{keys: keys, conns: map[string]*grpc.ClientConn{}}
 }
 
-// client is a client of the sender at an address; the connection is made as it is first used, and again as it breaks.
+// client returns a client of the sender at an address. The connection is made at its first use, and again after it breaks.
 func (c *connections) client(address string) (pb.FleetClient, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +57,7 @@
 	}
 }
 
-// sendLoop keeps a stream to a voter and sends the messages of its outbox, until ctx ends.
+// sendLoop keeps a stream open to a voter and sends the messages of its outbox, until ctx ends.
 func (n *Node) sendLoop(ctx context.Context, name string, ring *worker.RingBuffer[*raftpb.Message]) {
 	for ctx.Err() == nil {
 		err := n.sendStream(ctx, name, ring)
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -8,18 +8,18 @@
 var (
 	// ErrRejected reports that the fleet rejected a command: it changed nothing.
 	ErrRejected = errors.New("refused")
-	// ErrNewerFormat reports that a file was written by a newer program. It is left as it is.
-	ErrNewerFormat = errors.New("it was written by a newer program")
+	// ErrNewerFormat reports that a file was written by a newer program. The file is left unchanged.
+	ErrNewerFormat = errors.New("the file was written by a newer program")
 	// ErrNoVoterKnown reports that no voter's address is known.
 	ErrNoVoterKnown = errors.New("no voter is known")
-	// ErrStopping reports that the node stops.
+	// ErrStopping reports that the node is stopping.
 	ErrStopping = errors.New("this sender is leaving")
 )
 
-// ConfigError is what is wrong with a configuration.
+// ConfigError reports an invalid configuration.
 type ConfigError struct {
 	Problem string
-	Err     error // the cause, if another error tells it
+	Err     error // the cause; nil: there is no other error
 }
 
 // Error is the text that users and logs see.
@@ -37,10 +37,10 @@
 	return &ConfigError{Problem: fmt.Sprintf(format, args...) + ": " + cause.Error(), Err: cause}
 }
 
-// ParameterError is what is wrong with a parameter of an operator's request.
+// ParameterError reports an invalid parameter of an operator's request.
 type ParameterError struct {
 	Problem string
-	Err     error // the cause, if another error tells it
+	Err     error // the cause; nil: there is no other error
 }
 
 // Error is the text that users and logs see.
@@ -67,7 +67,7 @@
 
 // Error is the text that users and logs see.
 func (e *ForeignFileError) Error() string {
-	return fmt.Sprintf("it is the file of %s %q, not of %q", e.What, e.Got, e.Want)
+	return fmt.Sprintf("the file belongs to %s %q, not to %q", e.What, e.Got, e.Want)
 }
 
 // MissingEntryError reports that a voter's file lacks an entry, or has one that can't be decoded.
--- a/internal/fleet/feed.go
+++ b/internal/fleet/feed.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	maxFeedEntries  = 20_000 // that a voter retains for followers; one that is further behind gets a snapshot
-	maxChunkEntries = 500    // entries in a piece
+	maxFeedEntries  = 20_000 // that a voter retains for followers; a follower that is further behind gets a snapshot
+	maxChunkEntries = 500    // in a chunk
 	maxChunkBytes   = 1 << 20
 )
 
@@ -21,12 +21,12 @@
 	baseIndex uint64 // of the snapshot; the first entry follows it
 	snapshot  []byte // nil: entries holds the log from index 1 on
 	entries   []*pb.Entry
-	changed   chan struct{} // closed with each change
+	changed   chan struct{} // closed and replaced at each change
 }
 
 func newFeed() *feed { return &feed{changed: make(chan struct{})} }
 
-// commit appends what is committed now.
+// commit appends newly committed entries.
 func (f *feed) commit(c replicatedlog.Committed) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,7 +38,7 @@
 	f.changed = make(chan struct{})
 }
 
-// compact drops the entries before a snapshot once there are many.
+// compact drops the entries before a snapshot once there are at least maxFeedEntries.
 func (f *feed) compact(snapshot []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -53,7 +53,7 @@
 	f.baseIndex, f.snapshot = at, snapshot
 }
 
-// after is what follows an index, up to one chunk, and a channel that is closed when there is more.
+// after returns the part of the log that follows an index, at most one chunk, and a channel that is closed at the next change.
 func (f *feed) after(index uint64) (c *pb.LogChunk, changed chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,8 +69,8 @@
 	return c, f.changed
 }
 
-// follow passes chunks on from an index until ctx ends or send returns false. When nothing comes for a heartbeat interval it sends an
-// empty chunk.
+// follow sends the chunks that follow an index until ctx ends or send returns false. When nothing is committed for a heartbeat interval,
+// it sends an empty chunk.
 func (f *feed) follow(ctx context.Context, index uint64, send func(*pb.LogChunk) bool) {
 	heartbeat := time.NewTimer(heartbeatInterval)
 	defer heartbeat.Stop()
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -51,15 +51,15 @@
 
 func isHeartbeat(c *pb.LogChunk) bool { return len(c.Entries)+len(c.Snapshot) == 0 }
 
-// appliedIndex is how far the replica has come.
+// appliedIndex is the index up to which the replica has applied the log.
 func (n *Node) appliedIndex() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.replicaReport.index
 }
 
-// follow receives the committed log from a voter until that is silent for followTimeout, the stream ends, or this sender becomes a voter
-// itself, which gives nil.
+// follow receives the committed log from a voter until the voter sends nothing for followTimeout, the stream ends, or this sender becomes a
+// voter itself. In the last case the error is nil.
 func (n *Node) follow(name string) error {
 	client, err := n.conns.client(n.address(name))
 	if err != nil {
@@ -67,8 +67,8 @@
 	}
 	ctx, stop := context.WithCancel(n.ctx)
 	defer stop()
-	silence := time.AfterFunc(followTimeout, stop)
-	defer silence.Stop()
+	timeout := time.AfterFunc(followTimeout, stop)
+	defer timeout.Stop()
 	stream, err := client.Follow(ctx, &pb.FollowRequest{Cluster: n.cfg.Cluster, Name: n.cfg.Name, AfterIndex: n.appliedIndex()})
 	if err != nil {
 		return err
@@ -78,7 +78,7 @@
 		if err != nil {
 			return err
 		}
-		silence.Reset(followTimeout)
+		timeout.Reset(followTimeout)
 		n.mu.Lock()
 		n.followed, n.receivedAt = name, n.cfg.Now()
 		n.mu.Unlock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// startVoterIfAdded starts a voter once the replicated state says that this sender is one.
+// startVoterIfAdded starts a voter once this sender is a voter in the replicated state.
 func (n *Node) startVoterIfAdded() {
 	n.mu.Lock()
 	added := n.store == nil && slices.ContainsFunc(n.replicaReport.voters, func(v *pb.Voter) bool { return v.Name == n.cfg.Name && !v.Removed })
@@ -103,6 +103,6 @@
 		return
 	}
 	if err := n.startVoter(n.firstVoters()); err != nil {
-		n.log.Error("fleet: this sender can't be a voter", "err", err)
+		n.log.Error("fleet: can't start the voter of this sender", "err", err)
 	}
 }
--- a/internal/fleet/handshake.go
+++ b/internal/fleet/handshake.go
@@ -13,7 +13,7 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// handshake calls all other voters that the stored log names, again and again until each has answered; nil if the node stops first.
+// handshake calls all other voters of the stored log until each has answered, and returns the answers; nil if the node stops first.
 func (n *Node) handshake(stored *replicatedlog.StoredLog) map[string]replicatedlog.PeerState {
 	answers := map[string]replicatedlog.PeerState{}
 	conf := stored.ConfState
@@ -36,8 +36,8 @@
 	}
 }
 
-// handshakeOnce calls the voters that have not answered yet, at once, and adds to answers. missing names those that did not answer, each behind
-// a space.
+// handshakeOnce calls in parallel the voters that have not answered yet, and adds to answers. missing has the names of those that did not answer,
+// each after a space.
 func (n *Node) handshakeOnce(position replicatedlog.StoredPosition, ids []uint64, answers map[string]replicatedlog.PeerState) (missing string) {
 	var pending []string
 	for _, id := range ids {
@@ -47,9 +47,9 @@
 	}
 	var mu sync.Mutex // guards answers and failed
 	var failed strings.Builder
-	var round sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, name := range pending {
-		round.Go(func() {
+		calls.Go(func() {
 			r, err := n.callHello(name, position)
 			mu.Lock()
 			defer mu.Unlock()
@@ -60,7 +60,7 @@
 			answers[name] = replicatedlog.PeerState{Term: r.Term, LastTerm: r.LastTerm, LastIndex: r.LastIndex, MatchIndex: r.MatchIndex}
 		})
 	}
-	round.Wait()
+	calls.Wait()
 	return failed.String()
 }
 
@@ -80,8 +80,8 @@
 		VoterId: replicatedlog.VoterID(n.cfg.Name), Term: position.Term, LastIndex: position.LastIndex})
 }
 
-// otherVoters are the ids of all other voters: those that the stored configuration names and those that were added since, as far as the replica
-// has come, without those that were removed.
+// otherVoters are the ids of all other voters: those of the stored configuration and those that were added since, as far as the replica has
+// applied the log, without those that were removed.
 func (n *Node) otherVoters(conf *raftpb.ConfState) []uint64 {
 	ids := slices.Concat(conf.GetVoters(), conf.GetVotersOutgoing())
 	excluded := []uint64{replicatedlog.VoterID(n.cfg.Name)}
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -34,25 +34,25 @@
 type (
 	// ownObservations is what this sender has observed itself.
 	ownObservations struct{ all []health.Observation }
-	// reportReceived is what another sender has observed.
+	// reportReceived is a report of what another sender has observed.
 	reportReceived struct{ request *pb.HealthReport }
 )
 
 func (ownObservations) healthEvent() {}
 func (reportReceived) healthEvent()  {}
 
-// healthAction is what a healthNode wants done.
+// healthAction is what a healthNode's execute has to carry out.
 //
 //sumtype:decl
 type healthAction interface{ healthAction() }
 
 type (
-	// sendReport goes to the owner of the destinations that it names.
+	// sendReport sends a report to the owner of the destinations in it.
 	sendReport struct {
 		to     *pb.Participant
 		report *pb.HealthReport
 	}
-	// proposeHealth proposes what this sender decided of a destination that it owns.
+	// proposeHealth proposes what this sender decided about a destination that it owns.
 	proposeHealth struct{ command *pb.HealthCommand }
 )
 
@@ -75,8 +75,9 @@
 	return h
 }
 
-// Step takes observations in, reports this sender's own, and decides the health of what it owns. For the latter it has to hold a lease, which is
-// read before the view that it is on, as the quota server does; the log rejects what comes too late all the same.
+// Step takes in observations, reports this sender's own, and decides the health of the destinations that this sender owns. For such a decision
+// the sender must hold a lease. The lease is read before the view, as in the quota server, so that the view is no older than the lease requires.
+// The log also rejects proposals that come too late.
 func (h *healthNode) Step(now time.Duration, events []healthEvent) (actions []healthAction, alarm time.Duration) {
 	gate := h.quotas.node.gate
 	leaseUntil := time.Duration(gate.leaseUntil.Load())
@@ -119,7 +120,7 @@
 	}
 }
 
-// takeReport takes another sender's report in, unless it is for another membership or process.
+// takeReport takes in another sender's report, unless the report is for another membership or for another process of this sender.
 func (h *healthNode) takeReport(r *pb.HealthReport, v *fleetpolicy.View, now time.Duration) {
 	if r.Epoch != v.Membership.GetEpoch() || r.ToIncarnation != h.quotas.me.Incarnation {
 		return
@@ -130,7 +131,8 @@
 	}
 }
 
-// buildReports makes a report to each owner of destinations that this sender has observed; what it owns itself it takes in at once.
+// buildReports makes a report for each owner of destinations that this sender has observed. Observations of destinations that this sender owns
+// itself go to its aggregator at once.
 func (h *healthNode) buildReports(ownership *coordinator.Ownership, epoch uint64, now time.Duration) map[string]sendReport {
 	me := h.quotas.me
 	reports := map[string]sendReport{}
@@ -157,10 +159,10 @@
 	return reports
 }
 
-// destinationKey is the key by which a destination is owned, which is also that of its limit: both have the same owner.
+// destinationKey is the key that determines the owner of a destination. The destination's limit has the same key, so both have the same owner.
 func destinationKey(d uint32) string { return fmt.Sprintf("destination %d", d) }
 
-// execute carries out an action. What fails is reported or proposed again by a later step.
+// execute carries out an action. After a failure, a later step reports or proposes again.
 func (h *healthNode) execute(_ context.Context, action healthAction) error {
 	switch a := action.(type) {
 	case sendReport:
@@ -176,7 +178,7 @@
 	a.report.Cluster = n.cfg.Cluster
 	ctx, cancel := context.WithTimeout(ctx, n.callTimeout())
 	defer cancel()
-	client, err := n.conns.client(h.quotas.reach.Resolve(a.to.Address))
+	client, err := n.conns.client(h.quotas.routes.Resolve(a.to.Address))
 	if err == nil {
 		_, err = client.Testify(ctx, a.report)
 	}
@@ -198,7 +200,7 @@
 	}
 }
 
-// Testify takes the health reports of other senders.
+// Testify receives a health report of another sender.
 func (s *service) Testify(_ context.Context, r *pb.HealthReport) (*pb.Ack, error) {
 	if err := s.checkCluster(r.Cluster); err != nil {
 		return nil, err
@@ -210,7 +212,7 @@
 	return &pb.Ack{}, nil
 }
 
-// ReportHealth takes what this sender has observed itself of destinations. It does not block.
+// ReportHealth takes in this sender's own observations of destinations. It does not block.
 func (n *Node) ReportHealth(all []health.Observation) {
 	n.quotas.health.worker.Inbox.Offer(ownObservations{all})
 }
--- a/internal/fleet/http.go
+++ b/internal/fleet/http.go
@@ -16,16 +16,16 @@
 
 const (
 	commandTimeout   = 4 * time.Second // for a command to be applied
-	maxDocumentBytes = 2 << 20         // that are read of a request; a policy's own bound is lower
-	// AuthorHeader names who gives a command, as the operating system says on the command's side.
+	maxDocumentBytes = 2 << 20         // that are read from a request; the bound of a policy document is lower
+	// AuthorHeader has the author of a command, which the command-line client takes from the operating system.
 	AuthorHeader = "X-By"
 )
 
-// operatorCommand answers a POST: with its result as JSON, or with the status that commandStatus gives its error.
+// operatorCommand handles a POST. Its result is sent as JSON, its error with the status of commandStatus.
 type operatorCommand func(ctx context.Context, r *http.Request, author string) (any, error)
 
-// Register adds what the command line asks for: GET /fleet, /limits and /verdicts, and POST /policy/propose, /policy/abort, /verdicts/suspend,
-// /verdicts/lift, /fleet/gone and /fleet/voters. Whoever reaches the sender's socket may ask for all of it.
+// Register adds the handlers for the command line: GET /fleet, /limits and /verdicts, and POST /policy/propose, /policy/abort, /verdicts/suspend,
+// /verdicts/lift, /fleet/gone and /fleet/voters. Whoever can connect to the sender's socket may use all of them.
 func (n *Node) Register(mux *http.ServeMux) {
 	mux.HandleFunc("GET /fleet", n.serveReport)
 	mux.HandleFunc("GET /limits", n.serveLimits)
@@ -42,7 +42,7 @@
 	}
 }
 
-// writeJSON writes a result. The client may be gone: then nobody reads the error either.
+// writeJSON writes a result. The error is ignored: it means that the client is gone.
 func writeJSON(w http.ResponseWriter, v any) { _ = json.NewEncoder(w).Encode(v) }
 
 func (n *Node) serveReport(w http.ResponseWriter, r *http.Request) {
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, invalidParameter("base %q is no version", q.Get("base"))
 	}
-	rollbackTo, _ := strconv.ParseUint(q.Get("back"), 10, 64) // without one it is no rollback
+	rollbackTo, _ := strconv.ParseUint(q.Get("back"), 10, 64) // 0 if it is missing: the change is no rollback
 	timeout, err := time.ParseDuration(q.Get("wait"))
 	if err != nil || timeout <= 0 || timeout > fleetpolicy.MaxStageTimeout {
 		return nil, invalidParameter("wait %q is no time up to %v", q.Get("wait"), fleetpolicy.MaxStageTimeout)
@@ -133,7 +133,7 @@
 	return struct{}{}, n.Abort(ctx, change, fmt.Sprintf("%s aborted it: %s", author, q.Get("why")))
 }
 
-// postDestination is a command on one destination.
+// postDestination returns the handler of a command on one destination.
 func postDestination(do func(ctx context.Context, destination uint32, author, reason string) error) operatorCommand {
 	return func(ctx context.Context, r *http.Request, author string) (any, error) {
 		q := r.URL.Query()
--- a/internal/fleet/incarnations.go
+++ b/internal/fleet/incarnations.go
@@ -4,7 +4,7 @@
 	"sync"
 )
 
-// incarnations are the processes of voters whose messages count, by voter. It is safe for concurrent use.
+// incarnations holds for each voter the incarnation whose messages are accepted. It is safe for concurrent use.
 type incarnations struct {
 	mu      sync.Mutex
 	current map[string]uint64
@@ -17,21 +17,21 @@
 	l.current[name] = incarnation
 }
 
-// deliver calls in, and returns true, if the incarnation is the one of the last handshake, or of the first message if there was none. The message is in
-// before a later handshake is.
+// deliver calls in, and returns true, if the incarnation is that of the last handshake, or of the first message if there was no handshake. A later
+// handshake is recorded only after in has returned.
 func (l *incarnations) deliver(name string, incarnation uint64, in func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if is, known := l.current[name]; !known {
+	if current, known := l.current[name]; !known {
 		l.current[name] = incarnation
-	} else if is != incarnation {
+	} else if current != incarnation {
 		return false
 	}
 	in()
 	return true
 }
 
-// get is the incarnation that is known; 0 if none is.
+// get returns the incarnation whose messages are accepted; 0: none is known.
 func (l *incarnations) get(name string) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -13,14 +13,15 @@
 	"google.golang.org/grpc/status"
 )
 
-// A sender proves with each call that it has the fleet's key, by HMAC-SHA-256 over cluster and method. That keeps strangers, and senders of
-// another fleet, from being taken for members of this one. It encrypts nothing, and whoever can read the network can replay a proof: so
-// addresses are loopback ones while there is no TLS.
+// Each call carries a proof that the calling sender has the fleet's key: an HMAC-SHA-256 over cluster and method. The proof keeps processes
+// without the key, and senders of another fleet, from being accepted as members of this one. Calls are not encrypted, and whoever can read
+// the network traffic can replay a proof: so addresses must be loopback addresses while there is no TLS.
 
 // proofHeader is the metadata key of the proof, in hexadecimal.
 const proofHeader = "saffronyard-proof"
 
-// keyring is the fleet's keys: the first makes proofs, each is accepted, so that keys can be rotated in service. It is safe for concurrent use.
+// keyring holds the fleet's keys: proofs are made with the first and accepted with any of them, so that keys can be rotated in service. It is
+// safe for concurrent use.
 type keyring struct {
 	cluster string
 
@@ -60,9 +61,9 @@
 	if len(keys) == 0 {
 		return nil
 	}
-	for _, shown := range metadata.ValueFromIncomingContext(ctx, proofHeader) {
+	for _, received := range metadata.ValueFromIncomingContext(ctx, proofHeader) {
 		for _, key := range keys {
-			if hmac.Equal([]byte(shown), []byte(k.proof(key, method))) {
+			if hmac.Equal([]byte(received), []byte(k.proof(key, method))) {
 				return nil
 			}
 		}
@@ -92,5 +93,5 @@
 	})}
 }
 
-// SetKeys replaces the fleet's keys: the first makes proofs, each is accepted.
+// SetKeys replaces the fleet's keys: proofs are made with the first and accepted with any of them.
 func (n *Node) SetKeys(keys [][]byte) { n.keys.set(keys) }
--- a/internal/fleet/limit_report.go
+++ b/internal/fleet/limit_report.go
@@ -23,9 +23,9 @@
 	RemainingMS int64         `json:"left_ms"`            // of its grant
 	Waiting     int64         `json:"waiting"`            // units of this sender's backlog
 	Used        uint64        `json:"used"`               // by this process
-	Rejected    uint64        `json:"refused"`            // calls of this process that were not written for want of a unit
+	Rejected    uint64        `json:"refused"`            // calls of this process that were not written because no unit was left
 	Rotating    bool          `json:"turns,omitempty"`    // there are not enough units for all senders: they rotate
-	Bound       string        `json:"bound"`              // what a receiver sees at the most
+	Bound       string        `json:"bound"`              // the most that a receiver sees, in words
 	Outstanding *int64        `json:"out,omitempty"`      // granted or cooling down in all; at the owner
 	GraceMS     int64         `json:"quiet_ms,omitempty"` // left of the owner's grace period
 	Grants      []GrantReport `json:"lent,omitempty"`
@@ -41,7 +41,7 @@
 	WaitingMS   int64  `json:"waits_ms,omitempty"`
 }
 
-// Limits shows the fleet's limits as this sender has them.
+// Limits returns the fleet's limits as this sender has them.
 func (n *Node) Limits(ctx context.Context) ([]LimitReport, error) {
 	v := n.gate.current()
 	if v == nil {
@@ -56,19 +56,19 @@
 		return nil, ctx.Err()
 	}
 	now := n.cfg.Now()
-	charge := v.Ownership()
+	ownership := v.Ownership()
 	all := []LimitReport{}
 	for _, s := range n.quotas.allowances.Statuses(now) {
 		r := LimitReport{Key: s.Limit.Key, Description: fleetpolicy.DescribeLimit(s.Limit), Units: s.Limit.Units, Granted: s.Granted, InUse: s.InUse, RemainingMS: s.Remaining.Milliseconds(), Waiting: s.Waiting,
 			Used: s.Used, Rejected: s.Rejected, Rotating: s.Rotating, Bound: n.quotas.describeBound(s.Limit, len(v.Membership.GetParticipants()))}
-		if p := charge.Owner(s.Limit.Key); p != nil {
+		if p := ownership.Owner(s.Limit.Key); p != nil {
 			r.Owner = p.Name
 		}
 		if i := slices.IndexFunc(owned, func(b quota.Report) bool { return b.Key == s.Limit.Key }); i >= 0 {
 			b := owned[i]
 			r.Outstanding, r.GraceMS = &b.Outstanding, b.GraceRemaining.Milliseconds()
-			for _, line := range b.Clients {
-				r.Grants = append(r.Grants, GrantReport{line.Name, line.Units, line.Cooling, line.Remaining.Milliseconds(), line.Wanted, line.Waiting.Milliseconds()})
+			for _, client := range b.Clients {
+				r.Grants = append(r.Grants, GrantReport{client.Name, client.Units, client.Cooling, client.Remaining.Milliseconds(), client.Wanted, client.Waiting.Milliseconds()})
 			}
 		}
 		all = append(all, r)
@@ -76,7 +76,7 @@
 	return all, nil
 }
 
-// describeBound is what a limit guarantees in a fleet of so many senders, in words for operators.
+// describeBound describes in words for operators what a limit guarantees in a fleet of the given number of senders.
 func (q *quotaNode) describeBound(limit quota.Limit, senders int) string {
 	text := fmt.Sprintf("%d in any %v at the receiver", limit.Units, limit.Span)
 	if limit.Kind == quota.Daily {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -24,29 +24,29 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Config is how a sender takes part in its fleet.
+// Config configures a sender's part in its fleet.
 type Config struct {
 	Name          string // unique in the fleet
 	Cluster       string
-	Listen        string  // host:port, a loopback one, as calls between senders are not encrypted
+	Listen        string  // host:port of a loopback address, as calls between senders are not encrypted
 	Voters        []Voter // the first ones, the same in every sender's configuration, as this sender reaches them
-	Folder        string  // see the package's comment
+	Folder        string  // see the package comment
 	LeaseTerms    lease.Terms
 	QuotaDuration time.Duration // of grants of a limit's units; 0: derived from the lease's
-	Reach         []peers.Route // of senders that are not reached at their own address
+	Reach         []peers.Route // to senders that are not reached at their own address
 	Keys          [][]byte      // of the fleet: the first authenticates this sender's calls, each is accepted; none: calls are not authenticated
 
 	Settings fleetpolicy.Settings // of this sender: names that a policy may use
 
-	// Replaced by tests; nil: the machine's.
+	// Replaced by tests; nil: the defaults.
 	Now           func() time.Duration // monotonic, suspend included
 	Disk          Disk
-	QuotaGrace    func(time.Duration) time.Duration // how long a new owner's grace period is, of how long it should be
+	QuotaGrace    func(time.Duration) time.Duration // maps the grace period of a new owner to the one that is used
 	Today         func() int64                      // days since 1970, UTC
-	GrantDuration func(time.Duration) time.Duration // how long a grant lasts at its client, of how long it should
+	GrantDuration func(time.Duration) time.Duration // maps the duration of a grant at its client to the one that is used
 }
 
-// Voter is a sender that keeps the log.
+// Voter is a sender that is a raft voter.
 type Voter struct{ Name, Address string }
 
 // voterWorker is the name of the voter's worker, as commands show it.
@@ -93,14 +93,14 @@
 	voterFailure   string                                         // why it is no voter any more
 	staleReason    string                                         // why the folder was found to be stale
 	missingVoters  string                                         // whose answers to the handshake it waits for
-	waitingOn      []*pb.PendingSender                            // senders that the open change waits for, as the leader said last
+	waitingOn      []*pb.PendingSender                            // senders that the open change waits for, from the leader's last lease reply
 	replicaReport  replicaReport
 	followed       string        // voter whose log is followed
-	receivedAt     time.Duration // last chunk of the log or heartbeat
-	onChange       func()        // called when calls go by another view, or may or may not be begun at all
+	receivedAt     time.Duration // time of the last part of the log or heartbeat
+	onChange       func()        // called when the view changes for some call, or whether any call may be begun
 }
 
-// Start starts a sender's part in the fleet. It returns at once; no call may be begun until a lease is there. The configuration was checked.
+// Start starts a sender's part in the fleet. It returns at once; no call may be begun until a lease is granted. cfg must have passed Check.
 func Start(cfg Config, log *slog.Logger) (*Node, error) {
 	coarseNow := cfg.Now
 	if cfg.Now == nil {
@@ -152,7 +152,7 @@
 		}
 	}
 	n.goBackground(func(context.Context) {
-		_ = n.server.Serve(listener) // it ends as Close stops the server
+		_ = n.server.Serve(listener) // it ends when Close stops the server
 	})
 	n.goBackground(func(context.Context) { n.followLoop() })
 	return nil
@@ -179,20 +179,20 @@
 	}
 }
 
-// View is what calls go by, and whether any may be begun at all; nil while nothing is known.
-func (n *Node) View() (v *fleetpolicy.View, acts bool) { return n.gate.View() }
+// View returns the view that calls are checked against, and whether any call may be begun; nil before the first view.
+func (n *Node) View() (v *fleetpolicy.View, mayAct bool) { return n.gate.View() }
 
-// OnChange has f called, in a goroutine of the node, when the result of View changes for some call.
+// OnChange sets the function that is called, in a goroutine of the node, when the result of View changes for some call.
 func (n *Node) OnChange(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.onChange = f
 }
 
-// Address is where other senders reach this one.
+// Address is the address at which other senders reach this one.
 func (n *Node) Address() string { return n.addr }
 
-// Close stops the node and awaits its goroutines. A leader hands leadership over first; leases expire by themselves.
+// Close stops the node and waits for its goroutines. A leader hands leadership over first; leases are left to expire.
 func (n *Node) Close() error {
 	if voter := n.currentVoter(); voter != nil {
 		voter.Inbox.Offer(replicatedlog.LeadershipTransferRequested{})
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -25,7 +25,7 @@
 
 var hosts atomic.Int64
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 // testFleet is a fleet in one process: its nodes reach each other by links.
 type testFleet struct {
@@ -42,7 +42,7 @@
 func newTestFleet(t testing.TB, voters, all int, edit func(int, *Config)) *testFleet {
 	t.Helper()
 	s := &testFleet{t: t, net: links.New(1, nil), voters: voters, terms: lease.Terms{Duration: 1500 * time.Millisecond, MaxDrift: lease.DefaultDrift}, nodes: make([]*Node, all), edit: edit}
-	for i := range all { // an address of its own for each, which no other process's connections take while it is down
+	for i := range all { // each node has an IP address of its own, so that no connection of another process takes its port while it is down
 		n := hosts.Add(1)
 		s.hosts = append(s.hosts, fmt.Sprintf("127.%d.%d.%d:7948", 100+os.Getpid()%100, 1+n/200, 1+n%200))
 		s.dirs = append(s.dirs, filepath.Join(t.TempDir(), name(i)))
@@ -113,22 +113,22 @@
 	return len(b), nil
 }
 
-// until waits for something that should come.
-func until(t testing.TB, what string, is func() bool) {
+// waitUntil waits until a condition holds, for at most waitTimeout.
+func waitUntil(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("it does not come: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// waitActing waits until all that run may begin calls.
+// waitActing waits until all running nodes may begin calls.
 func (s *testFleet) waitActing() {
 	s.t.Helper()
 	for i, n := range s.nodes {
 		if n != nil {
-			until(s.t, name(i)+" acts", func() bool { _, acts := n.gate.View(); return acts })
+			waitUntil(s.t, name(i)+" acts", func() bool { _, acts := n.gate.View(); return acts })
 		}
 	}
 }
@@ -136,7 +136,7 @@
 func (s *testFleet) leader() int {
 	s.t.Helper()
 	at := -1
-	until(s.t, "somebody leads", func() bool {
+	waitUntil(s.t, "a leader is elected", func() bool {
 		for i, n := range s.nodes {
 			if n != nil {
 				if r := n.Report(); r.Voter != nil && r.Voter.IsLeader {
@@ -153,24 +153,24 @@
 const closed7 = "[[route]]\ndestinations = [7]\nstate = \"closed\"\n"
 
 func (s *testFleet) propose(i int, base uint64, doc string) (uint64, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	return s.nodes[i].Propose(ctx, &pb.ProposePolicy{BaseVersion: base, Document: []byte(doc), Author: "test", StageTimeoutUs: (10 * time.Second).Microseconds()})
 }
 
 func (s *testFleet) waitFinished(i int, change uint64) *pb.FinishedChange {
 	s.t.Helper()
-	var past *pb.FinishedChange
-	until(s.t, fmt.Sprintf("change %d is over at %s", change, name(i)), func() bool {
+	var finished *pb.FinishedChange
+	waitUntil(s.t, fmt.Sprintf("change %d is finished at %s", change, name(i)), func() bool {
 		var over bool
-		past, over = s.nodes[i].FinishedChange(change)
+		finished, over = s.nodes[i].FinishedChange(change)
 		return over
 	})
-	return past
+	return finished
 }
 
-// A change takes hold at voters and followers; a second one while it is under way, one from an older version, and one that is
-// no document are refused; one that a sender can't follow is aborted everywhere.
+// A change takes effect at voters and followers. A change from an older version and an invalid document are rejected. A change that one
+// sender's settings don't allow is aborted everywhere.
 func TestFleet_PolicyChangeTakesEffect(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 3, 5, nil)
@@ -180,38 +180,38 @@
 		t.Fatal(err)
 	}
 	for i, n := range s.nodes {
-		if past := s.waitFinished(i, change); past.Version != 1 || past.AbortReason != "" {
-			t.Errorf("%s: %v", name(i), past)
+		if finished := s.waitFinished(i, change); finished.Version != 1 || finished.AbortReason != "" {
+			t.Errorf("%s: %v", name(i), finished)
 		}
 		if _, why := n.gate.Admit(fleetpolicy.Call{Destination: 7}); !strings.Contains(why, "closed") {
 			t.Errorf("%s: a call for a closed destination: %q", name(i), why)
 		}
-		leave, why := n.gate.Admit(fleetpolicy.Call{Destination: 8})
+		release, why := n.gate.Admit(fleetpolicy.Call{Destination: 8})
 		if why != "" {
-			t.Errorf("%s: a call that is not touched: %q", name(i), why)
+			t.Errorf("%s: a call that is not affected: %q", name(i), why)
 			continue
 		}
-		leave()
+		release()
 	}
 	if _, err := s.propose(0, 0, ""); !errors.Is(err, ErrRejected) || !strings.Contains(err.Error(), "version 1 is in force") {
 		t.Errorf("from an older version: %v", err)
 	}
 	if _, err := s.propose(1, 1, "route = 7"); err == nil {
-		t.Error("no document at all is taken in")
+		t.Error("an invalid document is accepted")
 	}
 	change, err = s.propose(1, 1, closed7+"[[tenant]]\nname = \"nobody\"\nstate = \"suspended\"\n")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range s.nodes {
-		if past := s.waitFinished(i, change); past.Version != 0 || !strings.Contains(past.AbortReason, `"nobody" is not in this sender's settings`) {
-			t.Errorf("%s: %v", name(i), past)
+		if finished := s.waitFinished(i, change); finished.Version != 0 || !strings.Contains(finished.AbortReason, `"nobody" is not in this sender's settings`) {
+			t.Errorf("%s: %v", name(i), finished)
 		}
 	}
 }
 
-// A sender that is partitioned off begins nothing once its lease has expired; a change does not wait longer for it than that, and it comes back
-// under the new version.
+// A sender that is partitioned off begins no call once its lease has expired. A change does not wait longer for it than that, and after the
+// partition the sender acts under the new version.
 func TestFleet_PartitionedSender(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 3, 4, nil)
@@ -224,26 +224,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range 3 { // whichever leads, each can say for whom the change waits
-		until(t, name(i)+" says for whom", func() bool {
+	for i := range 3 { // leader or not, each voter's report names the sender that the change waits for
+		waitUntil(t, name(i)+" reports the sender that the change waits for", func() bool {
 			open := s.nodes[i].Report().Policy.Open
 			return open == nil || slices.ContainsFunc(open.WaitingOn, func(w fleetpolicy.PendingSender) bool { return w.Name == "n3" && w.Remaining > 0 })
 		})
 	}
 	s.waitFinished(0, change)
 	if _, acts := s.nodes[3].gate.View(); acts {
-		t.Error("one that is cut off acts when a change has taken hold without it")
+		t.Error("a partitioned sender acts after a change has taken effect without it")
 	}
 	t.Logf("the change took %v, the lease lasts %v", time.Since(began), s.terms.Duration)
 	s.net.Heal()
 	s.waitFinished(3, change)
 	s.waitActing()
 	if _, why := s.nodes[3].gate.Admit(fleetpolicy.Call{Destination: 7}); !strings.Contains(why, "closed") {
-		t.Errorf("back, it goes by %q", why)
+		t.Errorf("after the partition, a call for a closed destination: %q", why)
 	}
 }
 
-// The one that leads dies in the middle; all die at once. What was committed stays, and the change ends everywhere alike.
+// The leader stops during a change, then all nodes stop at once during another. Committed changes stay, and each change ends the same way at
+// all nodes.
 func TestFleet_LeaderAndAllRestart(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 3, 4, nil)
@@ -257,8 +258,8 @@
 	s.waitFinished((lead+1)%3, change)
 	s.start(lead)
 	for i := range s.nodes {
-		if past := s.waitFinished(i, change); past.Version != 1 {
-			t.Errorf("%s: %v", name(i), past)
+		if finished := s.waitFinished(i, change); finished.Version != 1 {
+			t.Errorf("%s: %v", name(i), finished)
 		}
 	}
 	change, err = s.propose(3, 1, "# open again\n")
@@ -272,14 +273,14 @@
 		s.start(i)
 	}
 	for i := range s.nodes {
-		if past := s.waitFinished(i, change); past.Version != 2 {
-			t.Errorf("%s: %v", name(i), past)
+		if finished := s.waitFinished(i, change); finished.Version != 2 {
+			t.Errorf("%s: %v", name(i), finished)
 		}
 	}
 	s.waitActing()
 }
 
-// clock is a machine's clock that a test can set ahead and let run wrong.
+// clock is a machine's clock with a rate and an offset that a test sets.
 type clock struct {
 	rate  float64
 	ahead atomic.Int64
@@ -290,7 +291,7 @@
 	return c.start + time.Duration(c.rate*float64(Now()-c.start)) + time.Duration(c.ahead.Load())
 }
 
-// Clocks that run 1% wrong, and one that is an hour ahead, change nothing; and a disk that fails as a change is staged aborts it.
+// Clocks that drift by 1% and are hours apart don't disturb a change. A disk that fails while a change is staged aborts the change.
 func TestFleet_ClockJumpAndDiskFailure(t *testing.T) {
 	t.Parallel()
 	var failing atomic.Bool
@@ -309,16 +310,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if past := s.waitFinished(0, change); past.Version != 0 || !strings.Contains(past.AbortReason, "n3 refuses it: it can't be kept on the disk") {
-		t.Errorf("%v", past)
+	if finished := s.waitFinished(0, change); finished.Version != 0 || !strings.Contains(finished.AbortReason, "n3 refuses it: it can't be kept on the disk") {
+		t.Errorf("%v", finished)
 	}
 	failing.Store(false)
 	if change, err = s.propose(0, 0, closed7); err != nil {
 		t.Fatal(err)
 	}
 	for i := range s.nodes {
-		if past := s.waitFinished(i, change); past.Version != 1 {
-			t.Errorf("%s: %v", name(i), past)
+		if finished := s.waitFinished(i, change); finished.Version != 1 {
+			t.Errorf("%s: %v", name(i), finished)
 		}
 	}
 }
@@ -332,22 +333,22 @@
 	return realDisk{}.Write(path, data)
 }
 
-// copyFolder copies a folder; put it back with back.
-func (s *testFleet) copyFolder(i int) (back func()) {
+// copyFolder copies a node's folder; restore replaces the folder with that copy.
+func (s *testFleet) copyFolder(i int) (restore func()) {
 	s.t.Helper()
-	kept := s.t.TempDir()
-	if err := os.CopyFS(filepath.Join(kept, "f"), os.DirFS(s.dirs[i])); err != nil {
+	saved := s.t.TempDir()
+	if err := os.CopyFS(filepath.Join(saved, "f"), os.DirFS(s.dirs[i])); err != nil {
 		s.t.Fatal(err)
 	}
 	return func() {
 		s.t.Helper()
-		if err := errors.Join(os.RemoveAll(s.dirs[i]), os.CopyFS(s.dirs[i], os.DirFS(filepath.Join(kept, "f")))); err != nil {
+		if err := errors.Join(os.RemoveAll(s.dirs[i]), os.CopyFS(s.dirs[i], os.DirFS(filepath.Join(saved, "f")))); err != nil {
 			s.t.Fatal(err)
 		}
 	}
 }
 
-// partition cuts one off from all others, both ways.
+// partition cuts a node off from all others, in both directions.
 func (s *testFleet) partition(i int) {
 	for j := range s.nodes {
 		if j != i {
@@ -356,8 +357,8 @@
 	}
 }
 
-// A voter that comes back with an old folder, or an empty one, has forgotten what it promised. Together with one that never
-// heard of the change it makes a majority, and that must lead nowhere while the one that knows is cut off.
+// A voter that restarts with an old or empty folder has forgotten votes and entries that it acknowledged. Together with a voter that never
+// received the change it is a majority. The two must not elect a leader while the voter that has the change is cut off.
 func TestFleet_StaleFolder(t *testing.T) {
 	t.Parallel()
 	for _, what := range []string{"old folder", "empty folder"} {
@@ -366,12 +367,12 @@
 			s := newTestFleet(t, 3, 3, nil)
 			s.waitActing()
 			s.stop(1)
-			back := s.copyFolder(1)
+			restore := s.copyFolder(1)
 			s.start(1)
 			s.waitActing()
-			if s.leader() == 2 { // the one that is cut off must not be whom all wait for
+			if s.leader() == 2 { // the node that is cut off below must not be the leader
 				s.stop(2)
-				until(t, "another leads", func() bool { return s.leader() != 2 })
+				waitUntil(t, "another voter leads", func() bool { return s.leader() != 2 })
 				s.start(2)
 				s.waitActing()
 			}
@@ -384,14 +385,14 @@
 			s.waitFinished(1, change)
 			s.stop(1)
 			if what == "old folder" {
-				back()
+				restore()
 			} else if err := os.RemoveAll(s.dirs[1]); err != nil {
 				t.Fatal(err)
 			}
 			s.net.Both("n2", "n1", links.Condition{})
 			s.partition(0)
 			s.start(1)
-			// n1 and n2 are a majority, and know nothing of the change. As many elections as fit in three seconds lead to none.
+			// n1 and n2 are a majority without the change. None of the elections within three seconds may succeed.
 			for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 				for _, i := range []int{1, 2} {
 					if r := s.nodes[i].Report(); r.Voter != nil && r.Voter.IsLeader {
@@ -400,12 +401,12 @@
 				}
 			}
 			if r := s.nodes[1].Report(); r.Voter.MissingVoters != " n0" {
-				t.Errorf("it waits for %q", r.Voter.MissingVoters)
+				t.Errorf("n1 waits for %q", r.Voter.MissingVoters)
 			}
 			s.net.Heal()
 			for i := range s.nodes {
-				if past := s.waitFinished(i, change); past.Version != 1 {
-					t.Errorf("%s: %v", name(i), past)
+				if finished := s.waitFinished(i, change); finished.Version != 1 {
+					t.Errorf("%s: %v", name(i), finished)
 				}
 			}
 			s.waitActing()
@@ -413,18 +414,18 @@
 	}
 }
 
-// Vouching for a folder lets a voter start without the handshake's answers, once.
+// After an operator has vouched for its folder, a voter starts once without the handshake's answers.
 func TestFleet_Vouch(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 3, 3, nil)
 	s.waitActing()
 	if err := Vouch(s.dirs[1], "test"); err == nil {
-		t.Error("a folder in use is vouched for")
+		t.Error("vouching for a folder in use succeeds")
 	}
 	s.stop(2)
 	s.stop(1)
 	s.start(1)
-	until(t, "n1 waits for n2", func() bool { r := s.nodes[1].Report(); return r.Voter.MissingVoters == " n2" })
+	waitUntil(t, "n1 waits for n2", func() bool { r := s.nodes[1].Report(); return r.Voter.MissingVoters == " n2" })
 	s.stop(1)
 	if err := Vouch(s.dirs[1], "test"); err != nil {
 		t.Fatal(err)
@@ -432,56 +433,56 @@
 	s.start(1)
 	s.waitActing()
 	if _, err := os.Stat(filepath.Join(s.dirs[1], vouchedName)); !os.IsNotExist(err) {
-		t.Errorf("the word counts twice: %v", err)
+		t.Errorf("the operator's record was not removed: %v", err)
 	}
 	if err := Vouch(t.TempDir(), "test"); err == nil {
-		t.Error("an empty folder is vouched for")
+		t.Error("vouching for an empty folder succeeds")
 	}
 }
 
-// A voter is replaced while a change is under way: one that followed takes the place of one that is gone for good.
+// A voter that is down for good is replaced by a follower while a change is under way.
 func TestFleet_VoterReplaced(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 3, 4, nil)
 	s.waitActing()
 	lead := s.leader()
-	gone := (lead + 1) % 3
-	s.stop(gone)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	removed := (lead + 1) % 3
+	s.stop(removed)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	change, err := s.propose(lead, 0, closed7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &pb.VoterChange{Add: []*pb.Voter{{Name: "n3", Address: s.hosts[3]}}, Remove: []string{name(gone)}, Author: "test"}
+	v := &pb.VoterChange{Add: []*pb.Voter{{Name: "n3", Address: s.hosts[3]}}, Remove: []string{name(removed)}, Author: "test"}
 	if err := s.nodes[lead].ChangeVoters(ctx, v); err != nil {
 		t.Fatal(err)
 	}
 	for i := range s.nodes {
-		if i != gone {
-			if past := s.waitFinished(i, change); past.Version != 1 {
-				t.Errorf("%s: %v", name(i), past)
+		if i != removed {
+			if finished := s.waitFinished(i, change); finished.Version != 1 {
+				t.Errorf("%s: %v", name(i), finished)
 			}
 		}
 	}
-	until(t, "n3 is a voter", func() bool { r := s.nodes[3].Report(); return r.Voter != nil && r.Voter.AppliedIndex > 0 })
-	if err := s.nodes[3].ChangeVoters(ctx, &pb.VoterChange{Add: []*pb.Voter{{Name: name(gone), Address: "127.0.0.1:1"}}}); !errors.Is(err, ErrRejected) || !strings.Contains(err.Error(), "a name of its own") {
-		t.Errorf("one that was removed comes back: %v", err)
+	waitUntil(t, "n3 is a voter", func() bool { r := s.nodes[3].Report(); return r.Voter != nil && r.Voter.AppliedIndex > 0 })
+	if err := s.nodes[3].ChangeVoters(ctx, &pb.VoterChange{Add: []*pb.Voter{{Name: name(removed), Address: "127.0.0.1:1"}}}); !errors.Is(err, ErrRejected) || !strings.Contains(err.Error(), "a name of its own") {
+		t.Errorf("a removed voter is added again: %v", err)
 	}
 	if err := s.nodes[3].ChangeVoters(ctx, &pb.VoterChange{Remove: []string{"nobody"}}); !errors.Is(err, ErrRejected) {
-		t.Errorf("nobody is removed: %v", err)
+		t.Errorf("an unknown voter is removed: %v", err)
 	}
-	// The new one counts: with the leader alone it makes a majority.
-	s.stop(3 - gone - lead)
+	// The new voter counts: together with the leader alone it is a majority.
+	s.stop(3 - removed - lead)
 	if change, err = s.propose(3, 1, "# open again\n"); err != nil {
 		t.Fatal(err)
 	}
-	if past := s.waitFinished(3, change); past.Version != 2 {
-		t.Errorf("%v", past)
+	if finished := s.waitFinished(3, change); finished.Version != 2 {
+		t.Errorf("%v", finished)
 	}
 }
 
-// A file of a newer program, of another sender or of another cluster is refused with a clear error, and left as it is.
+// A file of a newer program, of another sender or of another cluster is rejected with an error that names the mismatch, and is left unchanged.
 func TestStore_RejectsForeignFolder(t *testing.T) {
 	dir := t.TempDir()
 	open := func(cluster, name string) error {
@@ -494,8 +495,8 @@
 	if err := open("a", "n0"); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ cluster, name, says string }{{"a", "n1", `name "n0", not of "n1"`}, {"b", "n0", `cluster "a", not of "b"`}} {
-		if err := open(c.cluster, c.name); err == nil || !strings.Contains(err.Error(), c.says) {
+	for _, c := range []struct{ cluster, name, want string }{{"a", "n1", `name "n0", not to "n1"`}, {"b", "n0", `cluster "a", not to "b"`}} {
+		if err := open(c.cluster, c.name); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v", err)
 		}
 	}
@@ -514,21 +515,21 @@
 	}
 }
 
-// Cuts between some, while a change is made: those that reach a majority in some way go on, the others begin nothing, and all are of one
-// mind when the links are healed.
+// Some links are cut while a change is made. Senders that reach a majority directly or through others continue to act, the others begin no
+// calls, and all have the same result after the links are healed.
 func TestFleet_PartialPartitions(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		what string
 		cut  func(s *testFleet, lead int)
-		act  func(lead int) []bool // who acts once the change has taken hold at the one that leads
+		act  func(lead int) []bool // which nodes act once the change has taken effect at a voter other than the leader
 	}{
-		{"one that reaches all but the leader", func(s *testFleet, lead int) { s.net.Both("n4", name(lead), links.Condition{Blocked: true}) },
+		{"a sender reaches all but the leader", func(s *testFleet, lead int) { s.net.Both("n4", name(lead), links.Condition{Blocked: true}) },
 			func(int) []bool { return []bool{true, true, true, true, true} }},
-		{"the leader's words don't reach another voter, whose words reach it", func(s *testFleet, lead int) {
+		{"the leader can't send to one voter but receives from it", func(s *testFleet, lead int) {
 			s.net.Set(name(lead), name((lead+1)%3), links.Condition{Blocked: true})
 		}, nil},
-		{"asks arrive at no voter, and all they say is heard", func(s *testFleet, _ int) {
+		{"a sender can't send to any voter but receives from all", func(s *testFleet, _ int) {
 			for v := range 3 {
 				s.net.Set("n4", name(v), links.Condition{Blocked: true})
 			}
@@ -555,23 +556,23 @@
 			c.cut(s, lead)
 			from := (lead + 2) % 3
 			var change uint64
-			until(t, "a change is handed in", func() bool {
+			waitUntil(t, "a change is submitted", func() bool {
 				var err error
 				change, err = s.propose(from, 0, closed7)
 				return err == nil
 			})
-			if past := s.waitFinished(from, change); past.Version != 1 {
-				t.Errorf("%v", past)
+			if finished := s.waitFinished(from, change); finished.Version != 1 {
+				t.Errorf("%v", finished)
 			}
 			if c.act != nil {
 				for i, want := range c.act(lead) {
-					until(t, fmt.Sprintf("%s acts: %v", name(i), want), func() bool { _, acts := s.nodes[i].View(); return acts == want })
+					waitUntil(t, fmt.Sprintf("%s acts: %v", name(i), want), func() bool { _, acts := s.nodes[i].View(); return acts == want })
 				}
 			}
 			s.net.Heal()
 			for i := range s.nodes {
-				if past := s.waitFinished(i, change); past.Version != 1 {
-					t.Errorf("%s: %v", name(i), past)
+				if finished := s.waitFinished(i, change); finished.Version != 1 {
+					t.Errorf("%s: %v", name(i), finished)
 				}
 			}
 			s.waitActing()
@@ -579,13 +580,13 @@
 	}
 }
 
-// One is down for a change and two more, and comes back under the last; an operator aborts one that can't be staged in time.
+// A node is down during three changes and restarts under the last version. An operator aborts a change that is not staged in time.
 func TestFleet_VoterDownFor3Changes(t *testing.T) {
 	t.Parallel()
-	var failing atomic.Bool
+	var blocked atomic.Bool
 	s := newTestFleet(t, 3, 5, func(i int, c *Config) {
 		if i == 3 {
-			c.Disk = slowDisk{&failing}
+			c.Disk = slowDisk{&blocked}
 		}
 	})
 	s.waitActing()
@@ -595,29 +596,29 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if past := s.waitFinished(0, change); past.Version != v+1 {
-			t.Fatalf("%v", past)
+		if finished := s.waitFinished(0, change); finished.Version != v+1 {
+			t.Fatalf("%v", finished)
 		}
 	}
 	s.start(4)
 	s.waitActing()
 	if v, _ := s.nodes[4].View(); v.Version != 3 {
-		t.Errorf("it comes back under version %d", v.Version)
+		t.Errorf("the restarted node acts under version %d", v.Version)
 	}
-	failing.Store(true)
+	blocked.Store(true)
 	change, err := s.propose(4, 3, "# again\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	if err := s.nodes[1].Abort(ctx, change, "not now"); err != nil {
 		t.Error(err)
 	}
-	failing.Store(false)
+	blocked.Store(false)
 	for i := range s.nodes {
-		if past := s.waitFinished(i, change); past.Version != 0 || past.AbortReason != "not now" {
-			t.Errorf("%s: %v", name(i), past)
+		if finished := s.waitFinished(i, change); finished.Version != 0 || finished.AbortReason != "not now" {
+			t.Errorf("%s: %v", name(i), finished)
 		}
 	}
 	if err := s.nodes[1].Abort(ctx, change, "again"); !errors.Is(err, ErrRejected) {
@@ -626,20 +627,20 @@
 	if err := s.nodes[1].Leave(ctx, &pb.Leave{Name: "n4", Author: "test"}); err != nil {
 		t.Error(err)
 	}
-	until(t, "one that was declared gone acts no longer", func() bool { _, acts := s.nodes[4].View(); return !acts })
+	waitUntil(t, "a removed node no longer acts", func() bool { _, acts := s.nodes[4].View(); return !acts })
 }
 
-// slowDisk takes as long as a test wants.
-type slowDisk struct{ stands *atomic.Bool }
+// slowDisk blocks writes until a test releases them.
+type slowDisk struct{ blocked *atomic.Bool }
 
 func (d slowDisk) Write(path string, data []byte) error {
-	for d.stands.Load() {
+	for d.blocked.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	return realDisk{}.Write(path, data)
 }
 
-// A log of many entries is loaded from its snapshot and the entries behind it; a sender that follows from nothing is sent the snapshot.
+// A log of many entries is loaded from its snapshot and the entries after it; the replica, which starts empty, is sent the snapshot.
 func TestFleet_ManyEntries(t *testing.T) {
 	entries := 12_000
 	if n := os.Getenv("SAFFRONYARD_ENTRIES"); n != "" {
@@ -673,14 +674,14 @@
 	}
 	began = time.Now()
 	s.start(0)
-	until(t, "it is back where it was", func() bool { r := s.nodes[0].Report(); return r.Index >= index && r.MayAct })
-	t.Logf("acts again after %v; its file has %d bytes", time.Since(began), info.Size())
+	waitUntil(t, "the node has applied the same index as before", func() bool { r := s.nodes[0].Report(); return r.Index >= index && r.MayAct })
+	t.Logf("acts again after %v; the voter's file has %d bytes", time.Since(began), info.Size())
 	if r := s.nodes[0].Report(); len(r.Members) != 641 {
 		t.Errorf("%d members", len(r.Members))
 	}
 }
 
-// BenchmarkCommits is what five voters take on from 64 who hand in at once, and how long each waits.
+// BenchmarkCommits measures the throughput and the latency of commits with five voters and 64 concurrent clients.
 func BenchmarkCommits(b *testing.B) {
 	s := newTestFleet(b, 5, 5, nil)
 	s.waitActing()
@@ -716,8 +717,8 @@
 	b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, "p99-ms")
 }
 
-// A month of an ordinary fleet: twenty changes a day of a document of 200 destinations, each sender of 300 joining anew once a day. What it
-// leaves on a voter's disk is bounded. SAFFRONYARD_MONTH=30 plays all of it; a day is played in any case.
+// The commands of a month in an ordinary fleet: twenty changes a day of a document of 200 destinations, and one join a day by each of 300
+// senders. The size of a voter's file stays bounded. SAFFRONYARD_MONTH=30 runs the month; by default one day is run.
 func TestFleet_MonthOfCommands(t *testing.T) {
 	days := 1
 	if n := os.Getenv("SAFFRONYARD_MONTH"); n != "" {
@@ -727,7 +728,7 @@
 	s.waitActing()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Minute)
 	defer cancel()
-	version, most := uint64(0), int64(0)
+	version, maxSize := uint64(0), int64(0)
 	for day := range days {
 		for m := range 300 {
 			if _, err := s.nodes[0].Submit(ctx, 1, &pb.Join{Name: name(m), MaxCommandKind: 4}); err != nil {
@@ -745,8 +746,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if past := s.waitFinished(0, change); past.Version != version+1 {
-				t.Fatalf("%v", past)
+			if finished := s.waitFinished(0, change); finished.Version != version+1 {
+				t.Fatalf("%v", finished)
 			}
 			version++
 		}
@@ -754,17 +755,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		most = max(most, info.Size())
+		maxSize = max(maxSize, info.Size())
 		if day == days-1 {
-			t.Logf("after %d days, %d changes, %d entries: %d bytes, at most %d", days, version, s.nodes[0].Report().Index, info.Size(), most)
+			t.Logf("after %d days, %d changes, %d entries: %d bytes, at most %d", days, version, s.nodes[0].Report().Index, info.Size(), maxSize)
 		}
 	}
-	if most > 32<<20 {
-		t.Errorf("%d bytes", most)
+	if maxSize > 32<<20 {
+		t.Errorf("%d bytes", maxSize)
 	}
 }
 
-// Keys are changed in service, one sender after another; one that has another fleet's key, or none, is taken for nobody.
+// Keys are rotated in service, one sender after another. A sender with another key, or without one, does not act.
 func TestFleet_KeyRotation(t *testing.T) {
 	t.Parallel()
 	first, second := []byte("0123456789abcdef"), []byte("fedcba9876543210")
@@ -778,7 +779,7 @@
 		}
 	})
 	for i := range 3 {
-		until(t, name(i)+" acts", func() bool { _, acts := s.nodes[i].View(); return acts })
+		waitUntil(t, name(i)+" acts", func() bool { _, acts := s.nodes[i].View(); return acts })
 	}
 	for _, keys := range [][][]byte{{first, second}, {second, first}, {second}} {
 		for i := range 3 {
@@ -790,8 +791,8 @@
 		}
 		s.waitFinished(0, change)
 	}
-	until(t, "the one whose key is the fleet's by now acts", func() bool { _, acts := s.nodes[3].View(); return acts })
+	waitUntil(t, "the sender that has the fleet's new key acts", func() bool { _, acts := s.nodes[3].View(); return acts })
 	if _, acts := s.nodes[4].View(); acts {
-		t.Error("one without a key acts")
+		t.Error("a sender without a key acts")
 	}
 }
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -20,12 +20,12 @@
 	me         lease.HolderID
 	terms      quota.Terms
 	allowances *quota.Allowances
-	reach      peers.RouteTable
+	routes     peers.RouteTable
 	client     *quotaClientActor
 	server     *quotaServerActor
 	health     *healthNode
 
-	// What the allowances were set by; of the replica's worker alone.
+	// State from which the allowances were set last; used only by the replica's worker.
 	policyVersion uint64
 	rank          int
 	healthState   *pb.HealthState
@@ -47,11 +47,11 @@
 )
 
 func newQuotaNode(n *Node) (*quotaNode, error) {
-	reach, err := peers.NewRouteTable(n.cfg.Reach)
+	routes, err := peers.NewRouteTable(n.cfg.Reach)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	q := &quotaNode{node: n, me: lease.HolderID{Name: n.cfg.Name, Incarnation: n.incarnation}, reach: reach, changed: map[string]struct{}{},
+	q := &quotaNode{node: n, me: lease.HolderID{Name: n.cfg.Name, Incarnation: n.incarnation}, routes: routes, changed: map[string]struct{}{},
 		terms: quota.Terms{Duration: n.cfg.quotaDuration(), MaxDrift: n.cfg.quotaDrift()}}
 	q.allowances = quota.NewAllowances(q.terms.MaxDrift, func(key string) { q.client.Inbox.Offer(quota.UnitsWanted{Key: key}) })
 	client := quota.NewClient(q.me, q.terms, q.allowances)
@@ -79,7 +79,7 @@
 	q.node.group.Start(q.health.worker, worker.StopWorker)
 }
 
-// setView replaces the limits, before any call goes by the view.
+// setView replaces the limits. It must be called before any call is checked against the view.
 func (q *quotaNode) setView(v *fleetpolicy.View) {
 	if q.published && v.Version == q.policyVersion && v.Rank == q.rank && v.Health == q.healthState {
 		return
@@ -90,14 +90,14 @@
 	q.client.Inbox.Offer(quota.LimitsChanged{})
 }
 
-// notifyView has the workers look at the view that was published.
+// notifyView makes the workers read the view that was published.
 func (q *quotaNode) notifyView() {
 	q.server.Inbox.Offer(viewPublished{})
 	q.client.Inbox.Offer(quota.Wake{})
 	q.health.worker.Inbox.Offer(viewPublished{})
 }
 
-// viewPublished has a worker look at the view that was published.
+// viewPublished makes a worker read the view that was published.
 type viewPublished struct{}
 
 func (viewPublished) quotaServerEvent() {}
--- a/internal/fleet/quota_client.go
+++ b/internal/fleet/quota_client.go
@@ -20,7 +20,7 @@
 	membership *pb.MembershipState
 }
 
-// Step takes events in under the membership that is published.
+// Step handles events under the published membership.
 func (c *quotaClient) Step(now time.Duration, events []quota.ClientEvent) ([]quota.ClientAction, time.Duration) {
 	if v := c.node.node.gate.current(); v != nil && v.Membership != nil && v.Membership != c.membership {
 		c.membership = v.Membership
@@ -56,20 +56,21 @@
 	return nil
 }
 
-// request asks an owner for units, which may be this sender itself.
+// request requests units from their owner, which may be this sender itself.
 func (q *quotaNode) request(ctx context.Context, a quota.SendRequest) (*pb.QuotaReply, error) {
 	a.Request.Cluster = q.node.cfg.Cluster
 	if a.To.Name == q.me.Name {
 		return q.grant(ctx, a.Request)
 	}
-	client, err := q.node.conns.client(q.reach.Resolve(a.To.Address))
+	client, err := q.node.conns.client(q.routes.Resolve(a.To.Address))
 	if err != nil {
 		return nil, err
 	}
 	return client.Lend(ctx, a.Request)
 }
 
-// clientEventKey merges events of one type about one thing. Of two replies of an owner the older one does not count any more.
+// clientEventKey is the key by which the inbox merges events: the type, with the limit or the owner. A reply replaces an older reply of the
+// same owner.
 func clientEventKey(event quota.ClientEvent) string {
 	switch e := event.(type) {
 	case quota.UnitsWanted:
--- a/internal/fleet/quota_server.go
+++ b/internal/fleet/quota_server.go
@@ -23,17 +23,17 @@
 type quotaServerEvent interface{ quotaServerEvent() }
 
 type (
-	// grantRequested is a client's request. It is answered on a channel with space for the answer.
+	// grantRequested is a client's request. answer must have space for the result.
 	grantRequested struct {
 		request *pb.QuotaRequest
 		answer  chan grantResult
 	}
-	// quotaDrawn is what the log gave for a draw.
+	// quotaDrawn is the number of units that the log granted for a draw.
 	quotaDrawn struct {
 		quota.Draw
 		units int64
 	}
-	// reportRequested asks for the grants of all limits. It is answered on a channel with space for the answer.
+	// reportRequested requests the grants of all limits. done must have space for the result.
 	reportRequested struct{ done chan []quota.Report }
 )
 
@@ -41,7 +41,7 @@
 func (quotaDrawn) quotaServerEvent()      {}
 func (reportRequested) quotaServerEvent() {}
 
-// quotaServerAction is what a quotaServer wants done.
+// quotaServerAction is what executeServer has to carry out for a quotaServer.
 //
 //sumtype:decl
 type quotaServerAction interface{ quotaServerAction() }
@@ -52,7 +52,7 @@
 		to chan grantResult
 		grantResult
 	}
-	// drawQuota asks the log for units of a daily quota; quotaDrawn is the answer.
+	// drawQuota draws units of a daily quota from the log; quotaDrawn reports the result.
 	drawQuota struct{ quota.Draw }
 )
 
@@ -76,9 +76,10 @@
 	prunedAt      time.Duration
 }
 
-// Step answers what has come, while this sender's own lease lasts, under the published view. The order matters: the events were taken before
-// now was read, so that no request came after it; the lease is read before the view, which is then no older than the lease needs; and the
-// clock is read again for when a membership was first seen, which is then no sooner than it became active.
+// Step answers requests under the published view, while this sender's own lease lasts. The order matters. The events were taken from the inbox
+// before now was read, so that no request came after now. The lease is read before the view, so that the view is no older than the lease
+// requires. The clock is read again for the time at which a membership was first seen, so that this time is not before the membership became
+// active.
 func (s *quotaServer) Step(now time.Duration, events []quotaServerEvent) (actions []quotaServerAction, alarm time.Duration) {
 	mayAct := s.followView(now)
 	if now-s.prunedAt > pruneInterval {
@@ -146,7 +147,7 @@
 	return nil
 }
 
-// draw asks the log for units of a daily quota. Units that the log gave, and whose answer was lost, are lost for the day.
+// draw draws units of a daily quota from the log. If the log grants units and its reply is lost, nobody can use these units on that day.
 func (q *quotaNode) draw(ctx context.Context, d quota.Draw) {
 	ctx, cancel := context.WithTimeout(ctx, q.node.cfg.LeaseTerms.Duration)
 	defer cancel()
@@ -161,7 +162,7 @@
 	q.server.Inbox.Offer(quotaDrawn{d, units})
 }
 
-// grant has the quota server answer a client.
+// grant passes a client's request to the quota server and waits for the result.
 func (q *quotaNode) grant(ctx context.Context, r *pb.QuotaRequest) (*pb.QuotaReply, error) {
 	e := grantRequested{r, make(chan grantResult, 1)}
 	if !q.server.Inbox.Offer(e) {
--- a/internal/fleet/races_test.go
+++ b/internal/fleet/races_test.go
@@ -15,7 +15,7 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// idleNode is a node that was not started.
+// idleNode returns a node that was not started.
 func idleNode(t *testing.T) *Node {
 	t.Helper()
 	n := newNode(Config{Name: "a", Cluster: "c", Now: Now}, slog.New(slog.DiscardHandler), "127.0.0.1:1", Now)
@@ -23,7 +23,8 @@
 	return n
 }
 
-// The voter's worker comes and goes while messages are sent to its peers; the race detector watches.
+// The voter's worker starts and exits while messages are sent to its peers: a data race between the two must not occur. The test needs the
+// race detector.
 func TestSendLoop_VoterExitsMeanwhile(t *testing.T) {
 	n := idleNode(t)
 	ring := worker.NewRingBuffer[*raftpb.Message]("to b", 1, worker.DropOldest, nil)
@@ -31,7 +32,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		n.sendLoop(ctx, "b", ring) // has no address: each stream fails at once
+		n.sendLoop(ctx, "b", ring) // b has no address: each stream fails at once
 	}()
 	for range 100 {
 		inbox := worker.NewRingBuffer[replicatedlog.VoterEvent](voterWorker, 1, worker.DropOldest, nil)
@@ -44,7 +45,8 @@
 	<-ended
 }
 
-// What the leader said of an open change is appended to a copy: the voter's status, which others read, stays as it is.
+// The senders from the leader's lease reply are appended to a copy: the report must not modify the voter's status, which other goroutines
+// read.
 func TestPolicyReport_DoesNotModifyStatus(t *testing.T) {
 	n := idleNode(t)
 	own := fleetpolicy.PendingSender{Name: "own"}
--- a/internal/fleet/raft_log.go
+++ b/internal/fleet/raft_log.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// raftLog adapts the sender's log to the raft library's: what it says goes to debug, its errors to warn, and what it can't bear is a panic of the
-// voter's worker. It implements raft.Logger.
+// raftLog writes the raft library's messages to the sender's log: errors at warn, others at debug. Fatal and Panic are a panic of the voter's
+// worker. It implements raft.Logger.
 type raftLog struct{ log *slog.Logger }
 
 func (l raftLog) debug(text string) { l.log.Debug("raft", "says", text) }
--- a/internal/fleet/rate_limits.go
+++ b/internal/fleet/rate_limits.go
@@ -10,8 +10,8 @@
 	"saffronyard.example/saffronyard/internal/fleetpolicy"
 )
 
-// RateLimit is how many calls per second this sender may send to a destination, and all senders may. If Limited is false there is no limit, and the
-// rates are 0.
+// RateLimit is the number of calls per second to a destination that this sender may send (Own), and that all senders together may send (Fleet).
+// If Limited is false there is no limit, and the rates are 0.
 type RateLimit struct {
 	Destination uint32
 	Limited     bool
@@ -31,7 +31,7 @@
 	now := n.cfg.Now()
 	destinations := map[uint32]struct{}{}
 	for _, key := range keys {
-		var d uint32 // the keys of a destination's own limits begin so
+		var d uint32 // the keys of a destination's own limits begin like this
 		if _, err := fmt.Sscanf(key, "destination %d", &d); err == nil {
 			destinations[d] = struct{}{}
 		}
@@ -42,7 +42,7 @@
 	return limits
 }
 
-// takeChanged is the keys of limits whose share changed since the last call.
+// takeChanged returns and clears the keys of limits whose share changed since the last call.
 func (q *quotaNode) takeChanged() []string {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -67,14 +67,14 @@
 	return r
 }
 
-// OnRateLimits has f called, from any goroutine, when rate limits have changed.
+// OnRateLimits sets the function that is called, from any goroutine, when rate limits have changed.
 func (n *Node) OnRateLimits(f func()) {
 	n.quotas.mu.Lock()
 	defer n.quotas.mu.Unlock()
 	n.quotas.onChange = f
 }
 
-// ObserveLimit takes the limit that a receiver reported to this sender, in calls per second.
+// ObserveLimit records the limit that a receiver reported to this sender, in calls per second.
 func (n *Node) ObserveLimit(destination uint32, perSecond float64) {
 	if v := n.gate.current(); v != nil {
 		if q, ok := v.Policy.RateLimit(destination); ok && q.Adaptive {
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -32,7 +32,7 @@
 	node *Node
 }
 
-// Step takes events in.
+// Step handles events.
 func (s replicaStepper) Step(now time.Duration, events []replicatedlog.ReplicaEvent) ([]replicatedlog.ReplicaAction, time.Duration) {
 	actions, alarm := s.Replica.Step(now, events)
 	state := s.State()
@@ -52,7 +52,7 @@
 	n.group.Start(n.replica, worker.StopWorker)
 }
 
-// executeReplica carries out an action of the replica. What may take long runs in the background and comes back as an event.
+// executeReplica carries out an action of the replica. Actions that may take long run in the background and report their result as an event.
 func (n *Node) executeReplica(_ context.Context, action replicatedlog.ReplicaAction) error {
 	switch a := action.(type) {
 	case replicatedlog.StageChange:
@@ -62,7 +62,7 @@
 	case replicatedlog.PublishView:
 		n.publishView(a)
 	case replicatedlog.LeaseExpired:
-		n.log.Warn("fleet: cut off: no lease is left, and no call is begun")
+		n.log.Warn("fleet: the lease has expired; no calls are begun until a lease is granted")
 		n.notifyChange()
 	case replicatedlog.SubmitJoin:
 		n.goBackground(func(ctx context.Context) { n.submitJoin(ctx, a) })
@@ -70,19 +70,19 @@
 	return nil
 }
 
-// stageChange stores a proposed policy and tells the replica.
+// stageChange stores a proposed policy and reports the result to the replica.
 func (n *Node) stageChange(ctx context.Context, a replicatedlog.StageChange) {
 	raw, err := proto.Marshal(&pb.Change{Id: a.ChangeID, Document: a.Document})
 	if err == nil {
 		err = n.cfg.Disk.Write(filepath.Join(n.cfg.Folder, stagedName), raw)
 	}
 	if err != nil {
-		n.log.Error("fleet: a change of the policy can't be staged: it is refused", "change", a.ChangeID, "err", err)
+		n.log.Error("fleet: can't store a proposed policy; the change is rejected", "change", a.ChangeID, "err", err)
 	}
 	n.notifyReplica(ctx, replicatedlog.ChangeStaged{ChangeID: a.ChangeID, Err: err})
 }
 
-// requestLease asks some voter for a lease and tells the replica what came of it.
+// requestLease requests a lease from any voter and reports the result to the replica.
 func (n *Node) requestLease(ctx context.Context, a replicatedlog.SendLeaseRequest) {
 	a.Request.Cluster = n.cfg.Cluster
 	var r *pb.LeaseReply
@@ -92,7 +92,7 @@
 		return err
 	})
 	if err != nil {
-		n.log.Debug("fleet: no lease", "err", err)
+		n.log.Debug("fleet: a lease request failed", "err", err)
 		n.notifyReplica(ctx, replicatedlog.LeaseRequestFailed{RequestedAt: a.RequestedAt})
 		return
 	}
@@ -102,7 +102,7 @@
 	n.notifyReplica(ctx, replicatedlog.LeaseGranted{RequestedAt: a.RequestedAt, RequiredIndex: r.RequiredIndex, Duration: time.Duration(r.DurationUs) * time.Microsecond})
 }
 
-// publishView has calls go by a view. The allowances follow it before any call does.
+// publishView replaces the view that calls are checked against. The allowances are updated before any call is checked against the new view.
 func (n *Node) publishView(a replicatedlog.PublishView) {
 	former, couldAct := n.gate.View()
 	n.quotas.setView(a.View)
@@ -122,18 +122,18 @@
 func (n *Node) submitJoin(ctx context.Context, a replicatedlog.SubmitJoin) {
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.LeaseTerms.Duration)
 	defer cancel()
-	// One that fails is submitted again by the replica.
+	// The replica submits a join that fails again.
 	if r, err := n.Submit(ctx, replicatedlog.KindJoin, a.Command); err == nil && r.Rejection != "" {
-		n.log.Error("fleet: this sender is no member", "why", r.Rejection)
+		n.log.Error("fleet: the join of this sender was rejected", "why", r.Rejection)
 	}
 }
 
-// notifyReplica puts an event into the replica's inbox. It fails only as the node stops.
+// notifyReplica puts an event into the replica's inbox. That fails only while the node stops.
 func (n *Node) notifyReplica(ctx context.Context, e replicatedlog.ReplicaEvent) {
 	_ = n.replica.Inbox.Put(ctx, e)
 }
 
-// notifyChange tells OnChange's function.
+// notifyChange calls the function that OnChange has set.
 func (n *Node) notifyChange() {
 	n.mu.Lock()
 	f := n.onChange
@@ -143,7 +143,7 @@
 	}
 }
 
-// goBackground runs f in a goroutine that Close waits for; its context ends as the node stops.
+// goBackground runs f in a goroutine that Close waits for; its context ends when the node stops.
 func (n *Node) goBackground(f func(context.Context)) {
 	n.background.Add(1)
 	go func() {
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -16,7 +16,7 @@
 	Name            string          `json:"name"`
 	Cluster         string          `json:"cluster"`
 	Address         string          `json:"address"`
-	AgeMS           int64           `json:"heard_ms"` // since a voter last confirmed that the log is followed to its end, as far as that voter knew
+	AgeMS           int64           `json:"heard_ms"` // since the last part of the log, or heartbeat, that a voter sent
 	Index           uint64          `json:"index"`    // that its replica has applied
 	MayAct          bool            `json:"acts"`     // it may begin calls now
 	LeaseMS         int64           `json:"lease_ms"` // left of the lease; 0: there is none
@@ -26,7 +26,7 @@
 	Members         []Member        `json:"members"`
 	Voters          []string        `json:"voters"`
 	Policy          PolicyReport    `json:"policy"`
-	Rings           []worker.Stats  `json:"rings,omitempty"` // to other voters
+	Rings           []worker.Stats  `json:"rings,omitempty"` // queues of messages to other voters
 	Workers         []worker.Report `json:"duties"`
 	LeaseDurationMS int64           `json:"lease_length_ms"`
 	Bound           string          `json:"bound"` // how long a change waits for a sender that is partitioned off, in words
@@ -77,21 +77,21 @@
 	Frozen      bool   `json:"frozen"`
 	Document    string `json:"document"`
 
-	// Whom it waits for, as the leader said in its last lease reply.
+	// Senders that the change waits for, from the leader's last lease reply.
 	WaitingOn []fleetpolicy.PendingSender `json:"waits,omitempty"`
 }
 
 // FinishedChangeReport is a change that was committed or aborted.
 type FinishedChangeReport struct {
 	ID          uint64 `json:"id"`
-	Version     uint64 `json:"version,omitempty"` // that it made
+	Version     uint64 `json:"version,omitempty"` // that it committed
 	Author      string `json:"by"`
 	Reason      string `json:"why,omitempty"`
 	AbortReason string `json:"ended,omitempty"` // empty: committed
 	Document    string `json:"document,omitempty"`
 }
 
-// Report shows this sender's part.
+// Report returns the report of this sender.
 func (n *Node) Report() Report {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -124,7 +124,7 @@
 	return r
 }
 
-// currentVoterNames are the voters as far as this sender knows; mu is held.
+// currentVoterNames are the voters as far as this sender has applied the log; the caller must hold mu.
 func (n *Node) currentVoterNames() (names []string) {
 	for _, v := range n.cfg.Voters {
 		names = append(names, v.Name)
@@ -141,7 +141,7 @@
 	return names
 }
 
-// voterReport shows the voter of this sender; mu is held.
+// voterReport returns the report of this sender's voter; the caller must hold mu.
 func (n *Node) voterReport(voters []string) *VoterReport {
 	s := n.status
 	r := &VoterReport{IsLeader: s.IsLeader, Term: s.Term, AppliedIndex: s.AppliedIndex, MissingVoters: n.missingVoters, StaleReason: n.staleReason, Failed: n.voterFailure, WaitingOn: s.WaitingOn}
@@ -156,7 +156,7 @@
 	return r
 }
 
-// policyReport shows the replicated policy; mu is held.
+// policyReport returns the report of the replicated policy; the caller must hold mu.
 func (n *Node) policyReport() PolicyReport {
 	p := n.replicaReport.policy
 	r := PolicyReport{Version: p.GetVersion(), Document: string(p.GetDocument()), StartIndex: p.GetStartIndex()}
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -17,13 +17,13 @@
 
 // Bounds of the calls between senders.
 const (
-	maxMessageBytes   = 16 << 20               // of one message: a snapshot is one
-	outboxSize        = 1024                   // raft's messages to one voter; raft sends again what is dropped
+	maxMessageBytes   = 16 << 20               // of one message, such as a snapshot
+	outboxSize        = 1024                   // raft's messages to one voter; raft repeats messages that are dropped
 	heartbeatInterval = 200 * time.Millisecond // of the log's stream to a follower
-	followTimeout     = 5 * heartbeatInterval  // of silence, after which a follower turns to another voter
+	followTimeout     = 5 * heartbeatInterval  // without a chunk, after which a follower turns to another voter
 	maxConnectBackoff = time.Second            // between two attempts to connect
 	maxFollowers      = 2000                   // of one voter
-	keepaliveInterval = 10 * time.Second       // of silence, after which a connection is probed
+	keepaliveInterval = 10 * time.Second       // without traffic, after which a connection is probed
 	keepaliveTimeout  = 2 * time.Second        // for the probe's answer
 )
 
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// Raft takes the raft messages of one voter. Those of an incarnation before its last handshake end the stream; those meant for an
-// earlier incarnation of this sender, which may have given votes that this one does not know of, are dropped.
+// Raft receives the raft messages of one voter. A message of an incarnation before the voter's last handshake ends the stream. A message
+// to an earlier incarnation of this sender is dropped: that incarnation may have given votes that this one has no record of.
 func (s *service) Raft(from grpc.ClientStreamingServer[pb.RaftEnvelope, pb.Ack]) error {
 	for {
 		p, err := from.Recv()
@@ -63,7 +63,7 @@
 		if err := proto.Unmarshal(p.Message, m); err != nil || m.GetFrom() != replicatedlog.VoterID(p.From) {
 			return status.Errorf(codes.InvalidArgument, "a message that can't be read, or is not its sender's: %v", err)
 		}
-		// A message that a full inbox drops is sent again by raft.
+		// Raft repeats a message that a full inbox drops.
 		if !s.node.peers.deliver(p.From, p.Incarnation, func() { voter.Inbox.Offer(replicatedlog.MessageReceived{Message: m}) }) {
 			return status.Errorf(codes.Aborted, "%s has another process by now", p.From)
 		}
@@ -71,7 +71,7 @@
 }
 
 // Hello answers the handshake of a voter that starts: from now on messages of its earlier incarnations are dropped. While this voter has not
-// completed its own handshake it answers with what it has stored.
+// completed its own handshake, it answers with its stored position.
 func (s *service) Hello(ctx context.Context, r *pb.HelloRequest) (*pb.HelloReply, error) {
 	if err := s.checkCluster(r.Cluster); err != nil {
 		return nil, err
@@ -167,7 +167,7 @@
 	return reply.(*pb.SubmitReply), nil
 }
 
-// withCode gives an error of the voter the status code that has callers try another voter.
+// withCode gives ErrNotLeader the status code that makes callers try another voter.
 func withCode(err error) error {
 	if errors.Is(err, replicatedlog.ErrNotLeader) {
 		return status.Error(codes.Unavailable, err.Error())
--- a/internal/fleet/staging.go
+++ b/internal/fleet/staging.go
@@ -9,16 +9,16 @@
 	"saffronyard.example/saffronyard/internal/boltfile"
 )
 
-// Disk is where proposed policies are stored; tests have one that fails.
+// Disk stores proposed policies; tests use one that fails.
 type Disk interface {
 	// Write writes a file atomically: all of it, synced, or nothing.
 	Write(path string, data []byte) error
 }
 
-// realDisk is the machine's.
+// realDisk is the machine's file system.
 type realDisk struct{}
 
-// Write writes a temporary file beside, syncs it and renames it.
+// Write writes a temporary file in the same directory, syncs it and renames it.
 func (realDisk) Write(path string, data []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-")
 	if err != nil {
@@ -41,11 +41,11 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// Vouch records that an operator vouches for the folder of a voter that does not run being the newest: its next process does not wait for the
-// handshake's answers. It counts once.
+// Vouch records that an operator vouches for the folder of a stopped voter: that it is the newest. The voter's next process does not wait for the
+// handshake's answers. The record is used once.
 func Vouch(folder, by string) error {
 	if _, err := os.Stat(filepath.Join(folder, logName)); err != nil {
-		return fmt.Errorf("no voter's folder: %w", err)
+		return fmt.Errorf("not the folder of a voter: %w", err)
 	}
 	s, err := boltfile.Open(filepath.Join(folder, logName), true)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return realDisk{}.Write(filepath.Join(folder, vouchedName), []byte(by))
 }
 
-// takeVouch takes an operator's word for the folder, and removes it; ok is false if there is none.
+// takeVouch reads and removes the record that Vouch has written; ok is false if there is none.
 func takeVouch(folder string) (by string, ok bool, err error) {
 	path := filepath.Join(folder, vouchedName)
 	raw, err := os.ReadFile(path)
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -14,10 +14,10 @@
 	"saffronyard.example/saffronyard/internal/replicatedlog"
 )
 
-// The voter's file, log.db in the folder: two buckets. "log" has the entries by index (eight octets, the highest first), each a
-// raftpb.Entry. "meta" has "format", "cluster" and "name", whose file it is; "hard", raft's term, vote and commit; "conf", the
-// voters; "snapshot", a raftpb.Snapshot; and "base", index and term (eight octets each) of the last entry that was cut off.
-// A save is one transaction, synced: all of it is there after a crash, or nothing.
+// The voter's file is log.db in the folder, with two buckets. "log" has the entries by index (eight octets, big-endian), each a
+// raftpb.Entry. "meta" has "format"; "cluster" and "name" of the sender that the file belongs to; "hard", raft's term, vote and
+// commit index; "conf", the voters; "snapshot", a raftpb.Snapshot; and "base", index and term (eight octets each) of the last entry
+// that was compacted. A save is one synced transaction: after a crash the file has all of it, or nothing.
 const (
 	logName      = "log.db"
 	stagedName   = "staged"
@@ -37,7 +37,7 @@
 	path string
 }
 
-// openStore opens or makes a voter's file. The error wraps ErrNewerFormat or a *ForeignFileError, or is the file's.
+// openStore opens or creates a voter's file. The error wraps ErrNewerFormat, a *ForeignFileError or an error of the file.
 func openStore(folder, cluster, name string) (*store, error) {
 	path := filepath.Join(folder, logName)
 	db, err := boltfile.Open(path, false)
@@ -55,7 +55,7 @@
 		}
 		if raw := meta.Get([]byte(formatRecord)); raw != nil {
 			if f := boltfile.Value(raw); f > storeFormat {
-				return fmt.Errorf("format %d, this program knows %d: %w", f, storeFormat, ErrNewerFormat)
+				return fmt.Errorf("format %d, this program supports up to %d: %w", f, storeFormat, ErrNewerFormat)
 			}
 			for key, want := range map[string]string{"cluster": cluster, "name": name} {
 				if got := string(meta.Get([]byte(key))); got != want {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// load reads all that is stored.
+// load reads the stored log.
 func (s *store) load() (*replicatedlog.StoredLog, error) {
 	saved := &replicatedlog.StoredLog{HardState: &raftpb.HardState{}}
 	err := boltfile.Guarded(func() error {
@@ -158,7 +158,7 @@
 		if len(a.Entries) == 0 {
 			return nil
 		}
-		// Entries from here on were a former leader's and are replaced.
+		// Stored entries from the first new index on are a former leader's: the new entries replace them.
 		c, from := log.Cursor(), boltfile.Number(int64(a.Entries[0].GetIndex()))
 		for k, _ := c.Seek(from); k != nil; k, _ = c.Seek(from) {
 			if err := c.Delete(); err != nil {
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -25,8 +25,8 @@
 )
 
 // The files under testdata/stored were written by the program of commit eea23b3, before its names changed, and the golden
-// listings were made by that program too. They are kept for good: what a fleet has stored must stay readable. A voter's file holds
-// a snapshot at entry 6000 and the entries behind it, with every kind of command in one of the two.
+// listings were made by that program too. They must not be replaced: what a fleet has stored must stay readable. The voter's file has
+// a snapshot at entry 6000 and the entries after it; every kind of command occurs in one of the two.
 
 func TestStoredVoterLog_ReadsAsWritten(t *testing.T) {
 	equalGolden(t, "log.golden", storedLog(t, loadStored(t)))
@@ -36,26 +36,26 @@
 	equalGolden(t, "replayed.golden", replayedState(t, loadStored(t)))
 }
 
-// A voter that starts with the old file leads its own log on: its state is the one that the old program had.
+// A voter that starts with the old file continues its log: it starts with the stored term and vote, and applies all committed entries.
 func TestStoredVoterLog_VoterStarts(t *testing.T) {
 	saved := loadStored(t)
-	core, start, err := replicatedlog.NewVoter(replicatedlog.VoterConfig{Name: "voter-a", Stored: saved, Terms: lease.Terms{Duration: time.Second}, Policy: fleetpolicy.NewMachine()})
+	voter, start, err := replicatedlog.NewVoter(replicatedlog.VoterConfig{Name: "voter-a", Stored: saved, Terms: lease.Terms{Duration: time.Second}, Policy: fleetpolicy.NewMachine()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if start.Term != saved.HardState.GetTerm() || start.Vote != saved.HardState.GetVote() {
-		t.Errorf("it starts with %+v; the file has %v", start, saved.HardState)
+		t.Errorf("the voter starts with %+v; the file has %v", start, saved.HardState)
 	}
 	last := saved.Entries[len(saved.Entries)-1].GetIndex()
 	applied := saved.Snapshot.GetMetadata().GetIndex()
-	actions, _ := core.Step(time.Second, nil)
+	actions, _ := voter.Step(time.Second, nil)
 	for _, a := range actions {
 		if c, ok := a.(replicatedlog.Committed); ok && len(c.Entries) > 0 {
 			applied = c.Entries[len(c.Entries)-1].Index
 		}
 	}
 	if applied != saved.HardState.GetCommit() || applied > last {
-		t.Errorf("it applied up to entry %d; the file says that %d are committed", applied, saved.HardState.GetCommit())
+		t.Errorf("the voter applied entries up to %d; the file's commit index is %d", applied, saved.HardState.GetCommit())
 	}
 }
 
@@ -74,15 +74,15 @@
 			if err := c.machine.Restore(raw); err != nil {
 				t.Fatal(err)
 			}
-			again, err := c.machine.Snapshot()
+			encoded, err := c.machine.Snapshot()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if string(again) != string(raw) {
-				t.Error("the state is written otherwise than the old program wrote it")
+			if string(encoded) != string(raw) {
+				t.Error("the state is encoded differently from the old program's encoding")
 			}
 			state := emptyState(t, c.kind)
-			unmarshal(t, again, state)
+			unmarshal(t, encoded, state)
 			equalGolden(t, fmt.Sprintf("state-%d.golden", c.kind), listing(fmt.Sprintf("state of kind %d", c.kind), state))
 		})
 	}
@@ -104,7 +104,7 @@
 	}
 }
 
-// What travels between programs of two versions is known by the paths of methods and the numbers and types of fields.
+// Programs of two versions understand each other's messages by the paths of methods and the numbers and types of fields.
 func TestWire_PathsNumbersAndTypes(t *testing.T) {
 	equalGolden(t, "wire.golden", descriptorListing(pb.File_saffronyard_fleet_v1_fleet_proto))
 }
@@ -118,7 +118,7 @@
 	return raw
 }
 
-// loadStored opens a copy of the voter's file.
+// loadStored loads the stored log from a copy of the voter's file.
 func loadStored(t *testing.T) *replicatedlog.StoredLog {
 	t.Helper()
 	packed, err := os.Open(filepath.Join("testdata", "stored", "log.db.gz"))
@@ -165,8 +165,7 @@
 	}
 }
 
-// dump writes a message by its field numbers, a line each, so that the listing does not depend on what messages and fields are
-// called.
+// dump writes a message's fields by number, one per line, so that the listing does not depend on the names of messages and fields.
 func dump(b *strings.Builder, indent string, m protoreflect.Message) {
 	fields := make([]protoreflect.FieldDescriptor, 0)
 	m.Range(func(f protoreflect.FieldDescriptor, _ protoreflect.Value) bool {
@@ -174,7 +173,7 @@
 		return true
 	})
 	slices.SortFunc(fields, func(x, y protoreflect.FieldDescriptor) int { return cmp.Compare(x.Number(), y.Number()) })
-	one := func(f protoreflect.FieldDescriptor, v protoreflect.Value) {
+	writeField := func(f protoreflect.FieldDescriptor, v protoreflect.Value) {
 		switch {
 		case f.Message() != nil:
 			fmt.Fprintf(b, "%s%d:\n", indent, f.Number())
@@ -191,11 +190,11 @@
 		v := m.Get(f)
 		if f.IsList() {
 			for i := range v.List().Len() {
-				one(f, v.List().Get(i))
+				writeField(f, v.List().Get(i))
 			}
 			continue
 		}
-		one(f, v)
+		writeField(f, v)
 	}
 	if unknown := m.GetUnknown(); len(unknown) > 0 {
 		fmt.Fprintf(b, "%sunknown: %q\n", indent, []byte(unknown))
@@ -210,20 +209,20 @@
 	return b.String()
 }
 
-// descriptorListing writes services, field numbers and types of a file, without the names of messages and fields: a message is
-// known by its place in the file.
+// descriptorListing lists services, field numbers and types of a file, without the names of messages and fields: a message is
+// identified by its position in the file.
 func descriptorListing(file protoreflect.FileDescriptor) string {
 	var b strings.Builder
-	place := map[protoreflect.FullName]int{}
+	position := map[protoreflect.FullName]int{}
 	for i := range file.Messages().Len() {
-		place[file.Messages().Get(i).FullName()] = i
+		position[file.Messages().Get(i).FullName()] = i
 	}
 	for i := range file.Services().Len() {
 		s := file.Services().Get(i)
 		for j := range s.Methods().Len() {
 			m := s.Methods().Get(j)
-			fmt.Fprintf(&b, "/%s/%s: message %d (stream %v) -> message %d (stream %v)\n", s.FullName(), m.Name(), place[m.Input().FullName()], m.IsStreamingClient(),
-				place[m.Output().FullName()], m.IsStreamingServer())
+			fmt.Fprintf(&b, "/%s/%s: message %d (stream %v) -> message %d (stream %v)\n", s.FullName(), m.Name(), position[m.Input().FullName()], m.IsStreamingClient(),
+				position[m.Output().FullName()], m.IsStreamingServer())
 		}
 	}
 	for i := range file.Messages().Len() {
@@ -237,7 +236,7 @@
 		for _, f := range fields {
 			fmt.Fprintf(&b, "  %d: %v %v", f.Number(), f.Cardinality(), f.Kind())
 			if f.Message() != nil {
-				fmt.Fprintf(&b, " (message %d)", place[f.Message().FullName()])
+				fmt.Fprintf(&b, " (message %d)", position[f.Message().FullName()])
 			}
 			if o := f.ContainingOneof(); o != nil {
 				fmt.Fprintf(&b, ", of union %d", o.Index())
@@ -251,7 +250,7 @@
 	return b.String()
 }
 
-// storedCommand is a command of the log as it lies in an entry, with its body read by its kind.
+// storedCommand lists a command of a log entry, with its body decoded by its kind.
 func storedCommand(t *testing.T, raw []byte) string {
 	t.Helper()
 	if len(raw) == 0 {
@@ -269,7 +268,7 @@
 	return oneLine(c) + " | " + oneLine(body)
 }
 
-// storedSnapshot lists a snapshot of the whole replicated state, with the state of each kind of command read.
+// storedSnapshot lists a snapshot of the complete replicated state, with the state of each kind of command decoded.
 func storedSnapshot(t *testing.T, raw []byte) string {
 	t.Helper()
 	s := &pb.Snapshot{}
@@ -300,7 +299,7 @@
 	return nil
 }
 
-// storedLog lists all that a voter's file has.
+// storedLog lists the complete content of a voter's file.
 func storedLog(t *testing.T, saved *replicatedlog.StoredLog) string {
 	t.Helper()
 	var b strings.Builder
@@ -324,7 +323,7 @@
 	return b.String()
 }
 
-// replayedState is the replicated state after all of a voter's file, as a sender that follows it has it.
+// replayedState lists the replicated state of a replica that has applied the complete log of a voter's file.
 func replayedState(t *testing.T, saved *replicatedlog.StoredLog) string {
 	t.Helper()
 	log := &pb.LogChunk{Snapshot: saved.Snapshot.GetData()}
@@ -340,7 +339,7 @@
 	c := replicatedlog.NewReplica("reader", 1, fleetpolicy.Settings{}, lease.Terms{Duration: time.Second})
 	c.Step(time.Second, []replicatedlog.ReplicaEvent{replicatedlog.LogReceived{Chunk: log}})
 	if last := saved.Entries[len(saved.Entries)-1].GetIndex(); c.State().Index() != last {
-		t.Fatalf("the state has come to entry %d; the log ends at %d", c.State().Index(), last)
+		t.Fatalf("the replica has applied entries up to %d; the log ends at %d", c.State().Index(), last)
 	}
 	raw, err := c.State().Snapshot()
 	if err != nil {
--- a/internal/fleet/submit.go
+++ b/internal/fleet/submit.go
@@ -11,8 +11,9 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Submit proposes a command and waits for its outcome, which may be a rejection. It tries until ctx ends; however often the command
-// is sent, it counts once. An error that wraps ctx's leaves open whether it counts; ErrStopping is that the node stops.
+// Submit proposes a command and waits for its outcome, which may be a rejection. It retries until ctx ends; the command is applied at
+// most once, however often it is sent. After an error that wraps ctx's, it is unknown whether the command is applied; ErrStopping means
+// that the node stops.
 func (n *Node) Submit(ctx context.Context, kind uint32, body proto.Message) (*pb.SubmitReply, error) {
 	raw, err := proto.Marshal(body)
 	if err != nil {
@@ -69,7 +70,7 @@
 	return call(ctx, client)
 }
 
-// callTimeout is how long one voter is given to answer a lease request, so that another can be asked before the next request is due.
+// callTimeout is the time-out of a call to one voter. It leaves time to call another voter before the next lease request is due.
 func (n *Node) callTimeout() time.Duration {
 	return max(n.cfg.LeaseTerms.Duration/6, 100*time.Millisecond)
 }
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -21,20 +21,20 @@
 // voterActor runs a voter's state machine.
 type voterActor = worker.Worker[replicatedlog.VoterEvent, replicatedlog.VoterAction]
 
-// errNoVoter is what callers of a voter are told that this sender is none, or none yet.
+// errNoVoter answers calls to a voter while this sender is not a voter, or has not completed its handshake.
 var errNoVoter = status.Error(codes.Unavailable, "this sender is no voter, or has not begun")
 
-// errStopping is what callers are told while this sender stops.
+// errStopping answers calls while this sender stops.
 var errStopping = status.Error(codes.Unavailable, "this sender is leaving")
 
-// wasVoter reports whether the folder is a voter's that was added to the first ones.
+// wasVoter reports whether the folder has a voter's file, as it has for a voter that was added after the first ones.
 func (n *Node) wasVoter() bool {
 	_, err := os.Stat(filepath.Join(n.cfg.Folder, logName))
 	return err == nil
 }
 
-// firstVoters are those of the configuration file: the log begins with them, also for a voter that is added later and goes through it
-// from there.
+// firstVoters are the voters of the configuration file. The log begins with them, also at a voter that is added later, which applies the
+// log from its beginning.
 func (n *Node) firstVoters() *raftpb.ConfState {
 	conf := &raftpb.ConfState{}
 	for _, v := range n.cfg.Voters {
@@ -68,14 +68,14 @@
 	n.store, n.storedPosition = s, &position
 	n.mu.Unlock()
 	if vouched {
-		n.log.Warn("fleet: an operator vouches for the folder: the other voters are not waited for", "by", by)
+		n.log.Warn("fleet: an operator vouched for the folder; starting without the other voters' answers to the handshake", "by", by)
 	}
 	n.goBackground(func(context.Context) { n.runVoter(stored, vouched) })
 	return nil
 }
 
-// runVoter completes the handshake and starts the voter's worker. With a vouched folder it does not wait, but the peers hear of
-// this incarnation all the same: they would drop its messages otherwise.
+// runVoter completes the handshake and starts the voter's worker. With a vouched folder it does not wait for the handshake, but makes
+// it in the background all the same: otherwise the peers would drop the messages of this incarnation.
 func (n *Node) runVoter(stored *replicatedlog.StoredLog, vouched bool) {
 	var peers map[string]replicatedlog.PeerState
 	if vouched {
@@ -86,11 +86,11 @@
 	v, start, err := replicatedlog.NewVoter(replicatedlog.VoterConfig{Name: n.cfg.Name, Stored: stored, Peers: peers, Terms: n.cfg.LeaseTerms,
 		Policy: fleetpolicy.NewMachine(), Logger: raftLog{n.log}})
 	if err != nil {
-		n.log.Error("fleet: this sender can't be a voter", "err", err)
+		n.log.Error("fleet: can't start the voter of this sender", "err", err)
 		return
 	}
 	if start.StaleReason != "" {
-		n.log.Error("fleet: the folder is older than what was acknowledged from it; it votes for nobody until it has caught up", "why", start.StaleReason)
+		n.log.Error("fleet: the folder lacks entries that were acknowledged from it; the voter is no candidate until it has caught up", "why", start.StaleReason)
 	}
 	actor := &voterActor{Name: voterWorker, Inbox: worker.NewRingBuffer[replicatedlog.VoterEvent](voterWorker, voterInboxSize, worker.Block, nil), Stepper: v, Execute: n.executeVoter}
 	n.mu.Lock()
@@ -143,7 +143,7 @@
 	}
 }
 
-// leaderClient is the connection to the leader, as this voter knows it.
+// leaderClient returns a client of the leader according to this voter's status.
 func (n *Node) leaderClient() (pb.FleetClient, error) {
 	n.mu.Lock()
 	id := n.status.Leader
@@ -159,12 +159,12 @@
 	return n.conns.client(address)
 }
 
-// executeVoter carries out an action of the voter. An error stops the voter for good: the disk has not what it promised.
+// executeVoter carries out an action of the voter. An error stops the voter for good: what it would acknowledge is not on the disk.
 func (n *Node) executeVoter(_ context.Context, action replicatedlog.VoterAction) error {
 	switch a := action.(type) {
 	case replicatedlog.Persist:
 		if err := n.store.save(a); err != nil {
-			return fmt.Errorf("fleet: the log can't be written, this voter takes part no longer: %w", err)
+			return fmt.Errorf("fleet: can't write the voter's log; the voter stops: %w", err)
 		}
 		if a.Snapshot != nil {
 			n.feed.compact(a.Snapshot.Data)
