--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -88,9 +88,9 @@
 	for _, event := range events {
 		switch e := event.(type) {
 		case ownObservations:
-			h.takeOwn(e, v)
+			h.addOwnObservations(e, v)
 		case reportReceived:
-			h.takeReport(e.request, v, now)
+			h.addReport(e.request, v, now)
 		case viewPublished:
 		}
 	}
@@ -101,7 +101,7 @@
 	if v.Unfit != nil || now >= leaseUntil || v.Membership.GetNextEpoch() != 0 {
 		return actions, now + evaluateInterval
 	}
-	for _, c := range h.aggregator.Evaluate(now, health.EvaluationInput{Epoch: v.Membership.GetEpoch(), Self: h.quotas.me.Name, Rule: v.Policy.HealthRule, State: v.Health,
+	for _, c := range h.aggregator.Evaluate(now, health.EvaluationInput{Epoch: v.Membership.GetEpoch(), Self: h.quotas.self.Name, Rule: v.Policy.HealthRule, State: v.Health,
 		Owns: func(d uint32) bool { return h.isSelf(ownership.Owner(destinationKey(d))) }}) {
 		actions = append(actions, proposeHealth{c})
 	}
@@ -109,10 +109,10 @@
 }
 
 func (h *healthNode) isSelf(p *pb.Participant) bool {
-	return p != nil && p.Name == h.quotas.me.Name && p.Incarnation == h.quotas.me.Incarnation
+	return p != nil && p.Name == h.quotas.self.Name && p.Incarnation == h.quotas.self.Incarnation
 }
 
-func (h *healthNode) takeOwn(e ownObservations, v *fleetpolicy.View) {
+func (h *healthNode) addOwnObservations(e ownObservations, v *fleetpolicy.View) {
 	for _, o := range e.all {
 		if _, ruled := v.Policy.HealthRule(o.Destination); ruled && len(h.unreported) < maxObservations {
 			h.unreported[o.Destination] = o
@@ -120,9 +120,9 @@
 	}
 }
 
-// takeReport takes in another sender's report, unless the report is for another membership or for another process of this sender.
-func (h *healthNode) takeReport(r *pb.HealthReport, v *fleetpolicy.View, now time.Duration) {
-	if r.Epoch != v.Membership.GetEpoch() || r.ToIncarnation != h.quotas.me.Incarnation {
+// addReport takes in another sender's report, unless the report is for another membership or for another process of this sender.
+func (h *healthNode) addReport(r *pb.HealthReport, v *fleetpolicy.View, now time.Duration) {
+	if r.Epoch != v.Membership.GetEpoch() || r.ToIncarnation != h.quotas.self.Incarnation {
 		return
 	}
 	for _, o := range r.Observations {
@@ -134,7 +134,7 @@
 // buildReports makes a report for each owner of destinations that this sender has observed. Observations of destinations that this sender owns
 // itself go to its aggregator at once.
 func (h *healthNode) buildReports(ownership *coordinator.Ownership, epoch uint64, now time.Duration) map[string]sendReport {
-	me := h.quotas.me
+	self := h.quotas.self
 	reports := map[string]sendReport{}
 	for d, o := range h.unreported {
 		owner := ownership.Owner(destinationKey(d))
@@ -142,13 +142,13 @@
 			continue
 		}
 		if h.isSelf(owner) {
-			h.aggregator.Observe(me.Name, o, now)
+			h.aggregator.Observe(self.Name, o, now)
 			delete(h.unreported, d)
 			continue
 		}
 		r, ok := reports[owner.Name]
 		if !ok {
-			r = sendReport{owner, &pb.HealthReport{Name: me.Name, Incarnation: me.Incarnation, ToIncarnation: owner.Incarnation, Epoch: epoch}}
+			r = sendReport{owner, &pb.HealthReport{Name: self.Name, Incarnation: self.Incarnation, ToIncarnation: owner.Incarnation, Epoch: epoch}}
 			reports[owner.Name] = r
 		}
 		if len(r.report.Observations) < maxObservationsPerReport {
--- a/internal/fleet/health_report.go
+++ b/internal/fleet/health_report.go
@@ -19,7 +19,7 @@
 	StartIndex  uint64 `json:"since"`              // entry of the log that first set it
 	UpdateIndex uint64 `json:"at"`                 // of the entry that set or renewed it last
 	Owner       string `json:"authority"`          // that may renew or clear it; empty: an operator set it
-	TTLMS       int64  `json:"lasts_ms,omitempty"` // from when this sender received it, unless it is renewed
+	TTLMS       int64  `json:"lasts_ms,omitempty"` // until it expires, from when this sender received it, unless it is renewed
 	Bound       string `json:"bound"`
 }
 
--- a/internal/fleet/http.go
+++ b/internal/fleet/http.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// writeJSON writes a result. The error is ignored: it means that the client is gone.
+// writeJSON writes a result. The error is ignored: it means that the client has disconnected.
 func writeJSON(w http.ResponseWriter, v any) { _ = json.NewEncoder(w).Encode(v) }
 
 func (n *Node) serveReport(w http.ResponseWriter, r *http.Request) {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -46,7 +46,7 @@
 	GrantDuration func(time.Duration) time.Duration // maps the duration of a grant at its client to the one that is used
 }
 
-// Voter is a sender that is a raft voter.
+// Voter is the name and address of a sender that is a raft voter.
 type Voter struct{ Name, Address string }
 
 // voterWorker is the name of the voter's worker, as commands show it.
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -17,7 +17,7 @@
 // that this sender owns. Calls take units from allowances in their own goroutines.
 type quotaNode struct {
 	node       *Node
-	me         lease.HolderID
+	self       lease.HolderID
 	terms      quota.Terms
 	allowances *quota.Allowances
 	routes     peers.RouteTable
@@ -51,14 +51,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	q := &quotaNode{node: n, me: lease.HolderID{Name: n.cfg.Name, Incarnation: n.incarnation}, routes: routes, changed: map[string]struct{}{},
+	q := &quotaNode{node: n, self: lease.HolderID{Name: n.cfg.Name, Incarnation: n.incarnation}, routes: routes, changed: map[string]struct{}{},
 		terms: quota.Terms{Duration: n.cfg.quotaDuration(), MaxDrift: n.cfg.quotaDrift()}}
 	q.allowances = quota.NewAllowances(q.terms.MaxDrift, func(key string) { q.client.Inbox.Offer(quota.UnitsWanted{Key: key}) })
-	client := quota.NewClient(q.me, q.terms, q.allowances)
+	client := quota.NewClient(q.self, q.terms, q.allowances)
 	if n.cfg.GrantDuration != nil {
 		client.OverrideGrantDuration(n.cfg.GrantDuration)
 	}
-	server := quota.NewServer(q.me, q.terms)
+	server := quota.NewServer(q.self, q.terms)
 	if n.cfg.Today == nil {
 		n.cfg.Today = func() int64 { return time.Now().UTC().Unix() / int64(24*time.Hour/time.Second) }
 	}
--- a/internal/fleet/quota_client.go
+++ b/internal/fleet/quota_client.go
@@ -59,7 +59,7 @@
 // request requests units from their owner, which may be this sender itself.
 func (q *quotaNode) request(ctx context.Context, a quota.SendRequest) (*pb.QuotaReply, error) {
 	a.Request.Cluster = q.node.cfg.Cluster
-	if a.To.Name == q.me.Name {
+	if a.To.Name == q.self.Name {
 		return q.grant(ctx, a.Request)
 	}
 	client, err := q.node.conns.client(q.routes.Resolve(a.To.Address))
--- a/internal/fleet/races_test.go
+++ b/internal/fleet/races_test.go
@@ -23,8 +23,8 @@
 	return n
 }
 
-// The voter's worker starts and exits while messages are sent to its peers: a data race between the two must not occur. The test needs the
-// race detector.
+// The voter's worker starts and exits while messages are sent to its peers: there must be no data race between the two. The
+// race detector has to be on to find one.
 func TestSendLoop_VoterExitsMeanwhile(t *testing.T) {
 	n := idleNode(t)
 	ring := worker.NewRingBuffer[*raftpb.Message]("to b", 1, worker.DropOldest, nil)
--- a/internal/fleet/raft_log.go
+++ b/internal/fleet/raft_log.go
@@ -5,7 +5,7 @@
 	"log/slog"
 )
 
-// raftLog writes the raft library's messages to the sender's log: errors at warn, others at debug. Fatal and Panic are a panic of the voter's
+// raftLog writes the raft library's messages to the sender's log: errors at warn, others at debug. Fatal and Panic panic, which ends the voter's
 // worker. It implements raft.Logger.
 type raftLog struct{ log *slog.Logger }
 
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -32,7 +32,7 @@
 	node *Node
 }
 
-// Step handles events.
+// Step handles events and then publishes the report if the state's index has changed.
 func (s replicaStepper) Step(now time.Duration, events []replicatedlog.ReplicaEvent) ([]replicatedlog.ReplicaAction, time.Duration) {
 	actions, alarm := s.Replica.Step(now, events)
 	state := s.State()
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -162,7 +162,7 @@
 	r := PolicyReport{Version: p.GetVersion(), Document: string(p.GetDocument()), StartIndex: p.GetStartIndex()}
 	if open := p.GetOpenChange(); open != nil {
 		r.Open = &ChangeReport{ID: open.Id, BaseVersion: open.BaseVersion, Author: open.Author, Reason: open.Reason, Frozen: open.FreezeIndex != 0, Document: string(open.Document)}
-		r.Open.WaitingOn = slices.Clone(n.status.WaitingOn) // the status belongs to the voter
+		r.Open.WaitingOn = slices.Clone(n.status.WaitingOn) // the voter's status must not be modified
 		if !n.status.IsLeader {
 			for _, w := range n.waitingOn {
 				r.Open.WaitingOn = append(r.Open.WaitingOn, fleetpolicy.PendingSender{Name: w.Name, Reason: w.Reason, Remaining: time.Duration(w.RemainingUs) * time.Microsecond})
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -27,7 +27,7 @@
 // errStopping answers calls while this sender stops.
 var errStopping = status.Error(codes.Unavailable, "this sender is leaving")
 
-// wasVoter reports whether the folder has a voter's file, as it has for a voter that was added after the first ones.
+// wasVoter reports whether the folder has a voter's file. Such a sender is a voter even if it is not one of the first voters.
 func (n *Node) wasVoter() bool {
 	_, err := os.Stat(filepath.Join(n.cfg.Folder, logName))
 	return err == nil
@@ -159,7 +159,8 @@
 	return n.conns.client(address)
 }
 
-// executeVoter carries out an action of the voter. An error stops the voter for good: what it would acknowledge is not on the disk.
+// executeVoter carries out an action of the voter. An error stops the voter for good, because it must not acknowledge what is not on the
+// disk.
 func (n *Node) executeVoter(_ context.Context, action replicatedlog.VoterAction) error {
 	switch a := action.(type) {
 	case replicatedlog.Persist:
--- a/internal/fleetpolicy/coordinator.go
+++ b/internal/fleetpolicy/coordinator.go
@@ -35,7 +35,7 @@
 	at     time.Duration
 }
 
-// resendInterval is the time after which a step that was not applied is proposed again, as it may have been lost with a leader.
+// resendInterval is the time after which a step that was not applied is proposed again, as it may have been lost with a former leader.
 const resendInterval = time.Second
 
 // PendingSender is a sender that a change waits for.
--- a/internal/fleetpolicy/errors.go
+++ b/internal/fleetpolicy/errors.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// ErrUnknownCommand reports that a policy command is of a type that this program does not know. The
-// program must not continue as if it had applied the command.
+// ErrUnknownCommand reports that a policy command is of a type that this program does not support. The program must not
+// continue as if it had applied the command.
 var ErrUnknownCommand = errors.New("a policy command is of a type that this program does not support")
 
 // DecodeError reports that a command or the state can't be decoded.
--- a/internal/fleetpolicy/limit_index.go
+++ b/internal/fleetpolicy/limit_index.go
@@ -25,8 +25,8 @@
 	return true
 }
 
-// Usages are the units that a call uses of each limit that applies to it. For a call that is not about to be written, and has no endpoint
-// yet, the limits of endpoints are missing.
+// Usages are the units that a call uses of each limit that applies to it. A call that is not about to be written has no
+// endpoint yet, so the limits of endpoints are missing for it.
 func (p *Policy) Usages(c Call) (uses []quota.Usage) {
 	for _, shape := range p.limits.shapes {
 		for _, l := range p.limits.bySubject[c.subjectOf(shape)] {
--- a/internal/fleetpolicy/model_test.go
+++ b/internal/fleetpolicy/model_test.go
@@ -167,7 +167,7 @@
 
 var seed = maphash.MakeSeed()
 
-// Key is equal for states from which the same can follow. The property treats all senders alike: states that differ only by a
+// Key is equal for states that have the same continuations. The property treats all senders alike: states that differ only by a
 // permutation of senders have the same key.
 func (m *model) Key(w *world) modelcheck.Key {
 	now := w.clock()
--- a/internal/replicatedlog/cluster_sim_test.go
+++ b/internal/replicatedlog/cluster_sim_test.go
@@ -48,7 +48,7 @@
 	pending        map[uint64]func(Reply)
 	lastReplyTo    uint64
 	writes         int
-	crashesAtWrite int // at its write of this number; before the write reaches the disk if torn
+	crashesAtWrite int // it crashes at its write of this number; if torn, the write is lost
 	torn           bool
 }
 
@@ -244,7 +244,7 @@
 	}
 }
 
-// sendLog has a voter send the log to its followers.
+// sendLog sends a voter's log to its followers.
 func (s *sim) sendLog(i int) {
 	for j, c := range s.replicas {
 		if c.follows != i || !c.up {
--- a/internal/replicatedlog/doc.go
+++ b/internal/replicatedlog/doc.go
@@ -23,7 +23,7 @@
 //	           higher term
 //	leader     LeadershipTransferRequested             follower   another voter takes over
 //
-// States of a Replica, which together say whether its sender may act:
+// States of a Replica, which together determine whether its sender may act:
 //
 //	state      event                                   next
 //	no lease   LeaseGranted, log applied to its        acting
--- a/internal/replicatedlog/handshake.go
+++ b/internal/replicatedlog/handshake.go
@@ -56,8 +56,8 @@
 
 // StartState is what a voter starts with.
 type StartState struct {
-	Term, Vote  uint64 // in place of the stored ones
-	MinLogTerm  uint64 // it rejects candidates whose log ends before this position
+	Term, Vote  uint64 // replace the stored ones
+	MinLogTerm  uint64 // the voter rejects candidates whose log ends before this position
 	MinLogIndex uint64
 	StaleReason string // evidence that entries acknowledged from the folder are missing in it; "": there is none
 }
--- a/internal/replicatedlog/replica.go
+++ b/internal/replicatedlog/replica.go
@@ -37,7 +37,7 @@
 	publishedKey  viewKey           // key of that view
 	leaseUntil    time.Duration     // as published
 	stopsActingAt time.Duration     // end of the lease and the policy's grace; 0: LeaseExpired was emitted, or there was no lease
-	actingIndex   uint64            // no call that was begun under an older state waits to be written
+	actingIndex   uint64            // no call that was begun under the state of a lower index waits to be written
 	drainingIndex uint64            // of the published view that waits for its Drained event; 0: none
 
 	staging        uint64 // change that is being stored
--- a/internal/replicatedlog/snapshot.go
+++ b/internal/replicatedlog/snapshot.go
@@ -22,7 +22,7 @@
 			return nil, fmt.Errorf("snapshot: kind %d: %w", kind, err)
 		}
 		if len(raw) == 0 {
-			continue // no such command was applied: a program that does not support the kind can restore the snapshot
+			continue // no command of this kind was applied: a program that does not support the kind can restore the snapshot
 		}
 		snap.Machines = append(snap.Machines, &pb.MachineState{Kind: kind, State: raw})
 	}
--- a/internal/replicatedlog/voter.go
+++ b/internal/replicatedlog/voter.go
@@ -70,9 +70,9 @@
 type VoterConfig struct {
 	Name   string
 	Stored *StoredLog
-	Peers  map[string]PeerState // answers of all other voters to the handshake; nil: an operator vouches for Stored, or there are none
+	Peers  map[string]PeerState // answers of all other voters to the handshake; nil: an operator vouches for Stored, or there are no other voters
 	Terms  lease.Terms
-	Policy *fleetpolicy.Machine // empty; the voter's own from now on
+	Policy *fleetpolicy.Machine // empty; used only by the voter from now on
 	Logger raft.Logger          // of the raft library; nil: its default
 }
 
