--- a/internal/peers/config.go
+++ b/internal/peers/config.go
@@ -8,41 +8,41 @@
 	"strings"
 )
 
-// Config is how a sender takes part among its peers.
+// Config configures the exchange of a sender with its peers.
 type Config struct {
-	Name        string   // of this sender; no two have the same
-	Incarnation uint64   // of this process; a later one's is higher
-	Cluster     string   // of the deployment: others on the same network do not mix in
+	Name        string   // of this sender, unique in the deployment
+	Incarnation uint64   // of this process; a later process has a higher one
+	Cluster     string   // name of the deployment; separates it from others on the same network
 	Listen      string   // host:port for membership, TCP and UDP; port 0 for any
-	Exchange    string   // host:port where others ask what is known; port 0 for any
+	Exchange    string   // host:port where peers follow this sender's facts; port 0 for any
 	Seeds       []string // host:port of some other senders' membership
-	Keys        [][]byte // of the membership's messages, the first for what is sent: 16, 24 or 32 bytes each; none: in clear
-	MaxFollowed int      // so many peers are followed at once
-	MaxFacts    int      // held of what each tells, at most
-	Routes      []Route  // of others that are not reached at their own address
+	Keys        [][]byte // encrypt membership messages, 16, 24 or 32 bytes each; the first is used for sending; none: no encryption
+	MaxFollowed int      // most peers followed at once
+	MaxFacts    int      // most facts stored of each peer
+	Routes      []Route  // to peers that are not reachable at their own address
 }
 
-// The defaults.
+// Defaults of Config.
 const (
 	DefaultMaxFollowed = 3
 	DefaultMaxFacts    = 50_000
 )
 
-// ErrBeyondLoopback is that the exchange would be open to a network without TLS.
+// ErrBeyondLoopback means that the exchange would be exposed to a network without TLS.
 var ErrBeyondLoopback = errors.New("it is not a loopback address, and the exchange between senders has no TLS yet")
 
-// ConfigError is a configuration of peers that can't be used.
+// ConfigError reports an invalid configuration of peers.
 type ConfigError struct{ Problem string }
 
-// Error gives the problem.
+// Error returns the problem.
 func (e *ConfigError) Error() string { return "peers: " + e.Problem }
 
-// configError is a ConfigError whose problem is formatted.
+// configError returns a ConfigError with a formatted problem.
 func configError(format string, args ...any) error {
 	return &ConfigError{fmt.Sprintf(format, args...)}
 }
 
-// Check says what is wrong with a configuration: a *ConfigError, or one that names the setting and wraps its cause.
+// Check validates a configuration. The error is a *ConfigError, or one that names the setting and wraps the cause.
 func (c *Config) Check() error {
 	if c.Name == "" || len(c.Name) > 128 {
 		return configError("name %q is empty or over 128 bytes", c.Name)
@@ -65,13 +65,13 @@
 	}
 	for i, k := range c.Keys {
 		if n := len(k); n != 16 && n != 24 && n != 32 {
-			return configError("key %d has %d bytes; 16, 24 or 32 are wanted", i+1, n)
+			return configError("key %d has %d bytes; must be 16, 24 or 32", i+1, n)
 		}
 	}
 	return nil
 }
 
-// WithHost gives an address that has none its host.
+// WithHost adds the host to an address without one (":port").
 func WithHost(addr, host string) string {
 	if strings.HasPrefix(addr, ":") {
 		return host + addr
@@ -79,11 +79,12 @@
 	return addr
 }
 
-// CheckLoopback says why senders may not talk at an address without TLS: it is no numeric host:port, or ErrBeyondLoopback.
+// CheckLoopback returns an error if senders must not communicate at an address without TLS: ErrBeyondLoopback, or that the address
+// is not a numeric host:port.
 func CheckLoopback(addr string) error {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return fmt.Errorf("host:port with a numeric address is wanted: %w", err)
+		return fmt.Errorf("must be host:port with a numeric address: %w", err)
 	}
 	if !a.Addr().IsLoopback() {
 		return ErrBeyondLoopback
--- a/internal/peers/follow.go
+++ b/internal/peers/follow.go
@@ -14,29 +14,29 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/peers/v1"
 )
 
-// Why a stream of a peer's facts is ended by the one that follows it.
+// Reasons for which the follower ends a peer's stream.
 var (
-	errFlooding = errors.New("it sends more pieces than a sender has to tell")
-	errNoAnswer = errors.New("nothing came")
+	errFlooding = errors.New("the peer exceeds the rate limit of chunks")
+	errNoAnswer = errors.New("no chunk received")
 )
 
-// streamProgress is how far a peer was heard.
+// streamProgress is the last version received from a peer, with its incarnation, and the number of chunks received.
 type streamProgress struct {
 	incarnation, version uint64
 	chunks               int
 }
 
-// subscription is one peer that is followed, and who follows it.
+// subscription follows one peer.
 type subscription struct {
 	config   *Config
 	peer     Member
 	now      func() time.Duration        // the clock of the facts
-	progress *streamProgress             // how far it was heard, kept by the caller for the next time
+	progress *streamProgress             // kept by the caller, so that the next stream resumes there
 	onFacts  func([]knowledge.Fact) bool // called with each chunk; false ends the stream
 }
 
-// follow takes in what the peer tells until that ends, and says why. Nothing within connectTimeout, and more chunks than
-// maxChunksPerSecond with a burst of maxChunkBurst, end it.
+// follow receives the peer's facts until the stream ends, and returns the reason. It ends the stream if no chunk arrives within
+// connectTimeout, or if chunks exceed maxChunksPerSecond with a burst of maxChunkBurst.
 func (s *subscription) follow(ctx context.Context) error {
 	conn, err := grpc.NewClient("passthrough:///"+s.peer.Exchange, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxChunkBytes)), grpc.WithDisableServiceConfig(), grpc.WithDisableRetry(),
@@ -75,10 +75,10 @@
 	}
 }
 
-// failed names the peer in an error.
+// failed wraps an error with the peer's name.
 func (s *subscription) failed(err error) error { return fmt.Errorf("peers: %s: %w", s.peer.Name, err) }
 
-// decode reads the facts of a chunk; those that this version does not know are left out.
+// decode decodes the facts of a chunk and drops those that Decode rejects, such as kinds unknown to this version.
 func (s *subscription) decode(chunk *pb.Piece) []knowledge.Fact {
 	source := knowledge.Source{Name: s.peer.Name, Incarnation: chunk.GetLife()}
 	facts := make([]knowledge.Fact, 0, len(chunk.GetFacts()))
--- a/internal/peers/limits.go
+++ b/internal/peers/limits.go
@@ -4,14 +4,14 @@
 	"time"
 )
 
-// The limits of the exchange of facts. A peer can cost no more than these, whatever it does.
+// Limits of the exchange of facts. They bound what any peer can cost, whatever it does.
 const (
-	maxChunkFacts      = 500              // in one piece
-	maxChunkBytes      = 256 << 10        // of a piece that is taken in
-	maxFollowers       = 64               // that are told at once
-	maxChunksPerSecond = 100              // taken in of one peer; beyond that it floods
-	maxChunkBurst      = 400              // at once: a first snapshot of 200,000 facts
-	connectTimeout     = 2 * time.Second  // a peer is up within this
-	keepaliveInterval  = 20 * time.Second // without a word, a ping is sent
-	keepaliveTimeout   = 5 * time.Second  // and answered within this, or the stream is over
+	maxChunkFacts      = 500              // in one chunk sent
+	maxChunkBytes      = 256 << 10        // of one chunk received
+	maxFollowers       = 64               // served at once
+	maxChunksPerSecond = 100              // received from one peer; more than that is flooding
+	maxChunkBurst      = 400              // received at once: enough for a first snapshot of 200,000 facts
+	connectTimeout     = 2 * time.Second  // for a connection to be set up, and for the first chunk of a stream
+	keepaliveInterval  = 20 * time.Second // idle time after which a ping is sent
+	keepaliveTimeout   = 5 * time.Second  // for the answer to a ping; after that the stream ends
 )
--- a/internal/peers/membership.go
+++ b/internal/peers/membership.go
@@ -14,14 +14,14 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// memberMeta is what a member tells of itself with its membership.
+// memberMeta is the metadata that a member publishes with its membership.
 type memberMeta struct {
 	Exchange    string `json:"x"`
 	Incarnation uint64 `json:"l"`
-	Leaving     bool   `json:"b,omitempty"` // the membership does not say afterwards whether one left or died
+	Leaving     bool   `json:"b,omitempty"` // memberlist does not report afterwards whether a member left or died
 }
 
-// joinMembership starts the membership at the configured address; exchange is where this sender's facts are to be had.
+// joinMembership starts the membership at the configured address; exchange is the address at which this sender serves its facts.
 func (n *Node) joinMembership(exchange string) error {
 	at, err := netip.ParseAddrPort(n.config.Listen)
 	if err != nil {
@@ -50,10 +50,10 @@
 		}
 	}
 	m.Delegate = &n.meta
-	m.GossipInterval = gossipInterval // it is sent only when there is something to tell
+	m.GossipInterval = gossipInterval // messages are sent only when there are changes
 	m.Events = (*eventDelegate)(n)
 	m.Conflict = (*eventDelegate)(n)
-	m.DeadNodeReclaimTime = time.Millisecond // one that died may come back under its name at another address, at once
+	m.DeadNodeReclaimTime = time.Millisecond // a dead member may return at once under its name at another address
 	if len(n.config.Keys) > 0 {
 		if n.keyring, err = memberlist.NewKeyring(n.config.Keys, n.config.Keys[0]); err != nil {
 			return fmt.Errorf("peers: %w", err)
@@ -66,15 +66,15 @@
 	return nil
 }
 
-// Address is where the membership listens.
+// Address returns the address at which the membership listens.
 func (n *Node) Address() string { return n.members.LocalNode().Address() }
 
-// errNoKeys is that keys are to be changed where there are none.
-var errNoKeys = configError("membership is in clear; keys are changed only where there are some")
+// errNoKeys means that keys were to be changed, but the membership was started without any.
+var errNoKeys = configError("membership was started without encryption, so its keys can't be changed")
 
-// SetKeys changes the keys of the membership while it runs. Those that are new are added first, so that all members know them
-// before one is sent with; the first is what is sent with, and those that are not among keys are removed. Without keys from
-// the start it fails.
+// SetKeys changes the keys of the membership while it runs. It adds the new keys first, then encrypts with the first of keys, and
+// removes the keys that are not in keys. To rotate a key, all members must have it before any of them sends with it. SetKeys
+// fails if the membership was started without keys, or keys is empty.
 func (n *Node) SetKeys(keys [][]byte) error {
 	ring := n.keyring
 	if ring == nil || len(keys) == 0 {
@@ -98,13 +98,13 @@
 	return nil
 }
 
-// eventDelegate is the Node as it hears of members (memberlist.EventDelegate, ConflictDelegate).
+// eventDelegate is a Node that receives membership events (memberlist.EventDelegate, ConflictDelegate).
 type eventDelegate Node
 
-// NotifyJoin records that a member has come.
+// NotifyJoin records that a member has joined.
 func (e *eventDelegate) NotifyJoin(m *memberlist.Node) { e.recordChange(m, stateAlive) }
 
-// NotifyUpdate records that a member tells something else of itself.
+// NotifyUpdate records that a member has changed its metadata.
 func (e *eventDelegate) NotifyUpdate(m *memberlist.Node) { e.recordChange(m, stateAlive) }
 
 // NotifyLeave records that a member has left or died.
@@ -112,19 +112,19 @@
 	e.recordChange(m, stateDead)
 }
 
-// NotifyConflict logs that two members have one name: the one that was there first stays, and both hear of it.
+// NotifyConflict logs that two members have the same name. The existing one stays; both are notified.
 func (e *eventDelegate) NotifyConflict(existing, other *memberlist.Node) {
-	e.log.Error("peers: two senders have one name: the later one is refused", "name", existing.Name, "at", existing.Address(), "refused", other.Address())
+	e.log.Error("peers: two senders have the same name; the later one was rejected", "name", existing.Name, "at", existing.Address(), "refused", other.Address())
 }
 
-// recordChange records the state of a member and wakes the choice of those to follow.
+// recordChange records the state of a member and wakes run to choose the peers to follow.
 func (e *eventDelegate) recordChange(m *memberlist.Node, state string) {
 	if m.Name == e.config.Name {
 		return
 	}
 	var meta memberMeta
 	if err := json.Unmarshal(m.Meta, &meta); err != nil || CheckLoopback(meta.Exchange) != nil {
-		meta.Exchange = "" // it is there, and tells nothing that can be followed
+		meta.Exchange = "" // the member is alive, but can't be followed
 	}
 	if meta.Leaving {
 		state = stateLeft
@@ -143,33 +143,33 @@
 		e.forgetDeparted()
 	}
 	e.mu.Unlock()
-	e.log.Info("peers: a member changed its state", "peer", m.Name, "state", state, "address", m.Address())
+	e.log.Info("peers: member state changed", "peer", m.Name, "state", state, "address", m.Address())
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// maxMembers is how many are remembered with those that have gone.
+// maxMembers is the number of recorded members above which those that are not alive are dropped.
 const maxMembers = 1024
 
 // forgetDeparted drops the members that are not alive.
 func (e *eventDelegate) forgetDeparted() {
-	for name, f := range e.peers {
-		if f.State != stateAlive && !f.following {
+	for name, p := range e.peers {
+		if p.State != stateAlive && !p.following {
 			delete(e.peers, name)
 			delete(e.progress, name)
 		}
 	}
 }
 
-// metaDelegate gives the membership what this member tells of itself (memberlist.Delegate). Nothing else travels by it.
+// metaDelegate supplies this member's metadata to the membership (memberlist.Delegate). It carries no other data.
 type metaDelegate struct {
 	mu sync.Mutex
 	memberMeta
 }
 
-// set changes what this member tells.
+// set replaces the metadata.
 func (d *metaDelegate) set(m memberMeta) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -181,25 +181,25 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	raw, err := json.Marshal(d.memberMeta)
-	if err != nil || len(raw) > limit { // neither can be: it holds an address and two figures
+	if err != nil || len(raw) > limit { // neither can happen: the metadata is an address, a number and a flag
 		return nil
 	}
 	return raw
 }
 
-// NotifyMsg takes no messages: facts go by gRPC.
+// NotifyMsg ignores messages: facts are sent over gRPC.
 func (*metaDelegate) NotifyMsg([]byte) {}
 
-// GetBroadcasts has none.
+// GetBroadcasts returns none.
 func (*metaDelegate) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState is empty.
+// LocalState returns none.
 func (*metaDelegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState takes none.
+// MergeRemoteState ignores the state of other members.
 func (*metaDelegate) MergeRemoteState([]byte, bool) {}
 
-// logWriter passes on the membership's own log lines; those that tell of an error are warnings here.
+// logWriter forwards memberlist's log lines: errors at level Warn, all others at level Debug.
 type logWriter struct{ log *slog.Logger }
 
 // Write logs one line.
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -18,8 +18,8 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/peers/v1"
 )
 
-// Node is one sender's part among its peers. Its methods may be called from any goroutine. run and a goroutine for each peer
-// that is followed end with Close, which waits for them; mu guards what stands below it.
+// Node takes part in the exchange on behalf of one sender. Its methods may be called from any goroutine. Close stops run and the
+// goroutine of each followed peer, and waits for them. mu guards the fields below it.
 type Node struct {
 	config     Config
 	routes     RouteTable
@@ -29,7 +29,7 @@
 	factServer *factServer
 	server     *grpc.Server
 	members    *memberlist.Memberlist
-	keyring    *memberlist.Keyring // nil: in clear
+	keyring    *memberlist.Keyring // nil without encryption
 	cancel     context.CancelFunc
 	ctx        context.Context
 	wake       chan struct{}
@@ -38,13 +38,13 @@
 
 	mu       sync.Mutex
 	peers    map[string]*peer
-	progress map[string]*streamProgress // by name
+	progress map[string]*streamProgress // by peer name
 	closed   bool
 }
 
-// Start makes a sender take part: it listens, joins by its seeds, and follows some others until Close. onFacts is called with
-// what they tell, from other goroutines, and reports false to end that stream. now is the clock of the facts. Its errors are
-// those of Config.Check, and of addresses that can't be listened on.
+// Start listens, joins the membership through the seeds, and follows some peers until Close. onFacts is called with the facts they
+// send, from other goroutines, and returns false to end that stream. now is the clock of the facts. Errors are those of
+// Config.Check, and of addresses that can't be listened on.
 func Start(c Config, log *slog.Logger, now func() time.Duration, onFacts func([]knowledge.Fact) bool) (*Node, error) {
 	if c.MaxFollowed == 0 {
 		c.MaxFollowed = DefaultMaxFollowed
@@ -83,15 +83,15 @@
 	return n, nil
 }
 
-// How often a seed is asked to join while nobody else is known, and after that; and how often those to follow are chosen.
+// Intervals at which run joins through the seeds, and chooses the peers to follow.
 const (
-	joinInterval      = time.Second // while nobody else is known
+	joinInterval      = time.Second // while no other member is known
 	rejoinInterval    = 30 * time.Second
 	reconcileInterval = 200 * time.Millisecond
 )
 
-// run joins by the seeds, again while the sender is alone and now and then after that, so that the halves of a partition find
-// each other; and keeps MaxFollowed peers followed.
+// run joins through the seeds, every joinInterval while no other member is known and every rejoinInterval after that, so that the
+// two sides of a network partition find each other when it heals. It also keeps MaxFollowed peers followed.
 func (n *Node) run() {
 	defer n.done.Done()
 	tick := time.NewTicker(reconcileInterval)
@@ -105,7 +105,7 @@
 		if len(n.config.Seeds) > 0 && time.Since(joined) >= every {
 			joined = time.Now()
 			if _, err := n.members.Join(n.config.Seeds); err != nil {
-				n.log.Debug("peers: no seed answers", "err", err)
+				n.log.Debug("peers: failed to join through any seed", "err", err)
 			}
 		}
 		n.followChosen()
@@ -118,7 +118,7 @@
 	}
 }
 
-// followChosen begins to follow the peers that are chosen, each in a goroutine that ends with the stream.
+// followChosen starts to follow the chosen peers, each in a goroutine that ends with the stream.
 func (n *Node) followChosen() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -152,37 +152,38 @@
 			f.failures++
 			f.retryAt = n.now() + backoff(f.failures)
 			if n.ctx.Err() == nil {
-				n.log.Debug("peers: a stream has ended", "peer", m.Name, "err", err)
+				n.log.Debug("peers: stream from a peer ended", "peer", m.Name, "err", err)
 			}
 		}()
 	}
 }
 
-// Publish takes all that this sender has observed by now.
+// Publish replaces the published facts by all that this sender has observed by now.
 func (n *Node) Publish(facts []knowledge.Fact) { n.factServer.publish(facts, true, n.now()) }
 
-// PublishSome takes some of what this sender has just observed.
+// PublishSome adds some facts that this sender has just observed.
 func (n *Node) PublishSome(facts []knowledge.Fact) { n.factServer.publish(facts, false, n.now()) }
 
-// Members is the members that are known, by name.
+// Members returns the known members, sorted by name.
 func (n *Node) Members() []Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	all := make([]Member, 0, len(n.peers))
-	for _, f := range n.peers {
-		all = append(all, f.Member)
+	for _, p := range n.peers {
+		all = append(all, p.Member)
 	}
 	slices.SortFunc(all, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 	return all
 }
 
-// The times of the membership.
+// Times of the membership protocol.
 const (
-	leaveTimeout   = 150 * time.Millisecond // twice: saying so, and going
+	leaveTimeout   = 150 * time.Millisecond // applies twice: to announcing the leave, and to leaving
 	gossipInterval = 50 * time.Millisecond
 )
 
-// Close leaves: the others hear of it, and it ends within about half a second. A second call does nothing.
+// Close leaves the membership, announcing it to the other members, and stops the node. It takes about half a second at most. A
+// second call does nothing.
 func (n *Node) Close() {
 	n.mu.Lock()
 	closed := n.closed
@@ -194,7 +195,7 @@
 	n.cancel()
 	if n.members != nil {
 		n.meta.set(memberMeta{Incarnation: n.config.Incarnation, Leaving: true})
-		n.members.UpdateNode(leaveTimeout) // an error of either is that not all have heard: they find out
+		n.members.UpdateNode(leaveTimeout) // an error of either call means that not all members were notified; they detect it by failed probes
 		n.members.Leave(leaveTimeout)
 		n.members.Shutdown()
 	}
--- a/internal/peers/routes.go
+++ b/internal/peers/routes.go
@@ -10,27 +10,27 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Route is where another sender is reached whose own address does not lead there: behind a translation of addresses, or at the
-// other end of a tunnel. It holds for TCP and UDP alike, and for membership and exchange each by its own line.
+// Route maps the Address of a peer to the address Via by which it is reached, for a peer behind network address translation or at
+// the other end of a tunnel. It applies to both TCP and UDP. Membership and exchange each need a route of their own.
 type Route struct{ Address, Via string }
 
-// RouteError is a table of routes that can't be used.
+// RouteError reports an invalid table of routes.
 type RouteError struct{ Problem string }
 
-// Error gives the problem.
+// Error returns the problem.
 func (e *RouteError) Error() string { return e.Problem }
 
-// maxRoutes bounds a table; a fleet has two lines for each member.
-const maxRoutes = 2048 // lines; a fleet has two for each member
+// maxRoutes bounds a table. A fleet has two routes for each member.
+const maxRoutes = 2048
 
-// RouteTable is routes by address.
+// RouteTable maps an address to the address by which it is reached.
 type RouteTable map[string]string
 
-// NewRouteTable makes a table, of addresses that senders may talk at without TLS. Its errors name the line: a *RouteError, or
-// one that wraps that of CheckLoopback.
+// NewRouteTable makes a table of addresses at which senders may communicate without TLS. Errors name the route: a *RouteError, or
+// one that wraps the error of CheckLoopback.
 func NewRouteTable(all []Route) (RouteTable, error) {
 	if len(all) > maxRoutes {
-		return nil, &RouteError{fmt.Sprintf("%d lines of reach; %d are the most", len(all), maxRoutes)}
+		return nil, &RouteError{fmt.Sprintf("%d reach entries; the maximum is %d", len(all), maxRoutes)}
 	}
 	t := RouteTable{}
 	for i, r := range all {
@@ -40,14 +40,14 @@
 			}
 		}
 		if other, twice := t[r.Address]; twice {
-			return nil, &RouteError{fmt.Sprintf("reach %d: %s is reached at %s already", i+1, r.Address, other)}
+			return nil, &RouteError{fmt.Sprintf("reach %d: %s already has a route via %s", i+1, r.Address, other)}
 		}
 		t[r.Address] = r.Via
 	}
 	return t, nil
 }
 
-// Resolve is where an address is reached from here: itself, if there is no route.
+// Resolve returns the address by which addr is reached: addr itself if it has no route.
 func (t RouteTable) Resolve(addr string) string {
 	if via, ok := t[addr]; ok {
 		return via
@@ -55,7 +55,7 @@
 	return addr
 }
 
-// transport is the membership's network transport, by way of the table. What others answer comes by their own tables.
+// transport is the membership's network transport with the routes applied to outgoing traffic. Replies use the routes of the peer.
 type transport struct {
 	*memberlist.NetTransport
 	routes RouteTable
@@ -69,23 +69,23 @@
 	return transport{t, routes}, err
 }
 
-// WriteTo sends a packet to where addr is reached.
+// WriteTo sends a packet to the resolved addr.
 func (t transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return t.NetTransport.WriteTo(b, t.routes.Resolve(addr))
 }
 
-// WriteToAddress sends a packet to where a is reached.
+// WriteToAddress sends a packet to the resolved address.
 func (t transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	a.Addr = t.routes.Resolve(a.Addr)
 	return t.NetTransport.WriteToAddress(b, a)
 }
 
-// DialTimeout connects to where addr is reached.
+// DialTimeout connects to the resolved addr.
 func (t transport) DialTimeout(addr string, limit time.Duration) (net.Conn, error) {
 	return t.NetTransport.DialTimeout(t.routes.Resolve(addr), limit)
 }
 
-// DialAddressTimeout connects to where a is reached.
+// DialAddressTimeout connects to the resolved address.
 func (t transport) DialAddressTimeout(a memberlist.Address, limit time.Duration) (net.Conn, error) {
 	a.Addr = t.routes.Resolve(a.Addr)
 	return t.NetTransport.DialAddressTimeout(a, limit)
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -12,8 +12,8 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/peers/v1"
 )
 
-// factServer tells this sender's facts to all peers that follow it (gRPC service saffronyard.peers.v1.Exchange). mu guards
-// what stands below it.
+// factServer sends this sender's facts to all peers that follow it (gRPC service saffronyard.peers.v1.Exchange). mu guards
+// the fields below it.
 type factServer struct {
 	pb.UnimplementedExchangeServer
 	config *Config
@@ -22,70 +22,71 @@
 	mu        sync.Mutex
 	changes   *knowledge.ChangeLog
 	changed   chan struct{} // closed with each change
-	followers int           // of those that follow
+	followers int           // streams being served
 }
 
-// newFactServer makes one that has nothing to tell yet. now is the clock of the facts.
+// newFactServer returns a factServer without facts. now is the clock of the facts.
 func newFactServer(c *Config, now func() time.Duration) *factServer {
 	return &factServer{config: c, now: now, changes: knowledge.NewChangeLog(), changed: make(chan struct{})}
 }
 
-// publish takes the facts that this sender has observed by now: all of them, or some that are new. Followers are woken if
-// something is worth telling.
-func (t *factServer) publish(facts []knowledge.Fact, all bool, now time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	apply := t.changes.Add
+// publish records facts that this sender has observed: with all, the complete set, else only some new ones. It wakes the followers
+// if a change is significant.
+func (s *factServer) publish(facts []knowledge.Fact, all bool, now time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	apply := s.changes.Add
 	if all {
-		apply = t.changes.Update
+		apply = s.changes.Update
 	}
 	if apply(facts, now) {
-		close(t.changed)
-		t.changed = make(chan struct{})
+		close(s.changed)
+		s.changed = make(chan struct{})
 	}
 }
 
-// chunkAfter is the next chunk for a follower that has heard all up to a version: its facts, the version that it brings the
-// follower to, the newest version, and a channel that is closed with the next change.
-func (t *factServer) chunkAfter(version uint64) (chunk *pb.Piece, upTo uint64, newest uint64, changed chan struct{}) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	facts, upTo := t.changes.After(version, maxChunkFacts)
-	now := t.now()
-	chunk = &pb.Piece{Life: t.config.Incarnation, Version: upTo}
+// chunkAfter returns the next chunk for a follower that has received everything up to version, the version that the chunk brings
+// the follower to, the newest version, and a channel that is closed with the next change.
+func (s *factServer) chunkAfter(version uint64) (chunk *pb.Piece, upTo uint64, newest uint64, changed chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	facts, upTo := s.changes.After(version, maxChunkFacts)
+	now := s.now()
+	chunk = &pb.Piece{Life: s.config.Incarnation, Version: upTo}
 	for i := range facts {
 		chunk.Facts = append(chunk.Facts, knowledge.Encode(&facts[i], now))
 	}
-	return chunk, upTo, t.changes.Version(), t.changed
+	return chunk, upTo, s.changes.Version(), s.changed
 }
 
-// Follow serves one follower until its stream ends. It begins after the version that the follower has heard, if that was of
-// this incarnation, else with all. A slow follower holds up nobody: the stream's window fills, and it is told less often.
-func (t *factServer) Follow(req *pb.FollowRequest, stream grpc.ServerStreamingServer[pb.Piece]) error {
-	if req.GetCluster() != t.config.Cluster {
-		return status.Errorf(codes.PermissionDenied, "this is cluster %q, not %q", t.config.Cluster, req.GetCluster())
+// Follow serves one follower until its stream ends. It starts after the version that the follower has received, if that version is
+// of this incarnation, else with all facts. A slow follower delays no other: its flow-control window fills, and it gets fewer
+// updates.
+func (s *factServer) Follow(req *pb.FollowRequest, stream grpc.ServerStreamingServer[pb.Piece]) error {
+	if req.GetCluster() != s.config.Cluster {
+		return status.Errorf(codes.PermissionDenied, "this is cluster %q, not %q", s.config.Cluster, req.GetCluster())
 	}
-	if req.GetName() == t.config.Name {
-		return status.Errorf(codes.AlreadyExists, "%q is this sender's name", t.config.Name)
+	if req.GetName() == s.config.Name {
+		return status.Errorf(codes.AlreadyExists, "%q is this sender's name", s.config.Name)
 	}
-	t.mu.Lock()
-	if t.followers >= maxFollowers {
-		t.mu.Unlock()
+	s.mu.Lock()
+	if s.followers >= maxFollowers {
+		s.mu.Unlock()
 		return status.Errorf(codes.ResourceExhausted, "%d follow this sender already", maxFollowers)
 	}
-	t.followers++
-	t.mu.Unlock()
+	s.followers++
+	s.mu.Unlock()
 	defer func() {
-		t.mu.Lock()
-		t.followers--
-		t.mu.Unlock()
+		s.mu.Lock()
+		s.followers--
+		s.mu.Unlock()
 	}()
 	version := req.GetAfter()
-	if req.GetAfterLife() != t.config.Incarnation {
+	if req.GetAfterLife() != s.config.Incarnation {
 		version = 0
 	}
 	for first := true; ; first = false {
-		chunk, upTo, newest, changed := t.chunkAfter(version)
+		chunk, upTo, newest, changed := s.chunkAfter(version)
 		if first || upTo > version || len(chunk.Facts) > 0 {
 			if err := stream.Send(chunk); err != nil {
 				return err
