--- a/internal/knowledge/changelog.go
+++ b/internal/knowledge/changelog.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// ChangeLog is what a sender has to tell others, with versions: a change that matters to them gets the next one, and who has
-// heard all up to a version is told what came after. That a fact grows older is no change, so senders of quiet receivers tell
-// each other next to nothing. It is not for concurrent use.
+// ChangeLog is the log of a sender's own facts with versions, for its peers. Each significant change gets the next version, and a
+// peer that has everything up to a version is sent the changes after it. Ageing of a fact is no change, so senders whose receivers
+// are quiet exchange next to nothing. It is not safe for concurrent use.
 type ChangeLog struct {
 	version uint64
 	entries map[slot]*changeEntry
@@ -17,56 +17,56 @@
 
 // changeEntry is a fact and its last change.
 type changeEntry struct {
-	Fact           // as it is now
-	published Fact // as it was last told
+	Fact           // current
+	published Fact // as of its version
 	version   uint64
 }
 
-// NewChangeLog makes one that has nothing to tell.
+// NewChangeLog returns an empty ChangeLog.
 func NewChangeLog() *ChangeLog { return &ChangeLog{entries: map[slot]*changeEntry{}} }
 
-// Version is that of the newest change, 0 before any.
-func (t *ChangeLog) Version() uint64 { return t.version }
+// Version returns the version of the newest change, 0 before any.
+func (l *ChangeLog) Version() uint64 { return l.version }
 
-// Update takes all of a sender's own facts; what is not among them any more is not told any more. It reports whether there is
-// something new to tell.
-func (t *ChangeLog) Update(facts []Fact, now time.Duration) bool {
+// Update replaces the facts by all of a sender's own facts; entries that are not among them are dropped. It reports whether there is
+// a significant change.
+func (l *ChangeLog) Update(facts []Fact, now time.Duration) bool {
 	seen := make(map[slot]struct{}, len(facts))
 	for _, f := range facts {
 		if f.Source.Own() && f.Trust(now) >= MinTrust {
 			seen[slot{f.Subject, f.Kind}] = struct{}{}
 		}
 	}
-	changed := t.Add(facts, now)
-	for at := range t.entries {
+	changed := l.Add(facts, now)
+	for at := range l.entries {
 		if _, ok := seen[at]; !ok {
-			delete(t.entries, at)
+			delete(l.entries, at)
 		}
 	}
 	return changed
 }
 
-// Add takes some of a sender's own facts, as it comes to know them, and reports whether there is something new to tell.
-func (t *ChangeLog) Add(facts []Fact, now time.Duration) bool {
-	before := t.version
+// Add adds some of a sender's own facts as they are observed, and reports whether there is a significant change.
+func (l *ChangeLog) Add(facts []Fact, now time.Duration) bool {
+	before := l.version
 	for _, f := range facts {
 		if !f.Source.Own() || f.Trust(now) < MinTrust {
 			continue
 		}
 		at := slot{f.Subject, f.Kind}
-		old := t.entries[at]
+		old := l.entries[at]
 		if old != nil && !isSignificant(&old.published, &f) {
-			old.Fact = f // whoever begins to listen now hears it at its age
+			old.Fact = f // a peer that starts to follow now gets the current fact
 			continue
 		}
-		t.version++
-		t.entries[at] = &changeEntry{f, f, t.version}
+		l.version++
+		l.entries[at] = &changeEntry{f, f, l.version}
 	}
-	return t.version != before
+	return l.version != before
 }
 
-// isSignificant reports whether a fact says something that matters beyond what was told before, or the trust in that has
-// fallen so far that it is to be confirmed.
+// isSignificant reports whether a fact must be published: it differs enough from the published one, or confirms it after so long that
+// the trust of peers in the published one has fallen.
 func isSignificant(old, f *Fact) bool {
 	differs := func(a, b, by float64) bool { return math.Abs(a-b) > by*max(math.Abs(a), math.Abs(b)) }
 	if f.Kind != RetryAfter && f.ObservedAt-old.ObservedAt > trustHalfLife[f.Kind]/2 {
@@ -87,17 +87,17 @@
 	return false
 }
 
-// After gives the facts that came after a version, the oldest change first and so many at most, and the version up to which
-// that is all.
-func (t *ChangeLog) After(version uint64, maxFacts int) (facts []Fact, upTo uint64) {
+// After returns at most maxFacts facts that changed after version, the oldest change first, and the version up to which they are
+// complete.
+func (l *ChangeLog) After(version uint64, maxFacts int) (facts []Fact, upTo uint64) {
 	var newer []*changeEntry
-	for _, e := range t.entries {
+	for _, e := range l.entries {
 		if e.version > version {
 			newer = append(newer, e)
 		}
 	}
 	slices.SortFunc(newer, func(a, b *changeEntry) int { return cmp.Compare(a.version, b.version) })
-	upTo = t.version
+	upTo = l.version
 	if len(newer) > maxFacts {
 		newer = newer[:maxFacts]
 		upTo = newer[maxFacts-1].version
--- a/internal/knowledge/codec.go
+++ b/internal/knowledge/codec.go
@@ -8,10 +8,10 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/knowledge/v1"
 )
 
-// toMicros is a span in whole microseconds, 0 for a negative one.
+// toMicros converts a duration to whole microseconds, 0 for a negative one.
 func toMicros(d time.Duration) uint64 { return uint64(max(0, d) / time.Microsecond) }
 
-// fromMicros reads microseconds; what no span can hold is the longest.
+// fromMicros converts microseconds to a duration, capped at the longest.
 func fromMicros(us uint64) time.Duration {
 	if us > uint64(math.MaxInt64/time.Microsecond) {
 		return math.MaxInt64
@@ -19,7 +19,7 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-// Encode writes a fact with its age as of now.
+// Encode encodes a fact with its age as of now.
 func Encode(f *Fact, now time.Duration) *pb.Fact {
 	m := &pb.Fact{Destination: f.Destination, Endpoint: f.Endpoint, AgeUs: toMicros(now - f.ObservedAt), Calls: f.Calls}
 	switch f.Kind {
@@ -37,27 +37,27 @@
 	return m
 }
 
-// maxEndpointIDBytes is the longest id of an endpoint that is taken in.
+// maxEndpointIDBytes is the longest id of an endpoint that is accepted.
 const maxEndpointIDBytes = 256
 
-// Why a fact can't be decoded.
+// Errors of Decode.
 var (
-	errUnknownFact       = errors.New("a fact of a sort that is not known here")
-	errEndpointIDTooLong = errors.New("the id of an endpoint is too long")
-	errEndlessRetryAfter = errors.New("a wait without end")
+	errUnknownFact       = errors.New("fact of an unknown kind")
+	errEndpointIDTooLong = errors.New("endpoint id of a fact is too long")
+	errEndlessRetryAfter = errors.New("wait of a retry-after fact is out of range")
 )
 
-// Decode reads a fact that was told at now by a source; later is how long it has lain since it was encoded. Its error is that
-// the fact can't be; a fact of a kind that this version does not know is one that means nothing more: a newer sender told it.
+// Decode decodes a fact of a source as of now. sinceEncoded is the time since the fact was encoded. It returns an error for a fact
+// that can't be decoded. A fact of an unknown kind comes from a newer version, and the caller may just skip it.
 func Decode(m *pb.Fact, source Source, now, sinceEncoded time.Duration) (Fact, error) {
-	back := func(us uint64) time.Duration { // an age, to a time on our clock
+	timeOf := func(us uint64) time.Duration { // converts an age to a time on the local clock
 		d := fromMicros(us)
 		if d > math.MaxInt64/4 {
 			d = math.MaxInt64 / 4
 		}
 		return now - sinceEncoded - d
 	}
-	f := Fact{Subject: Subject{m.GetDestination(), m.GetEndpoint()}, ObservedAt: back(m.GetAgeUs()), Calls: m.GetCalls(), Source: source}
+	f := Fact{Subject: Subject{m.GetDestination(), m.GetEndpoint()}, ObservedAt: timeOf(m.GetAgeUs()), Calls: m.GetCalls(), Source: source}
 	if len(f.Endpoint) > maxEndpointIDBytes {
 		return f, errEndpointIDTooLong
 	}
@@ -79,7 +79,7 @@
 		f.Until = now - sinceEncoded + left
 	case *pb.Fact_Health:
 		f.Kind, f.State = Health, State(v.Health.GetState())
-		f.Since, f.Rate = back(v.Health.GetForUs()), v.Health.GetRate()
+		f.Since, f.Rate = timeOf(v.Health.GetForUs()), v.Health.GetRate()
 	default:
 		return f, errUnknownFact
 	}
--- a/internal/knowledge/file.go
+++ b/internal/knowledge/file.go
@@ -16,44 +16,44 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/knowledge/v1"
 )
 
-// A snapshot's file: 8 bytes "SYKNOW" and a format of two bytes, 4 bytes of length and 4 of checksum (CRC-32C), both little-
-// endian and of what follows, which is a protobuf message Snapshot. It is written beside the old one and renamed over it, so a
-// kill at any point leaves one of the two whole. It is not synced: what a machine loses with its power is noticed by the
-// checksum, and a sender that finds no snapshot starts as one without.
+// Layout of a snapshot file: "SYKNOW" and a format of two bytes, 8 in all, then 4 bytes of length and 4 of checksum (CRC-32C), both
+// little-endian and of the rest of the file, which is a protobuf message Snapshot. The file is written to a temporary name and
+// renamed over the old one, so a kill at any point leaves one of the two complete. It is not synced: the checksum detects data
+// lost with a power failure, and a sender without a usable snapshot starts without one.
 const (
 	magic            = "SYKNOW"
 	format           = 1
 	headLen          = len(magic) + 2 + 4 + 4
-	MinSnapshotBytes = 4 << 10 // of a snapshot's file that is of any use
+	MinSnapshotBytes = 4 << 10 // smallest useful limit on the size of a snapshot file
 	MaxSnapshotBytes = 64 << 20
 )
 
-// ErrNewer is that a snapshot was written by a version that this one does not know.
-var ErrNewer = errors.New("the snapshot is of a newer version")
+// ErrNewer means that a snapshot was written by a newer version with a format unknown to this one.
+var ErrNewer = errors.New("snapshot was written by a newer version")
 
-// ErrClockSetBack is that the wall clock is before the time at which a snapshot was written.
-var ErrClockSetBack = errors.New("the clock was set back")
+// ErrClockSetBack means that the wall clock is before the time at which a snapshot was written.
+var ErrClockSetBack = errors.New("wall clock was set back")
 
-// ErrDamaged is that a snapshot can't be read.
-var ErrDamaged = errors.New("the snapshot is damaged")
+// ErrDamaged means that a snapshot can't be decoded.
+var ErrDamaged = errors.New("snapshot is damaged")
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// urgency is the order in which facts are kept where not all find room: what spares failed calls first.
+// urgency is the order in which facts are written if not all fit: those that avoid failed calls first.
 var urgency = [kindCount]int{RetryAfter: 0, Health: 1, RateLimit: 2, Latency: 3, Concurrency: 4}
 
-// Marshal writes a snapshot of at most so many bytes, the facts that count most first. now is the facts' clock, wall the time
-// of day. dropped is how many facts found no room; raw is nil if none can be written.
+// Marshal encodes a snapshot of at most maxBytes, the most urgent facts first. now is on the clock of the facts, wall the wall
+// clock. dropped is the number of facts that did not fit; raw is nil if the snapshot can't be encoded.
 func Marshal(facts []Fact, now time.Duration, wall time.Time, maxBytes int) (raw []byte, dropped int) {
 	facts = slices.Clone(facts)
-	worse := func(f *Fact) int { // an outage before one that serves
+	rank := func(f *Fact) int { // an outage is more urgent than a healthy receiver
 		if f.Kind == Health && f.State == Healthy {
 			return int(Concurrency)
 		}
 		return urgency[f.Kind]
 	}
 	slices.SortStableFunc(facts, func(a, b Fact) int {
-		return cmp.Or(cmp.Compare(worse(&a), worse(&b)), cmp.Compare(b.ObservedAt, a.ObservedAt))
+		return cmp.Or(cmp.Compare(rank(&a), rank(&b)), cmp.Compare(b.ObservedAt, a.ObservedAt))
 	})
 	s := &pb.Snapshot{Format: format, UnixUs: uint64(max(0, wall.UnixMicro()))}
 	size := headLen + 32
@@ -67,7 +67,7 @@
 		s.Facts = append(s.Facts, m)
 	}
 	body, err := proto.Marshal(s)
-	if err != nil { // an id that is no UTF-8: the list's ids come from JSON, so there is none
+	if err != nil { // an id is not UTF-8; this can't happen, as ids come from the JSON of the endpoint list
 		return nil, len(facts)
 	}
 	raw = append(append(make([]byte, 0, headLen+len(body)), magic...), format, 0)
@@ -76,7 +76,7 @@
 	return append(raw, body...), dropped
 }
 
-// varintLen is the bytes of a length in protobuf's encoding.
+// varintLen returns the size of a length in protobuf's encoding, in bytes.
 func varintLen(n int) int {
 	size := 1
 	for n >>= 7; n > 0; n >>= 7 {
@@ -85,16 +85,16 @@
 	return size
 }
 
-// Unmarshal reads a snapshot. Its facts are the reader's own, older by the time between the two wall clocks. skipped is how
-// many facts are not known or not valid here. The error is ErrNewer, ErrDamaged, or ErrClockSetBack where that time runs
-// backwards, as nothing can be said of their age then.
+// Unmarshal decodes a snapshot. Its facts become the reader's own, aged by the wall-clock time since the snapshot was written.
+// skipped is the number of facts that are unknown to this version or not valid. The error is ErrNewer, ErrDamaged, or
+// ErrClockSetBack if that time is negative, as the age of the facts is unknown then.
 func Unmarshal(raw []byte, now time.Duration, wall time.Time) (facts []Fact, skipped int, err error) {
 	if len(raw) < headLen || !bytes.HasPrefix(raw, []byte(magic)) {
 		return nil, 0, ErrDamaged
 	}
 	head := raw[len(magic):]
 	if v := binary.LittleEndian.Uint16(head); v > format {
-		return nil, 0, fmt.Errorf("%w: format %d, known is %d", ErrNewer, v, format)
+		return nil, 0, fmt.Errorf("%w: format %d, highest known format is %d", ErrNewer, v, format)
 	}
 	body := raw[headLen:]
 	if binary.LittleEndian.Uint32(head[2:]) != uint32(len(body)) || binary.LittleEndian.Uint32(head[6:]) != crc32.Checksum(body, crcTable) {
@@ -104,12 +104,12 @@
 	if err := proto.Unmarshal(body, &s); err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	later := time.Duration(wall.UnixMicro()-int64(s.GetUnixUs())) * time.Microsecond
-	if later < 0 {
-		return nil, 0, fmt.Errorf("the snapshot is from %v ahead: %w", -later, ErrClockSetBack)
+	elapsed := time.Duration(wall.UnixMicro()-int64(s.GetUnixUs())) * time.Microsecond
+	if elapsed < 0 {
+		return nil, 0, fmt.Errorf("snapshot was written %v in the future: %w", -elapsed, ErrClockSetBack)
 	}
 	for _, m := range s.GetFacts() {
-		f, err := Decode(m, Source{}, now, later)
+		f, err := Decode(m, Source{}, now, elapsed)
 		if err != nil || !f.valid(now) {
 			skipped++
 			continue
@@ -119,11 +119,11 @@
 	return facts, skipped, nil
 }
 
-// Save puts a snapshot in place of the one at path, by way of path + ".new".
+// Save replaces the snapshot at path, by writing path + ".new" and renaming it.
 func Save(path string, raw []byte) error {
 	next := path + ".new"
 	if err := os.WriteFile(next, raw, 0o600); err != nil {
-		os.Remove(next) // what did not fit is not to take the room of the journal
+		os.Remove(next) // a partial file must not take space that the journal needs
 		return fmt.Errorf("knowledge: %w", err)
 	}
 	if err := os.Rename(next, path); err != nil {
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// Load reads the snapshot at path; that there is none is no error. For its errors see Unmarshal.
+// Load reads the snapshot at path. A missing file is no error and gives no facts. For other errors see Unmarshal.
 func Load(path string, now time.Duration, wall time.Time) ([]Fact, int, error) {
 	f, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/knowledge/knowledge.go
+++ b/internal/knowledge/knowledge.go
@@ -1,14 +1,14 @@
-// Package knowledge is what senders know of receivers and tell each other: facts, each with the age of its evidence, how
-// much of it there is, and whose it is. It merges several views into one and says how far a fact is still to be trusted.
+// Package knowledge holds facts about receivers that senders have observed and exchange. Each fact has the age and amount of its
+// evidence and its source. The package merges facts of several sources into one view and computes how far a fact is still trusted.
 //
-// It knows no clock: times are spans on the holder's own clock, passed in; between senders only ages travel, so that no two clocks
-// need agree. Of its types none is for concurrent use. The only I/O is Save and Load, of a snapshot (file.go).
+// It reads no clock: times are durations on the holder's own clock, passed in by the caller. Between senders only ages are sent, so
+// that clocks need not agree. None of its types is safe for concurrent use. The only I/O is Save and Load of a snapshot (file.go).
 //
-//	knowledge.go   facts, their trust, and View, which keeps the best of each
-//	changelog.go   ChangeLog: what a sender has to tell others
-//	reports.go     Reports: what others tell of health, weighed against each other
-//	codec.go       facts on the wire and in the snapshot
-//	file.go        the snapshot's file
+//	knowledge.go   facts, their trust, and View, which keeps the best fact of each subject and kind
+//	changelog.go   ChangeLog: versioned changes of a sender's own facts, for its peers
+//	reports.go     Reports: health reports of other senders, weighed against each other
+//	codec.go       encoding of facts, in messages and in the snapshot
+//	file.go        the snapshot file
 package knowledge
 
 import (
@@ -18,11 +18,11 @@
 	"time"
 )
 
-// Subject is what a fact is about: a receiver, or one route of it where its endpoints are judged apart. Destinations and ids
-// of endpoints are the same at every sender; addresses need not be.
+// Subject is what a fact is about: a receiver, or one route of it where its endpoints are evaluated separately. Destinations and
+// ids of endpoints are the same at every sender; addresses may differ.
 type Subject struct {
 	Destination uint32
-	Endpoint    string // of a route apart; "" for the receiver as a whole
+	Endpoint    string // of a separate route; "" for the whole receiver
 }
 
 // Compare orders subjects by destination, then by endpoint.
@@ -30,16 +30,17 @@
 	return cmp.Or(cmp.Compare(s.Destination, o.Destination), cmp.Compare(s.Endpoint, o.Endpoint))
 }
 
-// Kind is a kind of fact. A source has one value of each for a subject.
+// Kind is a kind of fact. For each subject, a source has one fact of each kind.
 type Kind uint8
 
-// The kinds of facts. Their numbers are those of no file or wire: both have a field for each (proto saffronyard.knowledge.v1).
+// The kinds of facts. Their numbers are not stored or sent: the message has a field for each (proto saffronyard.knowledge.v1).
+// Operators are shown the quoted names.
 const (
 	Latency     Kind = iota + 1 // how long calls take ("pace" to operators)
-	Concurrency                 // how many calls at once were borne ("bears")
-	RateLimit                   // the rate limit that the receiver told ("limit")
-	RetryAfter                  // when the receiver asked to be called again ("wait")
-	Health                      // whether it serves
+	Concurrency                 // how many concurrent calls were served ("bears")
+	RateLimit                   // the rate limit that the receiver reported ("limit")
+	RetryAfter                  // the time before which the receiver wants no calls ("wait")
+	Health                      // whether the receiver serves calls
 )
 
 // kindCount is one more than the highest kind: the length of a table by kind.
@@ -47,7 +48,7 @@
 
 var kindNames = [kindCount]string{Latency: "pace", Concurrency: "bears", RateLimit: "limit", RetryAfter: "wait", Health: "health"}
 
-// String is the kind as operators are shown it.
+// String returns the name of the kind that operators are shown.
 func (k Kind) String() string {
 	if int(k) < kindCount && kindNames[k] != "" {
 		return kindNames[k]
@@ -55,17 +56,17 @@
 	return "unknown"
 }
 
-// State is a receiver's health. The numbers are those of the proto, and the order is from better to worse.
+// State is a receiver's health, ordered from better to worse. The numbers are those of the proto.
 type State uint8
 
-// The states, the better first; operators are shown "serves", "cold" and "out".
+// The states. Operators are shown "serves", "cold" and "out".
 const (
 	Healthy   State = iota + 1 // a call was served
-	WarmingUp                  // it serves again after an outage, and warms up
+	WarmingUp                  // it serves again after an outage, in slow start
 	Unhealthy                  // an outage: calls fail, are refused or go unanswered
 )
 
-// String is the state as operators are shown it.
+// String returns the name of the state that operators are shown.
 func (s State) String() string {
 	if s < Healthy || s > Unhealthy {
 		return "unknown"
@@ -73,45 +74,45 @@
 	return [...]string{Healthy: "serves", WarmingUp: "cold", Unhealthy: "out"}[s]
 }
 
-// Value is what a fact says. Only the fields of its kind are set. Times are on the holder's clock.
+// Value is the value of a fact. Only the fields of its kind are set. Times are on the holder's clock.
 type Value struct {
-	Mean, Median, Min, Timeout time.Duration // Latency; Timeout is the time-out that fits
-	Window                     float64       // Concurrency: calls at once that were borne
-	PerSecond                  float64       // RateLimit: calls a second, of all senders
-	Until                      time.Duration // RetryAfter: its end
+	Mean, Median, Min, Timeout time.Duration // Latency; Timeout is the suitable time-out
+	Window                     float64       // Concurrency: concurrent calls that were served
+	PerSecond                  float64       // RateLimit: calls a second, over all senders
+	Until                      time.Duration // RetryAfter: end of the wait
 	State                      State         // Health
-	Since                      time.Duration // Health: when it came to be so
-	Rate                       float64       // Health: calls a second that were usually served for its holder, before any outage
+	Since                      time.Duration // Health: when the state began
+	Rate                       float64       // Health: usual rate of calls served for the source before any outage, in calls a second
 }
 
-// Fact is one piece of knowledge.
+// Fact is one observation of a subject.
 type Fact struct {
 	Subject
 	Kind
 	ObservedAt time.Duration // of the newest evidence, on the holder's clock
-	Calls      uint32        // how many calls it rests on
-	Source     Source        // who observed it
+	Calls      uint32        // number of calls that the evidence consists of
+	Source     Source        // sender that observed it
 	Value
 }
 
-// Source is who has observed what a fact tells: a sender, in one incarnation. Its own facts have the zero value.
+// Source is the sender that has observed a fact, in one incarnation. The holder's own facts have the zero value.
 type Source struct {
 	Name        string
-	Incarnation uint64 // grows with each start; that of an own earlier process is an own fact's
+	Incarnation uint64 // grows with each start; facts of the holder's earlier processes count as own, too
 }
 
-// Own reports whether the holder observed it itself, in this process or an earlier one.
+// Own reports whether the holder itself observed the fact, in this process or an earlier one.
 func (s Source) Own() bool { return s == Source{} }
 
-// trustHalfLife is how long a fact of a kind takes to count half as much.
+// trustHalfLife is the time after which the trust in a fact has halved.
 //
-// Latency is a matter of the machine that serves: it changes with a release, so an hour. Concurrency and rate limits depend on
-// who else sends: some minutes. An outage of this deployment lasts 8 to 22 s, so what is older than one tells more of the past
-// than of now.
+// Latency depends on the serving machine and changes with a release, hence an hour. Concurrency and rate limits depend on the
+// other senders, hence some minutes. An outage of this deployment lasts 8 to 22 s, so a health report older than that says more
+// about the past than about the present.
 var trustHalfLife = [kindCount]time.Duration{Latency: time.Hour, Concurrency: 5 * time.Minute, RateLimit: 30 * time.Minute, Health: 15 * time.Second}
 
-// Trust is how far a fact counts at a time, from 1 for what is observed now to 0. A RetryAfter holds in full until its end,
-// and not at all after it: it was not an estimate but a promise asked for.
+// Trust returns how far a fact is trusted at a time, from 1 for one observed now down to 0. A RetryAfter has full trust until its
+// end and none after it: it is not an estimate but a request of the receiver.
 func (f *Fact) Trust(now time.Duration) float64 {
 	if f.Kind == RetryAfter {
 		if now < f.Until {
@@ -126,21 +127,21 @@
 	return math.Exp2(-age.Seconds() / trustHalfLife[f.Kind].Seconds())
 }
 
-// MinTrust is the trust below which a fact counts for nothing: it is forgotten.
+// MinTrust is the trust below which a fact is dropped.
 const MinTrust = 0.02
 
-// Better is the order in which facts win: own evidence before hearsay, fresher before staler, better founded before worse. It
-// is total over facts that differ in anything, so a merge is the same in whatever order facts come.
+// Better reports whether a takes precedence over b: own facts before those of peers, newer before older, more calls before fewer.
+// The order is total over facts that differ in any field, so a merge gives the same result in whatever order facts arrive.
 //
-// Own evidence does not win for ever: it is held against hearsay as if it were ownFactAdvantage fresher. A RetryAfter that
-// ends later wins whoever was told it.
+// An own fact does not take precedence for ever: it is compared with those of peers as if it were ownFactAdvantage newer. Of two
+// RetryAfter facts, the one that ends later takes precedence, whatever their sources.
 func Better(a, b *Fact) bool { return compare(a, b) > 0 }
 
-// ownFactAdvantage is by how much hearsay must be fresher than own evidence to win: longer than the telling takes, and shorter
-// than an outage.
+// ownFactAdvantage is how much newer than an own fact a peer's fact must be to take precedence. It is longer than the exchange of
+// facts takes, and shorter than an outage.
 const ownFactAdvantage = 5 * time.Second
 
-// compare is above 0 if a is better, below if b is, and 0 for equal facts.
+// compare is positive if a is better, negative if b is, and 0 for equal facts.
 func compare(a, b *Fact) int {
 	if a.Kind == RetryAfter {
 		if c := cmp.Compare(a.Until, b.Until); c != 0 {
@@ -160,7 +161,7 @@
 		return 0
 	}
 	return cmp.Or(cmp.Compare(at(a), at(b)), cmp.Compare(bool01(a.Source.Own()), bool01(b.Source.Own())),
-		cmp.Compare(a.Calls, b.Calls), cmp.Compare(a.Value.State, b.Value.State), // of equals the worse health: it is the safe side
+		cmp.Compare(a.Calls, b.Calls), cmp.Compare(a.Value.State, b.Value.State), // the worse health, as the safer assumption
 		cmp.Compare(a.Source.Incarnation, b.Source.Incarnation), cmp.Compare(a.Source.Name, b.Source.Name), compareValues(&a.Value, &b.Value))
 }
 
@@ -171,19 +172,19 @@
 		cmp.Compare(a.Until, b.Until), cmp.Compare(a.Since, b.Since), cmp.Compare(a.Rate, b.Rate))
 }
 
-// slot is a subject and a kind: where one fact is held.
+// slot is the key of a fact in a View: its subject and kind.
 type slot struct {
 	Subject
 	Kind
 }
 
-// View is what one sender knows: for each subject and kind the best fact, and beside it the best own one, which is all that it
-// ever tells others. It is not for concurrent use.
+// View is the knowledge of one sender: for each subject and kind the best fact, and also the best own fact. It sends only own facts
+// to others. It is not safe for concurrent use.
 type View struct {
-	maxSubjects int // subjects
+	maxSubjects int
 	best        map[slot]*Fact
 	own         map[slot]*Fact
-	factCount   map[Subject]int // facts held of each
+	factCount   map[Subject]int // number of facts stored of each
 }
 
 // NewView makes an empty view that holds facts of at most maxSubjects subjects.
@@ -191,10 +192,10 @@
 	return &View{maxSubjects: maxSubjects, best: map[slot]*Fact{}, own: map[slot]*Fact{}, factCount: map[Subject]int{}}
 }
 
-// valid reports whether a fact can be: what is not is not taken in, whoever tells it.
+// valid reports whether the values of a fact are possible. Facts that are not valid are rejected, whatever their source.
 func (f *Fact) valid(now time.Duration) bool {
 	const longest = 24 * time.Hour
-	finite := func(x, most float64) bool { return x >= 0 && x <= most } // neither NaN
+	finite := func(x, most float64) bool { return x >= 0 && x <= most } // false for NaN
 	switch f.Kind {
 	case Latency:
 		return f.Calls > 0 && f.Min >= 0 && f.Min <= f.Timeout && f.Mean > 0 && f.Mean <= time.Hour && f.Median >= 0 &&
@@ -211,8 +212,8 @@
 	return false
 }
 
-// Add takes a fact in and reports whether it changed what is known. What is not valid, no longer trusted, or over the room for
-// subjects changes nothing.
+// Add adds a fact and reports whether it became the best of its subject and kind. It ignores a fact that is not valid, is no longer
+// trusted, or whose subject would exceed maxSubjects.
 func (v *View) Add(f Fact, now time.Duration) bool {
 	if !f.valid(now) || f.Trust(now) < MinTrust {
 		return false
@@ -223,8 +224,8 @@
 	at := slot{f.Subject, f.Kind}
 	if f.Source.Own() {
 		if old := v.own[at]; old == nil || Better(&f, old) {
-			held := f
-			v.put(v.own, at, &held)
+			own := f
+			v.put(v.own, at, &own)
 		}
 	}
 	if old := v.best[at]; old != nil && !Better(&f, old) {
@@ -234,7 +235,7 @@
 	return true
 }
 
-// put holds a fact in one of the two maps.
+// put stores a fact in one of the two maps.
 func (v *View) put(in map[slot]*Fact, at slot, f *Fact) {
 	if in[at] == nil {
 		v.factCount[at.Subject]++
@@ -242,8 +243,8 @@
 	in[at] = f
 }
 
-// Forget drops what is trusted no more. So the knowledge of a sender that is gone for good does not outlive it by more than
-// its trust.
+// Forget drops the facts that are no longer trusted. This also bounds how long the facts of a sender that is gone for good are
+// kept.
 func (v *View) Forget(now time.Duration) {
 	for _, in := range []map[slot]*Fact{v.best, v.own} {
 		for at, f := range in {
@@ -256,24 +257,24 @@
 			}
 		}
 	}
-	for at, f := range v.own { // hearsay that has gone leaves the own fact to stand
+	for at, f := range v.own { // once a peer's fact is dropped, the own fact is the best
 		if v.best[at] == nil {
 			v.put(v.best, at, f)
 		}
 	}
 }
 
-// Subjects is of how many subjects anything is known.
+// Subjects returns the number of subjects with at least one fact.
 func (v *View) Subjects() int { return len(v.factCount) }
 
-// Facts is all that is known, in the order of subjects and kinds.
+// Facts returns the best facts, sorted by subject and kind.
 func (v *View) Facts() []Fact { return sortedFacts(v.best) }
 
-// OwnFacts is what this sender tells others: what it observed itself, and nothing that it heard. So nothing comes back to its
-// source as another's evidence, and no rumour outlives who began it.
+// OwnFacts returns the facts that this sender sends to others: only its own observations, none received from peers. So no fact
+// returns to its source as evidence of another sender, and none is passed around after its source is gone.
 func (v *View) OwnFacts() []Fact { return sortedFacts(v.own) }
 
-// FactsOf is what is known of one subject, in the order of kinds.
+// FactsOf returns the best facts of one subject, sorted by kind.
 func (v *View) FactsOf(s Subject) []Fact {
 	var facts []Fact
 	for k := Latency; int(k) < kindCount; k++ {
@@ -284,7 +285,7 @@
 	return facts
 }
 
-// sortedFacts is the facts of a map in the order of subjects and kinds.
+// sortedFacts returns the facts of a map, sorted by subject and kind.
 func sortedFacts(in map[slot]*Fact) []Fact {
 	facts := make([]Fact, 0, len(in))
 	for _, f := range in {
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -17,14 +17,14 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/knowledge/v1"
 )
 
-const at0 = 1000 * time.Hour // now, in tests
+const at0 = 1000 * time.Hour // the current time in tests
 
-func fact(sort Kind, age time.Duration, source string) Fact {
-	f := Fact{Subject: Subject{Destination: 7}, Kind: sort, ObservedAt: at0 - age, Calls: 5}
+func fact(kind Kind, age time.Duration, source string) Fact {
+	f := Fact{Subject: Subject{Destination: 7}, Kind: kind, ObservedAt: at0 - age, Calls: 5}
 	if source != "" {
 		f.Source = Source{source, 1}
 	}
-	switch sort {
+	switch kind {
 	case Latency:
 		f.Mean, f.Median, f.Min, f.Timeout = 100*time.Millisecond, 90*time.Millisecond, 50*time.Millisecond, time.Second
 	case Concurrency:
@@ -39,9 +39,9 @@
 	return f
 }
 
-// drawn is any sound fact; few values, so that ties come up.
-func drawn(t *rapid.T) Fact {
-	f := fact(Kind(rapid.IntRange(1, kindCount-1).Draw(t, "sort")), time.Duration(rapid.IntRange(0, 12).Draw(t, "age"))*time.Second,
+// drawFact draws a valid fact. It chooses among few values, so that ties occur.
+func drawFact(t *rapid.T) Fact {
+	f := fact(Kind(rapid.IntRange(1, kindCount-1).Draw(t, "kind")), time.Duration(rapid.IntRange(0, 12).Draw(t, "age"))*time.Second,
 		rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "source"))
 	f.Destination = uint32(rapid.IntRange(0, 2).Draw(t, "destination"))
 	f.Endpoint = rapid.SampledFrom([]string{"", "e1"}).Draw(t, "endpoint")
@@ -53,10 +53,10 @@
 		f.Until = at0 + time.Duration(rapid.IntRange(1, 3).Draw(t, "until"))*time.Second
 	case Concurrency:
 		f.Window = float64(rapid.IntRange(1, 3).Draw(t, "window"))
-	case Latency, RateLimit: // as fact has them
+	case Latency, RateLimit: // as set by fact
 	}
 	if !f.Source.Own() {
-		f.Source.Incarnation = uint64(rapid.IntRange(1, 2).Draw(t, "life"))
+		f.Source.Incarnation = uint64(rapid.IntRange(1, 2).Draw(t, "incarnation"))
 	}
 	return f
 }
@@ -69,57 +69,58 @@
 	return v
 }
 
-// The merge is the same in whatever order and however often facts come, and however they were put together before.
+// The merge is commutative, idempotent and associative: it gives the same view in whatever order and however often facts are added,
+// and if they were merged in parts before.
 func TestView_MergeLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := rapid.SliceOfN(rapid.Custom(drawn), 0, 12).Draw(t, "facts")
+		all := rapid.SliceOfN(rapid.Custom(drawFact), 0, 12).Draw(t, "facts")
 		want := viewOf(all...)
 		shuffled := rapid.Permutation(all).Draw(t, "order")
 		if got := viewOf(shuffled...); !reflect.DeepEqual(got.Facts(), want.Facts()) || !reflect.DeepEqual(got.OwnFacts(), want.OwnFacts()) {
-			t.Fatalf("in another order %v, not %v", got.Facts(), want.Facts())
+			t.Fatalf("facts in another order give %v, want %v", got.Facts(), want.Facts())
 		}
 		if got := viewOf(append(slices.Clone(all), shuffled...)...); !reflect.DeepEqual(got.Facts(), want.Facts()) {
-			t.Fatalf("twice %v, not %v", got.Facts(), want.Facts())
+			t.Fatalf("facts added twice give %v, want %v", got.Facts(), want.Facts())
 		}
 		cut := rapid.IntRange(0, len(all)).Draw(t, "cut")
 		parts := append(viewOf(all[:cut]...).Facts(), viewOf(all[cut:]...).Facts()...)
 		if got := viewOf(parts...); !reflect.DeepEqual(got.Facts(), want.Facts()) {
-			t.Fatalf("in parts %v, not %v", got.Facts(), want.Facts())
+			t.Fatalf("facts merged in parts give %v, want %v", got.Facts(), want.Facts())
 		}
 		for _, f := range want.OwnFacts() {
 			if !f.Source.Own() {
-				t.Fatalf("%v was heard, and is told on", f)
+				t.Fatalf("the fact %v of a peer is among the own ones", f)
 			}
 		}
 	})
 }
 
-// All histories of up to three facts of one subject and sort: the order of views is total, and the one that wins is the
-// same whatever came first.
+// All histories of up to three facts of one subject and kind: the order of facts is total and transitive, and the best fact does not
+// depend on the order in which they were added.
 func TestView_AllSmallHistories(t *testing.T) {
-	var some []Fact
+	var facts []Fact
 	for _, source := range []string{"", "a", "b"} {
 		for _, age := range []time.Duration{0, 3 * time.Second, 6 * time.Second} {
 			for _, state := range []State{Healthy, Unhealthy} {
 				f := fact(Health, age, source)
 				f.State = state
-				some = append(some, f)
+				facts = append(facts, f)
 			}
 		}
 	}
-	for _, a := range some {
-		for _, b := range some {
+	for _, a := range facts {
+		for _, b := range facts {
 			if (a != b) != (Better(&a, &b) || Better(&b, &a)) || Better(&a, &b) && Better(&b, &a) {
-				t.Fatalf("%v and %v: no order", a, b)
+				t.Fatalf("%v and %v are not ordered", a, b)
 			}
-			for _, c := range some {
+			for _, c := range facts {
 				if Better(&a, &b) && Better(&b, &c) && !Better(&a, &c) {
-					t.Fatalf("%v, %v, %v: the order goes round", a, b, c)
+					t.Fatalf("%v, %v, %v: the order is not transitive", a, b, c)
 				}
 				want := viewOf(a, b, c).Facts()
 				for _, order := range [][]Fact{{a, c, b}, {b, a, c}, {b, c, a}, {c, a, b}, {c, b, a}} {
 					if got := viewOf(order...).Facts(); !reflect.DeepEqual(got, want) {
-						t.Fatalf("%v: %v, not %v", order, got, want)
+						t.Fatalf("%v give %v, want %v", order, got, want)
 					}
 				}
 			}
@@ -127,45 +128,45 @@
 	}
 }
 
-// Which of two views wins, as a list of what can be.
+// The rules of precedence between two facts, case by case.
 func TestBetter(t *testing.T) {
-	own, heard := fact(Health, 4*time.Second, ""), fact(Health, 0, "a")
-	if !Better(&own, &heard) {
-		t.Error("hearsay that is little fresher wins over own evidence")
+	own, peerFact := fact(Health, 4*time.Second, ""), fact(Health, 0, "a")
+	if !Better(&own, &peerFact) {
+		t.Error("a peer's fact that is slightly newer takes precedence over an own one")
 	}
-	if own.ObservedAt -= 2 * time.Second; Better(&own, &heard) {
-		t.Error("own evidence wins over what is fresher by more than an outage's telling")
+	if own.ObservedAt -= 2 * time.Second; Better(&own, &peerFact) {
+		t.Error("an own fact takes precedence over a peer's that is newer by more than ownFactAdvantage")
 	}
-	more := heard
-	if more.Calls++; !Better(&more, &heard) {
-		t.Error("of equal age the better founded does not win")
+	more := peerFact
+	if more.Calls++; !Better(&more, &peerFact) {
+		t.Error("of two facts of equal age, the one with more calls does not take precedence")
 	}
 	short, long := fact(RetryAfter, 0, ""), fact(RetryAfter, 9*time.Second, "a")
 	if long.Until += time.Second; !Better(&long, &short) {
-		t.Error("the longer wait does not win")
+		t.Error("the longer wait does not take precedence")
 	}
 }
 
-// What is known is trusted less the older it is, and a wait until its end.
+// The trust in a fact falls with its age; a RetryAfter has full trust until its end.
 func TestFact_Trust(t *testing.T) {
-	for sort := Latency; int(sort) < kindCount; sort++ {
-		f := fact(sort, 0, "a")
+	for kind := Latency; int(kind) < kindCount; kind++ {
+		f := fact(kind, 0, "a")
 		if got := f.Trust(at0); got != 1 {
-			t.Errorf("%v: %v at once", sort, got)
+			t.Errorf("%v: trust %v at age 0", kind, got)
 		}
-		if sort == RetryAfter {
+		if kind == RetryAfter {
 			if f.Trust(f.Until-1) != 1 || f.Trust(f.Until) != 0 {
-				t.Error("a wait does not hold until its end")
+				t.Error("the trust in a wait is not 1 until its end and 0 after it")
 			}
 			continue
 		}
-		if got := f.Trust(at0 + trustHalfLife[sort]); math.Abs(got-0.5) > 1e-9 {
-			t.Errorf("%v: %v after its half-life", sort, got)
+		if got := f.Trust(at0 + trustHalfLife[kind]); math.Abs(got-0.5) > 1e-9 {
+			t.Errorf("%v: trust %v after the half-life", kind, got)
 		}
 	}
 }
 
-// A view drops what is trusted no more, and where hearsay goes the own fact stands again.
+// A view drops facts that are no longer trusted. Once a peer's fact is dropped, the own fact is the best again.
 func TestView_Forget(t *testing.T) {
 	v := viewOf(fact(Latency, 2*time.Hour, ""), fact(Latency, time.Hour, "a"), fact(Health, 0, "a"))
 	if n := len(v.Facts()); n != 2 || len(v.OwnFacts()) != 1 {
@@ -181,41 +182,41 @@
 	}
 }
 
-// What can't be is not taken in, and there is a bound on subjects.
+// A view rejects invalid facts, and subjects beyond its bound.
 func TestView_RejectsInvalidFacts(t *testing.T) {
 	v := NewView(1)
-	for name, spoil := range map[string]func(*Fact){
-		"no sort":          func(f *Fact) { f.Kind = 0 },
-		"a newer sort":     func(f *Fact) { f.Kind = Kind(kindCount) },
+	for name, corrupt := range map[string]func(*Fact){
+		"no kind":          func(f *Fact) { f.Kind = 0 },
+		"a newer kind":     func(f *Fact) { f.Kind = Kind(kindCount) },
 		"from the future":  func(f *Fact) { f.ObservedAt = at0 + time.Second },
 		"since the future": func(f *Fact) { f.Since = at0 + time.Second },
 		"no state":         func(f *Fact) { f.State = 0 },
 		"another state":    func(f *Fact) { f.State = Unhealthy + 1 },
-		"rate no number":   func(f *Fact) { f.Rate = math.NaN() },
-		"rate endless":     func(f *Fact) { f.Rate = math.Inf(1) },
+		"rate NaN":         func(f *Fact) { f.Rate = math.NaN() },
+		"rate infinite":    func(f *Fact) { f.Rate = math.Inf(1) },
 		"rate negative":    func(f *Fact) { f.Rate = -1 },
 		"too old":          func(f *Fact) { f.ObservedAt = at0 - time.Hour; f.Since = f.ObservedAt },
 	} {
 		f := fact(Health, 0, "a")
-		if spoil(&f); v.Add(f, at0) || v.Subjects() != 0 {
-			t.Errorf("%s is taken in", name)
+		if corrupt(&f); v.Add(f, at0) || v.Subjects() != 0 {
+			t.Errorf("%s: the fact is accepted", name)
 		}
 	}
 	if f := fact(RetryAfter, 0, "a"); v.Add(func() Fact { f.Until = at0 + 25*time.Hour; return f }(), at0) {
-		t.Error("a wait of 25 hours is taken in")
+		t.Error("a wait of 25 hours is accepted")
 	}
 	other := fact(Latency, 0, "a")
 	other.Destination = 8
 	if !v.Add(fact(Latency, 0, "a"), at0) || v.Add(other, at0) {
-		t.Error("the bound on subjects does not hold")
+		t.Error("the bound on subjects is not enforced")
 	}
 }
 
-// Ages travel: a fact read at another clock says the same, older by the way it took.
+// Ages are encoded, not times: a fact decoded on another clock has the same value, older by the time in transit.
 func TestCodec_RoundTrip(t *testing.T) {
 	const there, way = 5 * time.Hour, 3 * time.Second
-	for sort := Latency; int(sort) < kindCount; sort++ {
-		f := fact(sort, 2*time.Second, "")
+	for kind := Latency; int(kind) < kindCount; kind++ {
+		f := fact(kind, 2*time.Second, "")
 		got, err := Decode(Encode(&f, at0), Source{"a", 9}, there+way, way)
 		if err != nil {
 			t.Fatal(err)
@@ -223,22 +224,22 @@
 		want := f
 		shift := there - at0
 		want.ObservedAt, want.Source = f.ObservedAt+shift, Source{"a", 9}
-		if sort == RetryAfter {
+		if kind == RetryAfter {
 			want.Until += shift
 		}
-		if sort == Health {
+		if kind == Health {
 			want.Since += shift
 		}
 		if got != want {
-			t.Errorf("%v: %+v, want %+v", sort, got, want)
+			t.Errorf("%v: %+v, want %+v", kind, got, want)
 		}
 	}
 	if _, err := Decode(&pb.Fact{Destination: 1}, Source{}, at0, 0); err == nil {
-		t.Error("a fact without a value is read")
+		t.Error("a fact without a value is decoded")
 	}
 }
 
-// The form of a snapshot, as versions before and after must read it.
+// The format of a snapshot, which earlier and later versions must be able to read.
 func TestSnapshot_Golden(t *testing.T) {
 	f := fact(Health, time.Second, "")
 	raw, dropped := Marshal([]Fact{f}, at0, time.UnixMicro(1700000000000000), 4096)
@@ -251,7 +252,7 @@
 	if err != nil || skipped != 0 || len(got) != 1 || got[0] != f {
 		t.Errorf("%+v, %d, %v", got, skipped, err)
 	}
-	// A newer writer's fields, and its sorts of facts, are no error.
+	// Fields and kinds of facts of a newer version are no error.
 	body := protowire.AppendTag(nil, 3, protowire.BytesType)
 	body = protowire.AppendBytes(body, protowire.AppendVarint(protowire.AppendTag(nil, 99, protowire.VarintType), 1))
 	body = protowire.AppendVarint(protowire.AppendTag(body, 77, protowire.VarintType), 5)
@@ -264,7 +265,7 @@
 	}
 }
 
-// A snapshot that is cut off anywhere, or has a byte changed, is none; one of a newer format is left aside.
+// A snapshot that is truncated anywhere, or has a changed byte, is rejected as damaged or as of a newer format.
 func TestSnapshot_Damaged(t *testing.T) {
 	wall := time.UnixMicro(1700000000000000)
 	raw, _ := Marshal([]Fact{fact(Latency, 0, ""), fact(RetryAfter, 0, "")}, at0, wall, 4096)
@@ -279,18 +280,18 @@
 		}
 	}
 	if facts, _, err := Unmarshal(raw, at0, wall.Add(-time.Hour)); err == nil || len(facts) > 0 {
-		t.Error("a snapshot from ahead of the clock is read")
+		t.Error("a snapshot written in the future is read")
 	}
 	facts, _, err := Unmarshal(raw, at0, wall.Add(time.Hour))
 	if err != nil || len(facts) != 2 || at0-facts[0].ObservedAt < time.Hour && facts[0].Kind == Latency {
 		t.Errorf("%+v, %v", facts, err)
 	}
-	if v := viewOf(facts...); len(v.Facts()) != 1 { // the wait is over
+	if v := viewOf(facts...); len(v.Facts()) != 1 { // the wait has ended
 		t.Errorf("%+v", v.Facts())
 	}
 }
 
-// A kill at any point of writing a snapshot leaves the one before, or the new one.
+// A kill at any point of saving a snapshot leaves the old or the new one.
 func TestSnapshot_KilledWhileSaving(t *testing.T) {
 	path, wall := filepath.Join(t.TempDir(), "knowledge"), time.UnixMicro(1700000000000000)
 	old, _ := Marshal([]Fact{fact(Concurrency, 0, "")}, at0, wall, 4096)
@@ -305,7 +306,7 @@
 		}
 		return len(facts)
 	}
-	for n := range len(next) + 1 { // killed with so much of the new one written
+	for n := range len(next) + 1 { // killed after n bytes of the new one were written
 		if err := os.WriteFile(path+".new", next[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -319,7 +320,7 @@
 	if facts, _, err := Load(path+".none", at0, wall); err != nil || facts != nil {
 		t.Errorf("%v, %v", facts, err)
 	}
-	// Where the disk takes none, the old one stands, and nothing of the new one takes room.
+	// If the new one can't be written, the old one stays, and no partial file takes space.
 	if err := os.Mkdir(path+".new", 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -328,12 +329,12 @@
 	}
 }
 
-// Where not all finds room, what spares failed calls stays.
+// If not all facts fit, those that avoid failed calls are kept.
 func TestSnapshot_SizeLimit(t *testing.T) {
 	var all []Fact
 	for d := range uint32(100) {
-		for sort := Latency; int(sort) < kindCount; sort++ {
-			f := fact(sort, 0, "")
+		for kind := Latency; int(kind) < kindCount; kind++ {
+			f := fact(kind, 0, "")
 			f.Destination = d
 			all = append(all, f)
 		}
@@ -350,7 +351,7 @@
 		}
 	}
 	if waits != 100 {
-		t.Errorf("%d of 100 waits are kept", waits)
+		t.Errorf("%d of 100 waits are in the snapshot", waits)
 	}
 }
 
@@ -380,8 +381,8 @@
 func BenchmarkMarshal5000(b *testing.B) {
 	var all []Fact
 	for d := range uint32(5000) {
-		for _, sort := range []Kind{Latency, Concurrency, Health} {
-			f := fact(sort, 0, "")
+		for _, kind := range []Kind{Latency, Concurrency, Health} {
+			f := fact(kind, 0, "")
 			f.Destination = d
 			all = append(all, f)
 		}
--- a/internal/knowledge/reports.go
+++ b/internal/knowledge/reports.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// A sender whose own network is broken sees every receiver fail. So reports on health are weighed against each other, not only
-// by which is the freshest.
+// A sender whose own network is broken sees every receiver fail. So health reports are weighed against each other, instead of
+// taking the newest.
 const (
-	minSubjectsJudged = 4   // receivers of which a sender tells, from which its own network is judged
-	brokenFraction    = 0.5 // fraction of them that it holds to be out, from which that is its network's doing: it is not believed
-	maxSources        = 64  // senders whose reports are held at once
+	minSubjectsJudged = 4   // fewest receivers in a sender's reports by which its own network is judged
+	brokenFraction    = 0.5 // fraction of them reported as out at which the sender's own network is blamed and its outage reports are ignored
+	maxSources        = 64  // most senders whose reports are stored
 )
 
-// Reports is what other senders tell of receivers' health, by sender. It is not for concurrent use.
+// Reports holds the health reports of other senders, by sender. It is not safe for concurrent use.
 type Reports struct {
-	maxSubjects int // subjects of each sender
+	maxSubjects int // of each sender
 	bySource    map[Source]map[Subject]Fact
 }
 
-// NewReports makes one that holds reports of at most maxSubjects subjects of each sender.
+// NewReports returns empty Reports for at most maxSubjects subjects of each sender.
 func NewReports(maxSubjects int) *Reports {
 	return &Reports{maxSubjects, map[Source]map[Subject]Fact{}}
 }
 
-// Add takes a report in. Of a sender only its latest incarnation counts.
+// Add adds a report. Only reports of a sender's latest incarnation are kept.
 func (r *Reports) Add(f Fact, now time.Duration) {
 	if f.Kind != Health || f.Source.Own() || !f.valid(now) {
 		return
@@ -38,22 +38,22 @@
 			delete(r.bySource, s)
 		}
 	}
-	of := r.bySource[f.Source]
-	if of == nil {
+	reports := r.bySource[f.Source]
+	if reports == nil {
 		if len(r.bySource) >= maxSources {
 			return
 		}
-		of = map[Subject]Fact{}
-		r.bySource[f.Source] = of
+		reports = map[Subject]Fact{}
+		r.bySource[f.Source] = reports
 	}
-	old, ok := of[f.Subject]
-	if !ok && len(of) >= r.maxSubjects || ok && f.ObservedAt < old.ObservedAt {
+	old, ok := reports[f.Subject]
+	if !ok && len(reports) >= r.maxSubjects || ok && f.ObservedAt < old.ObservedAt {
 		return
 	}
-	of[f.Subject] = f
+	reports[f.Subject] = f
 }
 
-// Forget drops all that a sender told, in whatever incarnation.
+// Forget drops all reports of a sender, of any incarnation.
 func (r *Reports) Forget(name string) {
 	for s := range r.bySource {
 		if s.Name == name {
@@ -62,8 +62,8 @@
 	}
 }
 
-// credibility is how far a sender's reports of outages are believed, from 0 to 1: less the more of its receivers it holds to
-// be out of service.
+// credibility returns the weight of a sender's outage reports, from 0 to 1. It falls with the fraction of its receivers that the
+// sender reports as out.
 func (r *Reports) credibility(s Source, now time.Duration) float64 {
 	out, all := 0.0, 0.0
 	for _, f := range r.bySource[s] {
@@ -76,20 +76,20 @@
 	if len(r.bySource[s]) < minSubjectsJudged || all == 0 {
 		return 1
 	}
-	share := out / all
-	if share >= brokenFraction {
+	outFraction := out / all
+	if outFraction >= brokenFraction {
 		return 0
 	}
-	return 1 - share
+	return 1 - outFraction
 }
 
-// Verdict is what others' reports come to for one subject: an outage only if the believed reports of it weigh more than those
-// that say otherwise. The fact is the freshest of the side that wins; false if nothing is told that is believed.
+// Verdict combines the reports on one subject. It is an outage only if the reports of one outweigh those against it, weighed by
+// trust and credibility. The fact is the best of the prevailing side; ok is false if there is no credible report.
 func (r *Reports) Verdict(s Subject, now time.Duration) (Fact, bool) {
 	var best [2]Fact
 	var weight [2]float64
-	for source, of := range r.bySource {
-		f, ok := of[s]
+	for source, reports := range r.bySource {
+		f, ok := reports[s]
 		if !ok || f.Trust(now) < MinTrust {
 			continue
 		}
@@ -114,22 +114,22 @@
 	return Fact{}, false
 }
 
-// OutageCount is how many senders that are believed hold a subject to be out of service.
+// OutageCount returns how many credible senders report a subject as out.
 func (r *Reports) OutageCount(s Subject, now time.Duration) int {
 	n := 0
-	for source, of := range r.bySource {
-		if f, ok := of[s]; ok && f.State == Unhealthy && f.Trust(now) >= 0.5 && r.credibility(source, now) > 0 {
+	for source, reports := range r.bySource {
+		if f, ok := reports[s]; ok && f.State == Unhealthy && f.Trust(now) >= 0.5 && r.credibility(source, now) > 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// All is every report that is held, in the order of subjects and senders.
+// All returns all reports, sorted by subject and sender.
 func (r *Reports) All() []Fact {
 	var all []Fact
-	for _, of := range r.bySource {
-		for _, f := range of {
+	for _, reports := range r.bySource {
+		for _, f := range reports {
 			all = append(all, f)
 		}
 	}
--- a/internal/knowledge/stored_data_test.go
+++ b/internal/knowledge/stored_data_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// The file under testdata/stored was written by the program as it was before its names were changed (eea23b3): facts of each
-// kind, of receivers and of routes. FILE.golden lists what it holds.
+// The file under testdata/stored was written by a version from before names were changed (eea23b3): facts of each kind, of receivers
+// and of routes. FILE.golden lists its contents.
 const (
 	storedSnapshot = "testdata/stored/knowledge"
 	storedNow      = 1000 * time.Second
@@ -19,7 +19,7 @@
 	storedBytes    = 4096
 )
 
-// storedFacts are the facts of the snapshot.
+// storedFacts returns the facts of the snapshot.
 func storedFacts() []Fact {
 	at := func(age time.Duration) time.Duration { return storedNow - age }
 	ms := time.Millisecond
@@ -57,20 +57,20 @@
 }
 
 func TestStoredData_SnapshotOfEarlierProgram(t *testing.T) {
-	// Read 100 ms after it was written.
+	// The file is read 100 ms after it was written.
 	facts, skipped, err := Load(storedSnapshot, storedNow, time.UnixMicro(storedWall+100_000))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, want := listFacts(facts, skipped), string(readStored(t, storedSnapshot+".golden")); got != want {
-		t.Errorf("it holds\n%s\nwant\n%s", got, want)
+		t.Errorf("the snapshot holds\n%s\nwant\n%s", got, want)
 	}
 }
 
-// What is written is byte for byte what the earlier program wrote.
+// The encoded snapshot is byte for byte that of the earlier version.
 func TestStoredData_SnapshotBytesAreUnchanged(t *testing.T) {
 	raw, dropped := Marshal(storedFacts(), storedNow, time.UnixMicro(storedWall), storedBytes)
 	if dropped != 0 || !bytes.Equal(raw, readStored(t, storedSnapshot)) {
-		t.Errorf("written is %q, %d dropped", raw, dropped)
+		t.Errorf("encoded as %q, %d facts dropped", raw, dropped)
 	}
 }
