--- a/internal/identity/file.go
+++ b/internal/identity/file.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Disk is the file that records go to; tests put one in place that fails.
+// Disk is the file to which records are written. Tests substitute one that fails.
 type Disk interface {
 	io.WriterAt
 	io.Closer
 }
 
-// File keeps a table's entries on disk: a ring of records, each at the place that the table names, so that it never grows
-// beyond the table's bound. A record that a kill leaves torn can't be read, and counts as not written. It does not sync, and
-// is not for concurrent use.
+// File stores a table's entries on disk in a ring of records, each at the entry's index in the table, so that it never grows
+// beyond the table's bound. A record torn by a kill fails its checksum and counts as not written. File does not sync, and
+// is not safe for concurrent use.
 type File struct {
 	path        string
 	table       *Table
@@ -24,26 +24,26 @@
 	pending     []pendingWrite
 	buf         []byte
 	err         error     // of the last write
-	lastRewrite time.Time // to write the file anew
+	lastRewrite time.Time // last attempt to rewrite the file
 }
 
-// pendingWrite is a record that is not on the disk yet.
+// pendingWrite is a record that is not on disk yet.
 type pendingWrite struct {
 	slot  int
 	entry Entry
 }
 
-// MaxFileBytes is the most that the file of so many entries may take on the disk: the ring, and its copy while it is written
-// anew.
+// MaxFileBytes returns the most disk space that the file of maxEntries may take, in bytes: the ring, and a copy while it is
+// rewritten.
 func MaxFileBytes(maxEntries int) int64 { return 2 * int64(maxEntries) * RecordSize }
 
-// Open reads a file into an empty table and writes it anew in its place. A kill in between leaves the old one whole. The error
-// is a file that can't be read; a disk that can't be written is none: what was read counts, and Err says so until a write
-// succeeds.
+// Open reads a file into an empty table and replaces it by a rewritten one. A kill in between leaves the old file intact. Open
+// returns an error only if the file can't be read. If it can't be rewritten, the entries that were read are used, and Err returns
+// the error until a write succeeds.
 func Open(path string, t *Table, now time.Duration) (*File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		return nil, fmt.Errorf("ends of events: %w", err)
+		return nil, fmt.Errorf("event outcomes: %w", err)
 	}
 	t.Load(now, raw)
 	f := &File{path: path, table: t}
@@ -51,22 +51,22 @@
 	return f, nil
 }
 
-// rewrite writes the file anew. Where that fails the old one stays as it is: its places are not the table's, so nothing is
-// added to it, and all that ends waits for a disk.
+// rewrite writes the whole table to a new file. If that fails the old file stays unchanged: its indices are not those of the table, so
+// nothing may be added to it, and new entries stay pending until a rewrite succeeds.
 func (f *File) rewrite() {
 	f.lastRewrite = time.Now()
 	disk, err := writeTable(f.path, f.table)
 	if err != nil {
-		f.err = fmt.Errorf("ends of events: %w", err)
+		f.err = fmt.Errorf("event outcomes: %w", err)
 		return
 	}
 	f.disk, f.err, f.pending = disk, nil, nil // the table holds what was pending
 }
 
-// rewriteRetryInterval is the pause between two attempts to write the file anew.
+// rewriteRetryInterval is the shortest time between two attempts to rewrite the file.
 const rewriteRetryInterval = 200 * time.Millisecond
 
-// writeTable writes a table to a new file and puts it in the old one's place.
+// writeTable writes a table to a new file and renames it over the old one.
 func writeTable(path string, t *Table) (*os.File, error) {
 	disk, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -74,13 +74,13 @@
 	}
 	var buf []byte
 	t.ForEach(func(_ int, e Entry) { buf = AppendRecord(buf, e) })
-	if t.used != len(buf)/RecordSize { // a key that came again left a dead place behind: the records' places count
+	if t.used != len(buf)/RecordSize { // there are superseded slots: write a gap for each, as records must be at the index of their entry
 		buf = make([]byte, 0, t.used*RecordSize)
 		next := 0
-		t.ForEach(func(place int, e Entry) {
-			buf = append(buf, make([]byte, (place-next)*RecordSize)...)
+		t.ForEach(func(index int, e Entry) {
+			buf = append(buf, make([]byte, (index-next)*RecordSize)...)
 			buf = AppendRecord(buf, e)
-			next = place + 1
+			next = index + 1
 		})
 	}
 	_, err = disk.Write(buf)
@@ -95,13 +95,13 @@
 	return disk, nil
 }
 
-// WrapDisk puts another disk in place; for tests.
+// WrapDisk substitutes the disk, for tests.
 func (f *File) WrapDisk(wrap func(Disk) Disk) { f.disk = wrap(f.disk) }
 
-// Add takes an entry at its place; Flush writes it.
-func (f *File) Add(place int, e Entry) { f.pending = append(f.pending, pendingWrite{place, e}) }
+// Add adds an entry with its index to the pending writes; Flush writes it.
+func (f *File) Add(index int, e Entry) { f.pending = append(f.pending, pendingWrite{index, e}) }
 
-// Flush writes what was added, neighbours in one write. What fails is kept and tried again by the next Flush.
+// Flush writes the pending entries, adjacent ones in one write. Entries that can't be written stay pending for the next Flush.
 func (f *File) Flush() error {
 	if f.disk == nil && time.Since(f.lastRewrite) >= rewriteRetryInterval {
 		f.rewrite()
@@ -119,7 +119,7 @@
 			f.buf = AppendRecord(f.buf, w.entry)
 		}
 		if _, err := f.disk.WriteAt(f.buf, int64(f.pending[0].slot)*RecordSize); err != nil {
-			f.err = fmt.Errorf("ends of events: %w", err)
+			f.err = fmt.Errorf("event outcomes: %w", err)
 			return f.err
 		}
 		f.pending = f.pending[n:]
@@ -131,10 +131,10 @@
 	return f.err
 }
 
-// Err is why nothing can be written now; nil if it can.
+// Err returns the error of the last write, or nil if it succeeded.
 func (f *File) Err() error { return f.err }
 
-// Close writes what was added and closes the file.
+// Close writes the pending entries and closes the file.
 func (f *File) Close() error {
 	err := f.Flush()
 	if f.disk != nil {
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,9 +1,8 @@
-// Package identity remembers how events ended, so that one which comes again gets the answer of its first submission. Table knows
-// no clock and does no I/O: times are passed in, and entries go to a File, a ring of records on the disk.
+// Package identity records the outcomes of events, so that a duplicate submission of an event gets the answer of the first. Table reads
+// no clock and does no I/O: times are passed in, and a File, a ring of records, stores the entries on disk.
 //
-// The table is bounded, and what it was promised to remember it does not forget before its time: room is reserved when an event is
-// accepted, and without room nothing is accepted. So a flood of new ids costs those who send it their answers and nobody else
-// theirs.
+// The table is bounded, and it never evicts an outcome before its retention ends: an entry is reserved when an event is accepted,
+// and no event is accepted without one. So a flood of new ids is rejected, and does not displace the outcomes of other events.
 package identity
 
 import (
@@ -15,23 +14,23 @@
 	"time"
 )
 
-// Key names an event: a hash of its source and id.
+// Key identifies an event: a hash of its source and id.
 type Key [16]byte
 
 // KeyOf is the key of a source and an id (CloudEvents 1.0.2, "id": producers must ensure that source + id is unique for each
 // distinct event).
 func KeyOf(source, id string) Key {
-	var room [256]byte
-	b := binary.BigEndian.AppendUint64(room[:0], uint64(len(source))) // or "a" + "bc" were "ab" + "c"
+	var buf [256]byte
+	b := binary.BigEndian.AppendUint64(buf[:0], uint64(len(source))) // without the length, "a" + "bc" and "ab" + "c" would have the same key
 	b = append(append(b, source...), id...)
 	sum := sha256.Sum256(b)
 	return Key(sum[:])
 }
 
-// Digest stands for an event's content.
+// Digest is a hash of an event's content.
 type Digest [8]byte
 
-// DigestOf is the digest of a content.
+// DigestOf returns the digest of a content.
 func DigestOf(content []byte) Digest {
 	sum := sha256.Sum256(content)
 	return Digest(sum[:])
@@ -40,12 +39,12 @@
 // Outcome is how an event ended.
 type Outcome uint8
 
-// The outcomes, by their numbers in the file. An event that was refused in the answer to its submission was never accepted and
-// is not remembered.
+// The outcomes, by their numbers in the file. An event that was rejected in the answer to its submission was never accepted and
+// has no entry.
 const (
 	Delivered  Outcome = iota + 1
-	Failed             // given up
-	HandedBack         // to be handed in again after a time, as a new try
+	Failed             // delivery was given up
+	HandedBack         // returned to the producer, which may submit it again after a time, as a new attempt
 )
 
 // Entry is how and when an event ended.
@@ -54,15 +53,15 @@
 	Digest     Digest
 	Outcome    Outcome
 	At         time.Duration // clock time
-	RetryAfter time.Duration // of HandedBack: so long after At it may come again; whole milliseconds, 4.6 hours at most
+	RetryAfter time.Duration // of HandedBack: wait after At before it may be submitted again; whole milliseconds, at most 4.6 hours
 }
 
-// RecordSize is the bytes of one record.
+// RecordSize is the size of a record in bytes.
 const RecordSize = 40
 
 const maxRetryMS = 1<<24 - 1 // milliseconds
 
-// AppendRecord adds an entry's record: key, digest, time, outcome and retry, checksum (CRC-32, IEEE), all big-endian.
+// AppendRecord appends an entry's record: key, digest, time, outcome and retry, checksum (CRC-32, IEEE), all big-endian.
 func AppendRecord(b []byte, e Entry) []byte {
 	begin := len(b)
 	b = append(append(b, e.Key[:]...), e.Digest[:]...)
@@ -72,7 +71,7 @@
 	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[begin:]))
 }
 
-// ReadRecord reads a record; false for one that is torn, damaged or was never written.
+// ReadRecord decodes a record. It returns false for a record that is torn, damaged or was never written.
 func ReadRecord(b []byte) (Entry, bool) {
 	if len(b) < RecordSize || binary.BigEndian.Uint32(b[36:]) != crc32.ChecksumIEEE(b[:36]) {
 		return Entry{}, false
@@ -83,7 +82,7 @@
 	return e, e.Outcome >= Delivered && e.Outcome <= HandedBack && e.At >= 0
 }
 
-// slot is an entry in the table; 36 bytes.
+// slot is an entry in the table, of 36 bytes.
 type slot struct {
 	key             Key
 	digest          Digest
@@ -91,41 +90,41 @@
 	outcomeAndRetry uint32 // outcome and retry as in the record
 }
 
-// entry is the slot's entry.
+// entry returns the slot's entry.
 func (s *slot) entry() Entry {
 	return Entry{Key: s.key, Digest: s.digest, Outcome: Outcome(s.outcomeAndRetry >> 24), At: time.Duration(s.at),
 		RetryAfter: time.Duration(s.outcomeAndRetry&maxRetryMS) * time.Millisecond}
 }
 
-// Table holds how events ended, at most so many and each for a time. Slots are a ring in the order of ends, as the file is:
-// the oldest expires first. It is not for concurrent use.
+// Table holds the outcomes of events, at most maxEntries, each for the retention. Like the file, it is a ring in the order in which
+// events ended, so the oldest entry expires first. It is not safe for concurrent use.
 type Table struct {
 	maxEntries int
 	retention  time.Duration
 	slots      []slot   // the ring; grows up to maxEntries as it fills
 	slotIndex  []uint32 // open addressing: index in slots + 1, 0 for none; a power of two, at most half full
-	oldest     int      // index in slots of the oldest
-	used       int
-	reserved   int // by events that are held
+	oldest     int      // index in slots of the oldest entry
+	used       int      // slots in use, from oldest on
+	reserved   int      // entries reserved for accepted events that have not ended
 }
 
-// NewTable makes an empty table for at most maxEntries, each remembered for the retention.
+// NewTable returns an empty table for at most maxEntries, each kept for the retention.
 func NewTable(maxEntries int, retention time.Duration) *Table {
 	return &Table{maxEntries: max(1, maxEntries), retention: retention, slotIndex: make([]uint32, 64)}
 }
 
-// Len is how many entries are remembered.
+// Len returns the number of entries.
 func (t *Table) Len() int { return t.used }
 
-// Reserved is for how many events that are held room is reserved.
+// Reserved returns the number of entries reserved for events that have not ended.
 func (t *Table) Reserved() int { return t.reserved }
 
-// homePosition is where a key goes in the index, if nothing is there.
+// homePosition returns the position at which the search for a key in the index begins.
 func (t *Table) homePosition(k Key) uint32 {
 	return uint32(binary.BigEndian.Uint64(k[:8])) & uint32(len(t.slotIndex)-1)
 }
 
-// find finds a key's position in the index; ok is whether it is there, else it is where it would go.
+// find returns a key's position in the index. If the key is absent, ok is false and at is the position to insert it.
 func (t *Table) find(k Key) (at uint32, ok bool) {
 	for at = t.homePosition(k); ; at = (at + 1) & uint32(len(t.slotIndex)-1) {
 		switch s := t.slotIndex[at]; {
@@ -137,7 +136,7 @@
 	}
 }
 
-// unindex takes a position out of the index and moves up what stood behind it (Knuth, volume 3, 6.4, algorithm R).
+// unindex deletes a position from the index and moves later ones into the gap where needed (Knuth, volume 3, 6.4, algorithm R).
 func (t *Table) unindex(at uint32) {
 	mask := uint32(len(t.slotIndex) - 1)
 	for next := (at + 1) & mask; t.slotIndex[next] != 0; next = (next + 1) & mask {
@@ -150,29 +149,29 @@
 	t.slotIndex[at] = 0
 }
 
-// grow doubles the index.
+// grow doubles the size of the index.
 func (t *Table) grow() {
 	t.slotIndex = make([]uint32, 2*len(t.slotIndex))
 	for i := range t.used {
-		place := (t.oldest + i) % t.maxEntries
-		at, ok := t.find(t.slots[place].key)
-		if !ok && t.isLive(place) {
-			t.slotIndex[at] = uint32(place + 1)
+		index := (t.oldest + i) % t.maxEntries
+		at, ok := t.find(t.slots[index].key)
+		if !ok && t.isLive(index) {
+			t.slotIndex[at] = uint32(index + 1)
 		}
 	}
 }
 
-// isLive reports whether a slot still counts: one of which the key came again has lapsed before its time.
-func (t *Table) isLive(place int) bool { return t.slots[place].outcomeAndRetry != 0 }
+// isLive reports whether a slot is current. A slot is superseded before its retention ends if its event was submitted and ended again.
+func (t *Table) isLive(index int) bool { return t.slots[index].outcomeAndRetry != 0 }
 
-// Expire forgets what is older than the retention.
+// Expire drops the entries older than the retention.
 func (t *Table) Expire(now time.Duration) {
 	for t.used > 0 && time.Duration(t.slots[t.oldest].at)+t.retention <= now {
 		t.dropOldest()
 	}
 }
 
-// dropOldest forgets the oldest slot.
+// dropOldest drops the oldest slot.
 func (t *Table) dropOldest() {
 	if t.isLive(t.oldest) {
 		if at, ok := t.find(t.slots[t.oldest].key); ok && t.slotIndex[at] == uint32(t.oldest+1) {
@@ -184,7 +183,7 @@
 	t.used--
 }
 
-// Lookup finds how an event ended, if that is remembered.
+// Lookup returns the entry of an event, if there is one.
 func (t *Table) Lookup(now time.Duration, k Key) (Entry, bool) {
 	t.Expire(now)
 	at, ok := t.find(k)
@@ -195,8 +194,8 @@
 	return s.entry(), true
 }
 
-// Reserve keeps room for the end of an event that is about to be accepted. Without room it says after how long there will be
-// some at the earliest, 0 if nobody knows.
+// Reserve reserves an entry for an event that is about to be accepted. If the table is full, after is the shortest time until an
+// entry may become free, 0 if it is unknown.
 func (t *Table) Reserve(now time.Duration) (ok bool, after time.Duration) {
 	t.Expire(now)
 	if t.used+t.reserved < t.maxEntries {
@@ -204,51 +203,51 @@
 		return true, 0
 	}
 	if t.used == 0 {
-		return false, 0 // all of it is held: nobody knows
+		return false, 0 // all entries are reserved by events that have not ended, at unknown times
 	}
 	return false, time.Duration(t.slots[t.oldest].at) + t.retention - now
 }
 
-// Release gives back room that was reserved, of an event that was not accepted after all.
+// Release releases the reservation of an event that was not accepted after all.
 func (t *Table) Release() { t.reserved = max(0, t.reserved-1) }
 
-// Record takes in the end of an event for which room was reserved, and says at which place of the file its record stands. Ends
-// come in the order of their times; one that comes earlier counts as of the last.
-func (t *Table) Record(e Entry) (place int) {
+// Record adds the entry of an event with a reservation, and returns the index of its record in the file. Entries must be added in
+// the order of their times; an earlier time is replaced by that of the last entry.
+func (t *Table) Record(e Entry) (index int) {
 	t.Release()
 	return t.put(e)
 }
 
-// put adds an entry behind the newest and gives its place.
+// put adds an entry after the newest and returns its index.
 func (t *Table) put(e Entry) int {
-	if t.used == t.maxEntries { // only if more was held than there was room: a file made for more
+	if t.used == t.maxEntries { // only if more events were accepted than there are entries: the file had a higher bound
 		t.dropOldest()
 	}
 	if t.used > 0 {
 		e.At = max(e.At, time.Duration(t.slots[(t.oldest+t.used-1)%t.maxEntries].at))
 	}
-	if old, ok := t.find(e.Key); ok { // it was handed back and came again: the first end counts no more
+	if old, ok := t.find(e.Key); ok { // the event was handed back and submitted again: this entry supersedes the first
 		t.slots[t.slotIndex[old]-1].outcomeAndRetry = 0
 		t.unindex(old)
 	}
-	place := (t.oldest + t.used) % t.maxEntries
+	index := (t.oldest + t.used) % t.maxEntries
 	s := slot{e.Key, e.Digest, int64(e.At), uint32(e.Outcome)<<24 | uint32(min(max(0, e.RetryAfter.Milliseconds()), maxRetryMS))}
-	if place == len(t.slots) {
+	if index == len(t.slots) {
 		t.slots = append(t.slots, s)
 	} else {
-		t.slots[place] = s
+		t.slots[index] = s
 	}
 	t.used++
 	if 2*t.used >= len(t.slotIndex) {
 		t.grow()
 	}
 	at, _ := t.find(e.Key)
-	t.slotIndex[at] = uint32(place + 1)
-	return place
+	t.slotIndex[at] = uint32(index + 1)
+	return index
 }
 
-// Load fills an empty table from a file's records; what has expired by now, or can't be read, is left out. Of a file with more
-// entries than there is room for, the newest are taken. Places are given anew, so that the file is to be written anew.
+// Load fills an empty table from a file's records. It skips records that have expired or can't be read. Of a file with more than
+// maxEntries entries it loads the newest. The entries get new indices, so the file must be rewritten.
 func (t *Table) Load(now time.Duration, raw []byte) {
 	var all []Entry
 	for ; len(raw) >= RecordSize; raw = raw[RecordSize:] {
@@ -256,23 +255,23 @@
 		if !ok || e.At+t.retention <= now {
 			continue
 		}
-		e.At = min(e.At, now) // a clock that was ahead: it is not remembered for longer than it should
+		e.At = min(e.At, now) // the clock was ahead; without this the entry would be kept for longer than the retention
 		all = append(all, e)
 	}
-	// The ring begins anywhere in the file. Of equal times the file's order may be off at its seam, and there only.
+	// The ring may start anywhere in the file. Only entries of equal time on both sides of the seam can be out of order.
 	slices.SortStableFunc(all, func(a, b Entry) int { return cmp.Compare(a.At, b.At) })
 	for _, e := range all[max(0, len(all)-t.maxEntries):] {
 		t.put(e)
 	}
 }
 
-// ForEach calls f with all that is remembered, the oldest first, and the place of each.
-func (t *Table) ForEach(f func(place int, e Entry)) {
+// ForEach calls f with each entry and its index, the oldest first.
+func (t *Table) ForEach(f func(index int, e Entry)) {
 	for i := range t.used {
-		place := (t.oldest + i) % t.maxEntries
-		s := t.slots[place]
-		if t.isLive(place) {
-			f(place, s.entry())
+		index := (t.oldest + i) % t.maxEntries
+		s := t.slots[index]
+		if t.isLive(index) {
+			f(index, s.entry())
 		}
 	}
 }
--- a/internal/identity/stored_data_test.go
+++ b/internal/identity/stored_data_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// The file under testdata/stored was written by the program as it was before its names were changed (eea23b3): a ring that has
-// wrapped, a key that came again, a damaged record and a torn one. FILE.golden lists what it holds, FILE.renewed is the file
-// once an open has written it anew.
+// The file under testdata/stored was written by a version from before names were changed (eea23b3): a ring that has wrapped, with a
+// key that ended twice, a damaged record and a torn one. FILE.golden lists its contents, FILE.renewed is the file after Open has
+// rewritten it.
 const (
 	storedFile       = "testdata/stored/events.ended"
 	storedMaxEntries = 6
@@ -20,7 +20,7 @@
 	storedNow        = 100 * time.Second
 )
 
-// writeStoredEntries writes ends of events to a new file and gives its bytes.
+// writeStoredEntries writes entries to a new file and returns its bytes.
 func writeStoredEntries(t *testing.T, path string) []byte {
 	t.Helper()
 	table := NewTable(storedMaxEntries, storedRetention)
@@ -32,10 +32,10 @@
 		{Key: KeyOf("/s", "0"), Outcome: Delivered},
 		{Key: KeyOf("/s", "1"), Outcome: HandedBack, RetryAfter: 1500 * time.Millisecond},
 		{Key: KeyOf("/s", "2"), Outcome: Failed},
-		{Key: KeyOf("/s", "1"), Outcome: Delivered}, // it came again
+		{Key: KeyOf("/s", "1"), Outcome: Delivered}, // ended a second time
 		{Key: KeyOf("/t", "2"), Outcome: HandedBack, RetryAfter: 5 * time.Hour},
 		{Key: KeyOf("/s", "5"), Outcome: Delivered},
-		{Key: KeyOf("/s", "6"), Outcome: Failed}, // in the place of the first
+		{Key: KeyOf("/s", "6"), Outcome: Failed}, // in the slot of the first
 		{Key: KeyOf("/s", "7"), Outcome: Delivered},
 	} {
 		e.Digest, e.At = DigestOf([]byte{byte(n)}), time.Duration(10+n)*time.Second
@@ -50,8 +50,8 @@
 
 func listEntries(table *Table) string {
 	var b strings.Builder
-	table.ForEach(func(place int, e Entry) {
-		fmt.Fprintf(&b, "%d key %x digest %x outcome %d at %d retry %d\n", place, e.Key, e.Digest, e.Outcome, e.At, e.RetryAfter)
+	table.ForEach(func(index int, e Entry) {
+		fmt.Fprintf(&b, "%d key %x digest %x outcome %d at %d retry %d\n", index, e.Key, e.Digest, e.Outcome, e.At, e.RetryAfter)
 	})
 	fmt.Fprintf(&b, "%d ends, %d reserved\n", table.Len(), table.Reserved())
 	return b.String()
@@ -77,21 +77,21 @@
 		t.Fatal(err)
 	}
 	if got, want := listEntries(table), string(readStored(t, storedFile+".golden")); got != want {
-		t.Errorf("it holds\n%s\nwant\n%s", got, want)
+		t.Errorf("the file holds\n%s\nwant\n%s", got, want)
 	}
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if got := readStored(t, path); !bytes.Equal(got, readStored(t, storedFile+".renewed")) {
-		t.Errorf("it is written anew as %x", got)
+		t.Errorf("rewritten as %x", got)
 	}
 }
 
-// What is written is byte for byte what the earlier program wrote.
+// The records are byte for byte those of the earlier version.
 func TestStoredData_BytesAreUnchanged(t *testing.T) {
 	got := writeStoredEntries(t, filepath.Join(t.TempDir(), "events.ended"))
 	want := readStored(t, storedFile)
 	if len(got) != storedMaxEntries*RecordSize || !bytes.Equal(got[:5*RecordSize], want[:5*RecordSize]) {
-		t.Errorf("written is %x, want the begin of %x", got, want)
+		t.Errorf("written as %x, want the beginning of %x", got, want)
 	}
 }
