--- a/internal/calls/answer.go
+++ b/internal/calls/answer.go
@@ -17,29 +17,29 @@
 
 const (
 	maxAnswerBody     = 64 << 10               // bytes of a body that are read so that the connection can be used again
-	maxStatusLine     = 4 << 10                // bytes of a status line, and of what is read at once
+	maxStatusLine     = 4 << 10                // bytes of a status line, and of a single read
 	maxAnswer         = 128 << 10              // bytes of an answer: head, interim answers and body
-	maxInterimAnswers = 16                     // ahead of the final one
+	maxInterimAnswers = 16                     // before the final answer
 	answerTimeout     = 200 * time.Millisecond // from the first byte of an answer to its last
-	maxRateLimitWait  = time.Minute            // longest X-RateLimit-Wait-Ms; what is beyond counts as not told
-	maxRate           = 1e6                    // calls a second in a load report; what is beyond makes it unusable
+	maxRateLimitWait  = time.Minute            // longest X-RateLimit-Wait-Ms; a longer one is ignored
+	maxRate           = 1e6                    // calls a second in a load report; a higher figure makes the report unusable
 )
 
-// httpVersion is what a status line begins with, up to the minor version.
+// httpVersion is the beginning of a status line, up to the minor version.
 const httpVersion = "HTTP/1."
 
 var (
-	// errAnswerTooLong says that an answer exceeds maxAnswer.
-	errAnswerTooLong = errors.New("the answer is too long")
-	// errMalformedAnswer says that an answer has come that cannot be read: the call may have run.
-	errMalformedAnswer = errors.New("the answer can't be read")
+	// errAnswerTooLong means that an answer exceeds maxAnswer.
+	errAnswerTooLong = errors.New("answer exceeds the size limit")
+	// errMalformedAnswer means that an answer arrived that cannot be parsed: the call may have run.
+	errMalformedAnswer = errors.New("malformed answer")
 )
 
-// readAnswer reads the answer to a call into end, and returns whether the connection can be used again and whether the
-// endpoint wants no more calls. A 200 in a complete status line holds whatever follows. Any other status holds only if
-// the whole answer is sound: a malformed one, which comes from an endpoint that has run the call, may read as a
-// rejection, and says nothing but that the call may have run. Once the answer has begun, the rest gets answerTimeout: a
-// body that keeps coming, or a head without end, must not hold the slot and the outcome until the time-out.
+// readAnswer reads the answer to a call into result, and returns whether the connection can be reused and whether the endpoint
+// wants no more calls. A 200 in a complete status line is valid whatever follows. Any other status is valid only if the
+// complete answer is well-formed: a malformed answer may look like a rejection although the endpoint has run the call, so it
+// proves only that the call may have run. Once the answer has begun, the rest must arrive within answerTimeout: an endless body
+// or head must not occupy the slot and delay the outcome until the time-out.
 func (p *Pool) readAnswer(ctx context.Context, c *conn, f *requestFormat, result *brain.AttemptResult) (reusable, gone bool, err error) {
 	c.Remaining = maxAnswer
 	for range maxInterimAnswers {
@@ -63,18 +63,19 @@
 			return false, false, malformed(served)
 		}
 		p.applyStatus(resp, result)
-		// An endpoint that takes no more connections rejects the first call on a new one without any figures, and closes
-		// it; one that has looked at the call tells how it stands.
+		// An endpoint at its connection limit rejects the first call on a new connection without a wait or load report, and
+		// closes the connection. An endpoint that has processed the call sends them.
 		bare := result.Outcome == brain.Rejected && result.RetryAfter == 0 && !result.LimitReported
 		result.ConnLimitReached = bare && c.idleSince.IsZero() && resp.Close
 		gone := f.applyWebHookStatus(resp, result, time.Now())
-		// What follows the answer would be read as the next one.
+		// Bytes after the answer would be read as the next answer.
 		return !resp.Close && c.r.Buffered() == 0, gone, nil
 	}
 	return false, false, errMalformedAnswer
 }
 
-// malformed is the error of an answer that is malformed after its status line: none if that said that it was served.
+// malformed returns the error for an answer that is malformed after its status line: none if the status line said that the call was
+// served.
 func malformed(served bool) error {
 	if served {
 		return nil
@@ -82,14 +83,14 @@
 	return errMalformedAnswer
 }
 
-// readStatus waits for an answer and returns the status of its first line, which is left to be read. From its first byte
-// on the rest of the answer has answerTimeout. What can't become a status line is not waited for: after noise the
-// connection may stay open and silent.
+// readStatus waits for an answer and returns the status of its first line, without consuming the line. From the first byte on,
+// the rest of the answer must arrive within answerTimeout. It returns at once if the bytes received can't become a status line,
+// as the endpoint may send nothing more and keep the connection open.
 func (c *conn) readStatus(ctx context.Context) (int, error) {
 	deadline, _ := ctx.Deadline()
 	c.SetReadDeadline(deadline)
 	if err := ctx.Err(); err != nil {
-		return 0, err // its end may have set the deadline just before this did
+		return 0, err // the cancellation may have set its deadline just before SetReadDeadline overwrote it
 	}
 	if _, err := c.r.Peek(1); err != nil {
 		return 0, err
@@ -110,8 +111,8 @@
 			return 0, errMalformedAnswer
 		}
 		if _, err := c.r.Peek(len(line) + 1); err != nil {
-			// Half a line has no status, whatever it begins with: "HTTP/1.1 200" may be the beginning of a malformed "2000" as
-			// well, and a message that is wrongly taken for delivered is lost. An uncertain one is repeated where its class
+			// An incomplete line has no status: "HTTP/1.1 200" may also be the beginning of a malformed "2000", and a message
+			// that is wrongly taken for delivered is lost. If the outcome is uncertain, the message is retried where its class
 			// allows it.
 			if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
 				return 0, errMalformedAnswer
@@ -121,7 +122,7 @@
 	}
 }
 
-// parseStatus reads the status of a first line. http.ReadResponse takes 2000 and 0200 for 200.
+// parseStatus parses the status of a first line. It is stricter than http.ReadResponse, which accepts 2000 and 0200 for 200.
 func parseStatus(line []byte) (int, bool) {
 	rest, ok := bytes.CutPrefix(line, []byte(httpVersion))
 	if !ok || len(rest) < 5 || rest[0] != '0' && rest[0] != '1' || rest[1] != ' ' {
@@ -135,8 +136,8 @@
 	return int(n), err == nil && n >= 100
 }
 
-// applyStatus translates an answer of the platform (doc.go has the table). Figures that no sound endpoint sends count as
-// not told.
+// applyStatus translates an answer in the platform's format (doc.go has the table). It ignores figures that no correct endpoint
+// sends.
 func (p *Pool) applyStatus(resp *http.Response, result *brain.AttemptResult) {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -161,8 +162,8 @@
 	result.Remaining, result.Limit, result.LimitReported = p.parseLoadReport(resp.Header.Get("X-Load"))
 }
 
-// parseLoadReport reads a load report: a list of name=value, of which x0 is the share of the allowance that is left and
-// x1 the rate limit in calls a second. If any figure is impossible there is no report: the others are as doubtful.
+// parseLoadReport parses a load report, a list of name=value: x0 is the remaining fraction of the allowance, and x1 the rate limit
+// in calls a second. If any figure is impossible the whole report is ignored, as the others are not reliable either.
 func (p *Pool) parseLoadReport(text string) (remaining, limit float64, ok bool) {
 	report := map[string]float64{}
 	for _, part := range strings.Split(text, ",") {
@@ -171,7 +172,7 @@
 			continue
 		}
 		v, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(v >= 0 && v <= maxRate) { // neither NaN nor infinite, too
+		if err != nil || !(v >= 0 && v <= maxRate) { // also excludes NaN and infinity
 			return 0, 0, false
 		}
 		report[name] = v
--- a/internal/calls/call.go
+++ b/internal/calls/call.go
@@ -10,29 +10,29 @@
 	"saffronyard.example/saffronyard/internal/cloudevents"
 )
 
-// Calls are written and read here on connections of our own rather than through http.Transport: whether a call may have
-// run depends on whether its last byte was written, which the Transport cannot tell for sure, and it repeats a request
-// by itself when a reused connection breaks. Here one call is one write.
+// Calls use their own connections instead of http.Transport. Whether a call may have run depends on whether its last byte was
+// written, which the Transport does not report reliably, and the Transport repeats a request by itself when a reused
+// connection breaks. Here one call is one write.
 
-// Message is the part of a message that a call carries.
+// Message is the part of a message that is sent in a call.
 type Message struct {
 	ID, Key, Class, Tenant string
 	Body                   []byte
-	Event                  *cloudevents.Event // of a message that came as an event: its attributes; its data is Body
+	Event                  *cloudevents.Event // attributes of a message that was submitted as an event, whose data is Body
 }
 
-// Call makes one attempt and returns how it ended; gone is true if the endpoint wants no more calls. It never makes a
-// second attempt: an endpoint counts each call whose last byte has come. ctx ends it early, and its deadline is the
-// time-out. Messages are written only by their permits, which are used when the connection is up: that may take seconds.
-// If none is left then, or the connection came up too late, the call ends as NotSent and the connection is kept.
+// Call makes one attempt and returns its result; gone is true if the endpoint wants no more calls. It never makes a
+// second attempt: an endpoint counts each call whose last byte it has received. ctx cancels the call, and its deadline is the
+// time-out. A message is written only if its permit can be used once the connection is established, which may take seconds.
+// If no permit is left then, or all have expired, the call ends as NotSent and the connection is kept.
 //
-// Where the format carries several messages in one call, tickets are those of this call; the result is that of the
-// messages whose permit was used.
+// If the format carries several messages in one call, tickets are those of this call; the result applies to the messages whose
+// permits were used.
 func (p *Pool) Call(ctx context.Context, e *Endpoint, tickets []Ticket, timeout time.Duration) (result brain.AttemptResult, gone bool) {
 	f := e.requestFormat()
 	result = brain.AttemptResult{Endpoint: e.Number}
 	c, failure := p.connect(ctx, e, f, tickets)
-	// Nothing is written yet: however it fails up to the last byte, the call never ran.
+	// Nothing is written yet. If the call fails before its last byte is written, it has not run.
 	result.Outcome = failure
 	if c == nil {
 		return result, false
@@ -64,8 +64,8 @@
 	return result, gone
 }
 
-// connect returns a connection to e on which a call may be written, and the outcome if the write then fails; nil and the
-// outcome of the call if there is none.
+// connect returns a connection to e on which a call may be written, with the outcome of the call if the write fails. Without a
+// usable connection it returns nil and the outcome of the call.
 func (p *Pool) connect(ctx context.Context, e *Endpoint, f *requestFormat, tickets []Ticket) (*conn, brain.Outcome) {
 	until := latestUntil(tickets)
 	var c *conn
@@ -75,18 +75,18 @@
 	}
 	if err != nil {
 		if isLocalShortage(err) || allRevoked(tickets) || !time.Now().Before(until) {
-			return nil, brain.NotSent // for no fault of the endpoint's
+			return nil, brain.NotSent // the endpoint is not at fault
 		}
 		return nil, brain.ConnectFailed
 	}
-	if ctx.Err() != nil { // it was cancelled, or its time is over, just as the connection came up
+	if ctx.Err() != nil { // cancelled or timed out just when the connection was established
 		p.release(e, c)
 		if allRevoked(tickets) {
 			return nil, brain.NotSent
 		}
 		return nil, brain.ConnectFailed
 	}
-	// The endpoint may have moved meanwhile, and its old address may be that of another destination now.
+	// The endpoint's address may have changed meanwhile, and its old address may belong to another destination now.
 	if !e.isAt(c.addr) {
 		c.Close()
 		return nil, brain.NotSent
@@ -94,7 +94,7 @@
 	return c, brain.ConnectFailed
 }
 
-// outcomeOf is the outcome of a call that was written and whose answer could not be read.
+// outcomeOf returns the outcome of a call that was written and whose answer could not be read.
 func outcomeOf(ctx context.Context, err error) brain.Outcome {
 	switch {
 	case errors.Is(err, errMalformedAnswer):
@@ -103,7 +103,7 @@
 		return brain.TimedOut
 	case ctx.Err() != nil:
 		return brain.Cancelled
-	case errors.Is(err, os.ErrDeadlineExceeded): // the clock of the connection was a little ahead
+	case errors.Is(err, os.ErrDeadlineExceeded): // the connection's deadline fired slightly before that of ctx
 		return brain.TimedOut
 	}
 	return brain.ConnectionLost
--- a/internal/calls/call_test.go
+++ b/internal/calls/call_test.go
@@ -30,14 +30,14 @@
 		answer func(st.Call, net.Conn) bool
 		want   brain.AttemptResult
 	}{
-		"delivered":                 {st.Status(200, "X-Load: x0=0.4,x1=25,other=7"), brain.AttemptResult{Outcome: brain.Served, Final: true, LimitReported: true, Remaining: 0.4, Limit: 25}},
-		"error":                     {st.Status(500), brain.AttemptResult{Outcome: brain.Errored}},
-		"wait":                      {st.Status(429, "X-RateLimit-Wait-Ms: 250"), brain.AttemptResult{Outcome: brain.Rejected, RetryAfter: 250 * time.Millisecond}},
-		"turned away":               {st.Status(503), brain.AttemptResult{Outcome: brain.Rejected}},
-		"takes no more connections": {st.Status(503, "Connection: close"), brain.AttemptResult{Outcome: brain.Rejected, ConnLimitReached: true}},
-		"above the limit, and leaves": {st.Status(503, "Connection: close", "X-Load: x0=0,x1=25"),
+		"delivered":                {st.Status(200, "X-Load: x0=0.4,x1=25,other=7"), brain.AttemptResult{Outcome: brain.Served, Final: true, LimitReported: true, Remaining: 0.4, Limit: 25}},
+		"error":                    {st.Status(500), brain.AttemptResult{Outcome: brain.Errored}},
+		"wait":                     {st.Status(429, "X-RateLimit-Wait-Ms: 250"), brain.AttemptResult{Outcome: brain.Rejected, RetryAfter: 250 * time.Millisecond}},
+		"rejected":                 {st.Status(503), brain.AttemptResult{Outcome: brain.Rejected}},
+		"connection limit reached": {st.Status(503, "Connection: close"), brain.AttemptResult{Outcome: brain.Rejected, ConnLimitReached: true}},
+		"above the limit, closes": {st.Status(503, "Connection: close", "X-Load: x0=0,x1=25"),
 			brain.AttemptResult{Outcome: brain.Rejected, LimitReported: true, Limit: 25}},
-		"told to wait, and leaves": {st.Status(429, "Connection: close", "X-RateLimit-Wait-Ms: 250"),
+		"wait, closes": {st.Status(429, "Connection: close", "X-RateLimit-Wait-Ms: 250"),
 			brain.AttemptResult{Outcome: brain.Rejected, RetryAfter: 250 * time.Millisecond}},
 		"over slots":  {st.Status(503, "X-Over-Slots: 1"), brain.AttemptResult{Outcome: brain.NotSent}},
 		"no attempts": {st.Status(504), brain.AttemptResult{Outcome: brain.NotSent}},
@@ -48,7 +48,7 @@
 			return st.Status(200)(c, nc)
 		}, brain.AttemptResult{Outcome: brain.Served, Final: true}},
 		"reset": {st.Reset, brain.AttemptResult{Outcome: brain.ConnectionLost}},
-		// Delivered as soon as the first line is written, whatever breaks then.
+		// The message is delivered as soon as the status line is complete, whatever fails after it.
 		"cut after 200": {func(_ st.Call, c net.Conn) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-")
 			return false
@@ -67,13 +67,14 @@
 			call := e.Next(t)
 			if call.ID != "id" || call.Key != "key" || call.Body != "body" || call.Header.Get("X-Deadline-Ms") != "20000" ||
 				call.Header.Get("Accept-Encoding") != "" {
-				t.Errorf("the endpoint got %+v", call)
+				t.Errorf("the endpoint received %+v", call)
 			}
 		})
 	}
 }
 
-// A connection that has carried a call already counts among those that the endpoint takes: a rejection that closes it is about calls.
+// A rejection that closes a reused connection does not mean that the endpoint is at its connection limit: it has accepted this connection
+// before.
 func TestCall_RejectionOnReusedConnIsNoConnLimit(t *testing.T) {
 	n := 0
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
@@ -90,16 +91,16 @@
 	}
 }
 
-// Answers that are malformed, or bring more than belongs to them, on a connection that stays open: a 200 in the
-// first line holds, after any other malformed one the call may have run, whatever it reads like; none holds its slot until
-// the time-out, and the connection is not used again.
+// Malformed answers, and answers followed by extra bytes, on a connection that stays open. A 200 in the status line is valid;
+// after any other malformed answer the call may have run, whatever its status. No answer occupies its slot until the
+// time-out, and the connection is not reused.
 func TestCall_MalformedAnswers(t *testing.T) {
 	errored := brain.AttemptResult{Outcome: brain.Errored}
 	delivered := brain.AttemptResult{Outcome: brain.Served, Final: true}
 	good := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
 		answer  string
-		endless string // sent again and again behind it
+		endless string // sent repeatedly after answer
 		want    brain.AttemptResult
 	}{
 		"noise":                    {"\x00\xff\x13\x37", "", errored},
@@ -157,19 +158,19 @@
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 			if took := time.Since(began); took > st.Wait/2 {
-				t.Errorf("it took %v", took)
+				t.Errorf("the call took %v", took)
 			}
 			if got := callOnce(p, at, st.Wait, "x"); got != delivered {
 				t.Errorf("the next call: %+v", got)
 			}
 			if e.Next(t); e.Next(t).Conn != 2 {
-				t.Error("the connection was used again")
+				t.Error("the connection was reused")
 			}
 		})
 	}
 }
 
-// Figures that no sound endpoint sends are ignored: the decision module would calculate with them.
+// Figures that no correct endpoint sends are ignored, as the decision module would calculate with them.
 func TestLoadReport_ImpossibleValues(t *testing.T) {
 	served := brain.AttemptResult{Outcome: brain.Served, Final: true}
 	for line, want := range map[string]brain.AttemptResult{
@@ -206,8 +207,8 @@
 	}
 }
 
-// A library may repeat a request with an Idempotency-Key by itself when a reused connection breaks; each
-// would count as a call that the decision module knows nothing of.
+// An HTTP library may repeat a request with an Idempotency-Key by itself when a reused connection breaks. The decision module would
+// not count such a repeat as a call.
 func TestCall_NeverRepeatsByItself(t *testing.T) {
 	for _, body := range []string{"body", ""} {
 		first := true
@@ -223,11 +224,11 @@
 			t.Fatalf("first call: %+v", got)
 		}
 		if got := callOnce(p, at, st.Wait, body); got.Outcome != brain.ConnectionLost {
-			t.Errorf("on a connection that breaks: %+v", got)
+			t.Errorf("call on a connection that is reset: %+v", got)
 		}
 		e.Next(t)
 		if c := e.Next(t); c.Conn != 1 {
-			t.Errorf("the connection was not used again")
+			t.Errorf("the connection was not reused")
 		}
 		if len(e.Calls) != 0 {
 			t.Errorf("the call was repeated: %+v", <-e.Calls)
@@ -235,7 +236,7 @@
 	}
 }
 
-// A call whose last byte was not written has never run, however much of it was.
+// A call whose last byte was not written has not run, however many bytes were written.
 func TestCall_ResetBeforeLastByteNeverRan(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -251,15 +252,15 @@
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}()
-	// Far more than the sockets' buffers hold, so that the write is under way when the reset comes.
+	// Far more than the socket buffers hold, so that the write is in progress when the reset arrives.
 	got := callOnce(testPool(), &Endpoint{addr: l.Addr().String()}, st.Wait, strings.Repeat("x", 64<<20))
 	if got.Outcome != brain.ConnectFailed {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// Out of descriptors, a call is not made: that is our own shortage and says nothing of the endpoint. It is
-// foreseen, too: the module hears of no more slots than there are descriptors for.
+// Without file descriptors a call ends as NotSent: the shortage is local and says nothing about the endpoint. The decision module
+// also gets no more slots than there are descriptors, so that this should not occur.
 func TestCall_OutOfDescriptors(t *testing.T) {
 	for err, want := range map[error]brain.Outcome{syscall.EMFILE: brain.NotSent, syscall.ENFILE: brain.NotSent,
 		syscall.ENOBUFS: brain.NotSent, syscall.ECONNREFUSED: brain.ConnectFailed} {
@@ -282,7 +283,7 @@
 	}
 }
 
-// A time-out and a cancel close the connection: the endpoint holds a slot of ours for as long as it is open.
+// A time-out and a cancel close the connection, as the call occupies a slot at the endpoint for as long as it is open.
 func TestCall_TimeoutAndCancelCloseConnection(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
@@ -310,8 +311,8 @@
 	st.Receive(t, closed)
 }
 
-// An endpoint that has closed an idle connection would see a call on it as a reset that may have run: such
-// a connection is noticed and left, also when it announced nothing.
+// A call on an idle connection that the endpoint has closed would be reset, and count as one that may have run. Such a connection
+// is detected and not used, even if the endpoint did not announce the close.
 func TestPool_IdleConnClosedByEndpoint(t *testing.T) {
 	closed := make(chan struct{})
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
@@ -325,7 +326,7 @@
 		t.Fatalf("first call: %+v", got)
 	}
 	st.Receive(t, closed)
-	for end := time.Now().Add(st.Wait); ; time.Sleep(time.Millisecond) { // until the close has come here
+	for end := time.Now().Add(st.Wait); ; time.Sleep(time.Millisecond) { // until the close has arrived
 		at.mu.Lock()
 		gone := len(at.idle) == 0 || !IdleConnUsable(at.idle[0].Conn)
 		at.mu.Unlock()
@@ -333,7 +334,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the close is not noticed")
+			t.Fatal("the close is not detected")
 		}
 	}
 	closed = make(chan struct{})
@@ -345,49 +346,49 @@
 func TestPool_KeepsAndClosesConns(t *testing.T) {
 	e := st.NewEndpoint(t, st.Status(200))
 	p, at := testPool(), &Endpoint{addr: e.Addr}
-	on := func() int {
+	callAndGetConn := func() int {
 		t.Helper()
 		if got := callOnce(p, at, st.Wait, "x"); got.Outcome != brain.Served {
 			t.Fatalf("%+v", got)
 		}
 		return e.Next(t).Conn
 	}
-	if a, b := on(), on(); a != 1 || b != 1 {
-		t.Errorf("connections %d and %d", a, b)
+	if a, b := callAndGetConn(), callAndGetConn(); a != 1 || b != 1 {
+		t.Errorf("calls on connections %d and %d, want 1 for both", a, b)
 	}
 	p.CloseIdle(at, time.Hour)
-	if n := on(); n != 1 {
-		t.Errorf("a young idle connection was closed")
+	if n := callAndGetConn(); n != 1 {
+		t.Errorf("an idle connection was closed before its time-out")
 	}
 	p.CloseIdle(at, 0)
-	if n := on(); n != 2 {
-		t.Errorf("connection %d after the idle ones were closed", n)
+	if n := callAndGetConn(); n != 2 {
+		t.Errorf("call on connection %d after the idle ones were closed, want 2", n)
 	}
-	p.idleTimeout = 0 // older than it may be
-	if n := on(); n != 3 {
-		t.Errorf("connection %d after the idle one was too old", n)
+	p.idleTimeout = 0 // every idle connection has expired
+	if n := callAndGetConn(); n != 3 {
+		t.Errorf("call on connection %d after the idle one expired, want 3", n)
 	}
 	p.maxIdle = 0
 	p.CloseIdle(at, 0)
-	if on(); len(at.idle) != 0 || p.idle.Load() != 0 {
+	if callAndGetConn(); len(at.idle) != 0 || p.idle.Load() != 0 {
 		t.Errorf("%d idle connections where none may be kept, counted %d", len(at.idle), p.idle.Load())
 	}
 }
 
-// All day endpoints are replaced under new ids, some at the address of one that has gone: of what is gone
-// nothing is remembered, its connections are closed at once, also those that were in use then, and what comes in
-// its place starts with none.
+// Endpoints are replaced under new ids all day, some at the address of a removed one. Nothing is kept of a removed endpoint: its
+// idle connections are closed at once, those in use after their call, and an endpoint at the same address starts with
+// none.
 func TestEndpointList_RemovedEndpointsLeaveNothing(t *testing.T) {
 	for name, gone := range map[string]membership.Update{
-		"deleted":                   {Servers: []membership.Target{{ID: "old", State: "DELETED"}}},
-		"not in the whole list":     {Full: true},
-		"deleted in the whole list": {Full: true, Servers: []membership.Target{{ID: "old", State: "DELETED"}}},
+		"deleted":                      {Servers: []membership.Target{{ID: "old", State: "DELETED"}}},
+		"not in the complete list":     {Full: true},
+		"deleted in the complete list": {Full: true, Servers: []membership.Target{{ID: "old", State: "DELETED"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			hold, closed := make(chan struct{}), make(chan int, 2)
+			release, closed := make(chan struct{}), make(chan int, 2)
 			e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 				if c.Conn == 2 {
-					<-hold
+					<-release
 				}
 				st.Status(200)(c, nc)
 				if c.Conn <= 2 {
@@ -397,37 +398,37 @@
 				return c.Conn > 2
 			})
 			c, p, list := Names{}, testPool(), NewEndpointList()
-			news := func(t membership.Update) { list.Apply(t, t.Full, c, p) }
-			news(membership.Update{Full: true, Servers: []membership.Target{{ID: "old", Addr: e.Addr, State: "SERVING"}}})
+			apply := func(t membership.Update) { list.Apply(t, t.Full, c, p) }
+			apply(membership.Update{Full: true, Servers: []membership.Target{{ID: "old", Addr: e.Addr, State: "SERVING"}}})
 			old := list.ByID["old"]
 			if got := callOnce(p, old, st.Wait, "x"); got.Outcome != brain.Served || len(old.idle) != 1 {
 				t.Fatalf("%+v, %d idle", got, len(old.idle))
 			}
 			kept := old.idle[0]
 			p.idle.Add(-1)
-			old.idle = nil // as if it were in use, so that a second one is opened
+			old.idle = nil // as if the connection were in use, so that a second one is opened
 			ended := make(chan brain.AttemptResult, 1)
 			go func() { ended <- callOnce(p, old, st.Wait, "x") }()
 			e.Next(t)
 			e.Next(t)
 			p.release(old, kept)
-			news(gone)
+			apply(gone)
 			if n := st.Receive(t, closed); n != 1 {
-				t.Errorf("connection %d is closed first", n)
+				t.Errorf("connection %d is closed first, want 1", n)
 			}
-			close(hold)
+			close(release)
 			if got := st.Receive(t, ended); got.Outcome != brain.Served {
-				t.Errorf("the call that was out: %+v", got)
+				t.Errorf("the call in flight: %+v", got)
 			}
 			st.Receive(t, closed)
 			if len(list.ByID)+len(list.ByNumber) > 0 || p.idle.Load() != 0 {
 				t.Errorf("%d endpoints, %d idle connections", len(list.ByID), p.idle.Load())
 			}
-			news(membership.Update{Servers: []membership.Target{{ID: "new", Addr: e.Addr, State: "SERVING"}}})
+			apply(membership.Update{Servers: []membership.Target{{ID: "new", Addr: e.Addr, State: "SERVING"}}})
 			if at := list.ByID["new"]; at.Number == old.Number {
-				t.Error("its number is given again")
+				t.Error("the number of the removed endpoint is reused")
 			} else if callOnce(p, at, st.Wait, "x"); e.Next(t).Conn != 3 {
-				t.Error("the new endpoint got an old connection")
+				t.Error("the new endpoint uses a connection of the removed one")
 			}
 		})
 	}
--- a/internal/calls/endpoint.go
+++ b/internal/calls/endpoint.go
@@ -6,29 +6,29 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// Endpoint is an endpoint of the list, with the idle connections to it. The exported fields and the first group belong
+// Endpoint is an endpoint of the list, with the idle connections to it. The exported fields and the fields before mu belong
 // to the goroutine that owns the EndpointList.
 type Endpoint struct {
 	Number brain.EndpointID
 	ID     string
 	Zone   int            // index into Names.Zones
-	Entry  brain.Endpoint // as the Brain was last told
+	Entry  brain.Endpoint // as last reported to the Brain
 
 	lastListed    uint64         // EndpointList.generation of the last list that named it
-	listedServing bool           // its state in the list, whatever the fleet's policy makes of it
+	listedServing bool           // its state in the list, before the fleet's policy is applied
 	kind          string         // as in the list
-	format        *requestFormat // of calls to it; written by the owner under mu, and read by it without
-	retired       bool           // it wants no more calls, until the list says that it is not serving
-	validating    chan struct{}  // held by the call that asks the endpoint for permission
+	format        *requestFormat // of calls to it; the owner writes it under mu and may read it without
+	retired       bool           // it wants no more calls; reset when the list says that it is not serving
+	validating    chan struct{}  // semaphore held by the call that validates the endpoint
 
-	mu            sync.Mutex // guards addr and what follows, and format for other goroutines
+	mu            sync.Mutex // guards the fields below, and format for other goroutines
 	addr          string
-	idle          []*conn // the one that was used last at the end
-	validatedAddr string  // the address that has given its permission
-	allowedRate   float64 // calls a second that it allows; 0 if it told none
+	idle          []*conn // the most recently used one last
+	validatedAddr string  // the address that was validated successfully
+	allowedRate   float64 // calls a second that it allows; 0 if it stated none
 }
 
-// requestFormat is the format of calls to e.
+// requestFormat returns the format of calls to e.
 func (e *Endpoint) requestFormat() *requestFormat {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -38,7 +38,7 @@
 	return e.format
 }
 
-// isAt reports whether the endpoint is still at an address.
+// isAt reports whether the endpoint still has an address.
 func (e *Endpoint) isAt(addr string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/calls/endpoint_list.go
+++ b/internal/calls/endpoint_list.go
@@ -14,30 +14,30 @@
 	stateDeleted = "DELETED"
 )
 
-// MaxDestination is the highest destination that a list may name.
+// MaxDestination is the highest destination in a list.
 const MaxDestination = 1<<16 - 1
 
-// Names are the names in the settings to whose index zones and kinds of endpoints are translated.
+// Names are the names of zones and kinds in the settings. Zones and kinds of endpoints are translated to their indices there.
 type Names struct{ Zones, Kinds []string }
 
-// EndpointList is the endpoint list as the sender's loop knows it, which owns it. Endpoints come and go all day: of one
-// that is gone nothing is kept, and a number is never used again, so that an endpoint which comes back, or another one at
-// its address, starts with no connection and no history.
+// EndpointList is the endpoint list, owned by the sender's loop. Endpoints are added and removed all day: nothing is kept of a
+// removed endpoint, and its number is never reused, so that an endpoint which is listed again, or another one at its
+// address, starts with no connection and no history.
 type EndpointList struct {
 	ByID     map[string]*Endpoint
 	ByNumber map[brain.EndpointID]*Endpoint
-	// Destinations are those that a list has ever named, MaxDestination at most.
+	// Destinations are all destinations that were ever listed, up to MaxDestination.
 	Destinations map[uint32]struct{}
-	// IsClosed reports whether the fleet's policy has closed or suspended a destination; nil where there is none.
+	// IsClosed reports whether the fleet's policy has closed or suspended a destination; nil without a policy.
 	IsClosed func(destination uint32) bool
-	// KindOf is the kind that the fleet's policy gives a destination, from that in the list; nil where there is none.
+	// KindOf returns the kind of a destination under the fleet's policy, given the listed kind; nil without a policy.
 	KindOf func(destination uint32, listed string) string
 
 	lastNumber brain.EndpointID
-	generation uint64 // lists that have come
+	generation uint64 // number of updates applied
 }
 
-// NewEndpointList makes an empty list.
+// NewEndpointList returns an empty list.
 func NewEndpointList() EndpointList {
 	return EndpointList{
 		ByID:         map[string]*Endpoint{},
@@ -46,9 +46,8 @@
 	}
 }
 
-// Apply takes over a change of the list, or the complete list, and returns what the Brain has to know of it: a complete
-// list that comes again costs no more than this. An endpoint that is listed again as it was keeps its position among those
-// of its destination.
+// Apply applies a change of the list, or the complete list, and returns only the changes that the Brain needs: a complete list
+// without changes gives none. An endpoint that is listed again unchanged keeps its position among those of its destination.
 func (l *EndpointList) Apply(update membership.Update, complete bool, names Names, p *Pool) brain.EndpointUpdate {
 	var changes brain.EndpointUpdate
 	l.generation++
@@ -82,7 +81,7 @@
 	return changes
 }
 
-// remove drops an endpoint that is gone. Its calls in flight end as they do, and their connections with them.
+// remove removes an endpoint and closes its idle connections. Calls in flight continue, and their connections are closed afterwards.
 func (l *EndpointList) remove(e *Endpoint, p *Pool) {
 	if e == nil {
 		return
@@ -95,8 +94,8 @@
 	p.CloseIdle(e, 0)
 }
 
-// Retire records that an endpoint wants no more calls, as if the list had said so, until the list says that it is not
-// serving. changed is whether the Brain has to know.
+// Retire marks an endpoint that wants no more calls as not ready, until the list says that it is not serving. changed reports
+// whether the Brain needs the update.
 func (l *EndpointList) Retire(e *Endpoint, p *Pool) (update brain.EndpointUpdate, changed bool) {
 	if e == nil || e.retired || l.ByID[e.ID] != e {
 		return update, false
@@ -108,12 +107,12 @@
 	return brain.EndpointUpdate{Endpoints: []brain.Endpoint{e.Entry}}, changed
 }
 
-// isClosed reports whether the fleet's policy lets nothing be sent to a destination.
+// isClosed reports whether the fleet's policy forbids sending to a destination.
 func (l *EndpointList) isClosed(destination uint32) bool {
 	return l.IsClosed != nil && l.IsClosed(destination)
 }
 
-// kindIndex is the index of the kind of an endpoint in the settings, as the fleet's policy or else the list has it.
+// kindIndex returns the index in the settings of an endpoint's kind, by the fleet's policy or else the list; 0 for an unknown kind.
 func (l *EndpointList) kindIndex(e *Endpoint, destination uint32, names Names) int {
 	kind := e.kind
 	if l.KindOf != nil {
@@ -122,8 +121,8 @@
 	return max(0, slices.Index(names.Kinds, kind))
 }
 
-// ApplyPolicy returns what the Brain has to know of changes of the fleet's policy: an endpoint of a closed destination
-// is not ready.
+// ApplyPolicy applies changes of the fleet's policy and returns the changes that the Brain needs. An endpoint of a closed
+// destination is not ready.
 func (l *EndpointList) ApplyPolicy(names Names) brain.EndpointUpdate {
 	var changed []*Endpoint
 	for _, e := range l.ByID {
@@ -142,7 +141,7 @@
 	return changes
 }
 
-// update takes over an entry of the list; changed is whether the Brain has to know.
+// update applies an entry of the list. changed reports whether the Brain needs it.
 func (l *EndpointList) update(target membership.Target, names Names, p *Pool) (entry brain.Endpoint, changed bool) {
 	e := l.ByID[target.ID]
 	if e == nil {
--- a/internal/calls/limited_conn.go
+++ b/internal/calls/limited_conn.go
@@ -2,8 +2,8 @@
 
 import "net"
 
-// LimitedConn is a connection that reads no more than Remaining bytes, so that a peer can't make us buffer a head
-// without end or a body of gigabytes. Remaining is set anew for each request or answer.
+// LimitedConn is a connection that reads at most Remaining bytes, so that a peer can't make us buffer an endless head
+// or a body of gigabytes. Remaining must be set for each request or answer.
 type LimitedConn struct {
 	net.Conn
 	Remaining   int   // bytes that may still be read
--- a/internal/calls/permit.go
+++ b/internal/calls/permit.go
@@ -7,22 +7,22 @@
 )
 
 // Permit is the permission to write one message once. Between the decision to send a message and its first byte on the
-// wire lie the seconds in which its connection comes up, and the reasons for the decision may change meanwhile: its
-// destination asks for a wait, its endpoint drains, an outage begins, its idempotency key is forgotten. So the call uses
-// the permit just before it writes, and the loop revokes it as soon as the Brain says so. Whichever comes first holds; no
-// lock is held, and neither waits.
+// wire, connecting may take seconds, and the reasons for the decision may change meanwhile: the destination asks for a
+// wait, the endpoint drains, an outage begins, the idempotency key expires. So the call uses the permit just before it
+// writes, and the loop revokes it as soon as the Brain says so. Whichever comes first takes effect; there is no lock, and
+// neither waits for the other.
 type Permit struct {
-	// Until is when the permit expires by itself: a repeat is allowed only while its key is remembered.
+	// Until is when the permit expires by itself: a message may be repeated only while its idempotency key is valid.
 	Until time.Time
 	// Cancel ends the call.
 	Cancel context.CancelFunc
-	// Admit asks the fleet for admission of the call at this very moment; nil where senders agree on nothing. left is to
-	// be called when the message is written. over, if it is not nil, is to be called when the call has ended: with false
-	// if it was not written after all.
-	Admit func() (left func(), over func(written bool), ok bool)
+	// Admit asks the fleet to admit the call just before it is written; nil without limits shared between senders. written
+	// must be called when the message is written. ended, if it is not nil, must be called when the call has ended: with
+	// false if the message was not written after all.
+	Admit func() (written func(), ended func(written bool), ok bool)
 
 	state  atomic.Uint32      // one of the constants below
-	onEnd  func(written bool) // over of a message that is written
+	onEnd  func(written bool) // the function from Admit to call when the call of a written message ends; may be nil
 	denied atomic.Bool        // the fleet did not admit it
 }
 
@@ -33,17 +33,17 @@
 	permitRevoked        // it will not be written
 )
 
-// use uses the permit, at the moment of writing. If ok the message counts as written, and written is to be called when it
-// is.
+// use uses the permit, just before the message is written. If ok the message counts as written, and written must be called
+// once it is.
 func (p *Permit) use(now time.Time) (written func(), ok bool) {
 	written = func() {}
 	if !now.Before(p.Until) {
 		p.state.CompareAndSwap(permitGranted, permitRevoked)
 		return nil, false
 	}
-	var over func(bool)
+	var ended func(bool)
 	if p.Admit != nil {
-		if written, over, ok = p.Admit(); !ok {
+		if written, ended, ok = p.Admit(); !ok {
 			if p.state.CompareAndSwap(permitGranted, permitRevoked) {
 				p.denied.Store(true)
 			}
@@ -52,17 +52,17 @@
 	}
 	if !p.state.CompareAndSwap(permitGranted, permitUsed) {
 		written()
-		if over != nil {
-			over(false)
+		if ended != nil {
+			ended(false)
 		}
 		return nil, false
 	}
-	p.onEnd = over
+	p.onEnd = ended
 	return written, true
 }
 
-// Revoke revokes the permit and ends the call, which is never made then. It returns false, and changes nothing, if the
-// permit was used already.
+// Revoke revokes the permit and cancels the call, so that the message is not written. It returns false and changes nothing
+// unless the permit is still granted.
 func (p *Permit) Revoke() bool {
 	if !p.state.CompareAndSwap(permitGranted, permitRevoked) {
 		return false
@@ -71,17 +71,17 @@
 	return true
 }
 
-// Ended records that the call of the permit has ended. It is to be called once.
+// Ended records that the call of the permit has ended. It must be called once.
 func (p *Permit) Ended() {
 	if p.onEnd != nil {
 		p.onEnd(true)
 	}
 }
 
-// Revoked reports whether the permit was revoked, or had expired when it was to be used: nothing was written.
+// Revoked reports whether the permit was revoked, denied, or had expired when it was to be used: nothing was written.
 func (p *Permit) Revoked() bool { return p.state.Load() == permitRevoked }
 
-// Denied reports whether the fleet did not admit the call as the message was about to be written.
+// Denied reports whether the fleet denied admission of the call when the message was about to be written.
 func (p *Permit) Denied() bool { return p.denied.Load() }
 
 // Ticket is one message of a call with its permit.
@@ -90,8 +90,8 @@
 	*Permit
 }
 
-// usePermits uses the permits of all tickets and returns the messages that may be written now; written is to be called
-// when they are.
+// usePermits uses the permits of all tickets and returns the messages that may be written now; written must be called
+// once they are.
 func usePermits(tickets []Ticket, now time.Time) (permitted []Message, written func()) {
 	permitted = make([]Message, 0, len(tickets))
 	callbacks := make([]func(), 0, len(tickets))
@@ -107,7 +107,7 @@
 	}
 }
 
-// allRevoked reports whether no permit is left: there is nothing to connect for.
+// allRevoked reports whether no permit is left, so that a connection is no longer needed.
 func allRevoked(tickets []Ticket) bool {
 	for _, t := range tickets {
 		if !t.Revoked() {
@@ -117,7 +117,7 @@
 	return true
 }
 
-// latestUntil is the time at which the last permit expires.
+// latestUntil returns the time at which the last permit expires.
 func latestUntil(tickets []Ticket) time.Time {
 	until := tickets[0].Until
 	for _, t := range tickets[1:] {
--- a/internal/calls/permit_test.go
+++ b/internal/calls/permit_test.go
@@ -10,13 +10,12 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// tickets is one message whose permit expires after a time.
+// tickets returns a ticket for one message, whose permit expires after within.
 func tickets(m Message, within time.Duration) []Ticket {
 	return []Ticket{{m, &Permit{Until: time.Now().Add(within), Cancel: func() {}}}}
 }
 
-// A permit that is revoked while the connection comes up: nothing is written, and the connection serves the next
-// call.
+// If a permit is revoked while connecting, nothing is written, and the connection is used for the next call.
 func TestPermit_RevokedWhileConnecting(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
@@ -28,7 +27,7 @@
 	late := tickets(Message{ID: "late"}, st.Wait)
 	p.Dialer.Control = func(string, string, syscall.RawConn) error {
 		if !late[0].Revoke() {
-			t.Error("it was used before its connection stood")
+			t.Error("the permit was used before the connection was established")
 		}
 		return nil
 	}
@@ -41,19 +40,19 @@
 		t.Errorf("%+v", end)
 	}
 	if fine[0].Revoke() {
-		t.Error("a permit that was used was revoked")
+		t.Error("a used permit was revoked")
 	}
 	if c := e.Next(t); c.ID != "fine" || c.Conn != 1 || len(e.Calls) > 0 {
-		t.Errorf("the endpoint got %s on connection %d", c.ID, c.Conn)
+		t.Errorf("the endpoint received %s on connection %d", c.ID, c.Conn)
 	}
 }
 
-// Of a call with several messages those are written whose permit is left.
+// Of the messages of a batch, only those with a valid permit are written.
 func TestPermit_BatchWritesWhatIsLeft(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	p := testPool()
-	at := &Endpoint{addr: e.Addr, format: formOf(Batched)}
+	at := &Endpoint{addr: e.Addr, format: formatOf(Batched)}
 	all := append(tickets(Message{ID: "one"}, st.Wait), tickets(Message{ID: "two"}, st.Wait)...)
 	all = append(all, tickets(Message{ID: "three"}, -time.Second)...)
 	all[0].Revoke()
@@ -64,11 +63,11 @@
 	}
 	c := e.Next(t)
 	if ids := st.BatchIDs(t, c); len(ids) != 1 || ids[0] != "two" || !all[2].Revoked() {
-		t.Errorf("%v went out", ids)
+		t.Errorf("messages %v were written, want two", ids)
 	}
 }
 
-// What is not written in its time is not sent, and a connection that came up too late is kept for the next call.
+// A message whose permit has expired is not written, and the connection is kept for the next call.
 func TestPermit_ExpiresWhileConnecting(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
@@ -82,24 +81,24 @@
 		return end
 	}
 	if end := call(0); end.Outcome != brain.NotSent {
-		t.Errorf("with no time at all: %+v", end)
+		t.Errorf("with a permit that expires at once: %+v", end)
 	}
 	if end := call(st.Wait); end.Outcome != brain.Served {
-		t.Errorf("with time: %+v", end)
+		t.Errorf("with a valid permit: %+v", end)
 	}
 	if end := call(-time.Second); end.Outcome != brain.NotSent || p.idle.Load() != 1 {
-		t.Errorf("with its time over: %+v, %d idle", end, p.idle.Load())
+		t.Errorf("with an expired permit: %+v, %d idle", end, p.idle.Load())
 	}
 	if end := call(st.Wait); end.Outcome != brain.Served {
-		t.Errorf("on the connection that was kept: %+v", end)
+		t.Errorf("on the kept connection: %+v", end)
 	}
 	if len(e.Calls) != 2 || e.Next(t).Conn != 1 || e.Next(t).Conn != 1 {
-		t.Error("the calls did not go on one connection")
+		t.Error("the calls were not made on one connection")
 	}
 }
 
-// An endpoint comes back at another address while a connection to its old one comes up: nothing is written there, as another
-// destination's may listen at it by now, and the next call goes to the new one.
+// The address of an endpoint changes while a connection to the old address is established. Nothing is written there, as an endpoint of
+// another destination may listen at it by now, and the next call is made to the new address.
 func TestCall_EndpointMovesWhileConnecting(t *testing.T) {
 	t.Parallel()
 	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
@@ -118,9 +117,9 @@
 		t.Errorf("%+v", end)
 	}
 	if end, _ := p.Call(ctx, at, tickets(Message{ID: "m"}, st.Wait), st.Wait); end.Outcome != brain.Served {
-		t.Errorf("the next: %+v", end)
+		t.Errorf("the next call: %+v", end)
 	}
 	if other.Next(t); len(old.Calls) != 0 {
-		t.Error("the address that was left got a call")
+		t.Error("the old address received a call")
 	}
 }
--- a/internal/calls/pool.go
+++ b/internal/calls/pool.go
@@ -17,41 +17,41 @@
 	LimitedConn
 	r         *bufio.Reader
 	addr      string
-	idleSince time.Time // zero if it has carried no call yet
+	idleSince time.Time // zero before the first call on it
 }
 
-// Pool opens, keeps and closes connections. It is safe for concurrent use.
+// Pool opens, reuses and closes connections. It is safe for concurrent use.
 type Pool struct {
 	connectTimeout time.Duration
 	idleTimeout    time.Duration
-	maxIdle        int64 // in all: file descriptors are few
+	maxIdle        int64 // over all endpoints: file descriptors are scarce
 	idle           atomic.Int64
 	loadFields     []string
 	formats        requestFormats
 	Dialer         net.Dialer
 
-	mu       sync.Mutex // taken within an endpoint's; guards withIdle
-	withIdle map[*Endpoint]struct{}
+	mu       sync.Mutex             // may be locked while Endpoint.mu is held, not the reverse; guards withIdle
+	withIdle map[*Endpoint]struct{} // endpoints that may have idle connections
 }
 
 // Config is the configuration of a Pool.
 type Config struct {
-	ConnectTimeout time.Duration // for a connection to come up
+	ConnectTimeout time.Duration // for a connection to be established
 	IdleTimeout    time.Duration // after which endpoints close an idle connection
 	MaxIdle        int           // idle connections kept, over all endpoints
 	LoadFields     []string      // names of the figures in a load report
 	Delivery       *Delivery     // nil for the platform's format
 }
 
-// idleTimeoutShare is the part of an endpoint's idle time-out after which connections are closed here: what is written
-// to a connection that the endpoint has closed is reset, and may have run.
-const idleTimeoutShare = 9 // tenths
+// idleTimeoutTenths is the fraction of an endpoint's idle time-out, in tenths, after which connections are closed here. A call written
+// to a connection that the endpoint has closed is reset, and counts as one that may have run.
+const idleTimeoutTenths = 9
 
-// NewPool makes a pool without connections.
+// NewPool returns a pool without connections.
 func NewPool(c Config) *Pool {
 	return &Pool{
 		connectTimeout: c.ConnectTimeout,
-		idleTimeout:    c.IdleTimeout * idleTimeoutShare / 10,
+		idleTimeout:    c.IdleTimeout * idleTimeoutTenths / 10,
 		maxIdle:        int64(c.MaxIdle),
 		loadFields:     c.LoadFields,
 		formats:        newRequestFormats(c.Delivery),
@@ -59,10 +59,10 @@
 	}
 }
 
-// Idle is how many connections are idle.
+// Idle returns the number of idle connections.
 func (p *Pool) Idle() int { return int(p.idle.Load()) }
 
-// acquire takes the idle connection that was used last, or opens one, which is up before until.
+// acquire returns the idle connection that was used last, or opens a new one. A new one must be established before until.
 func (p *Pool) acquire(ctx context.Context, e *Endpoint, until time.Time) (*conn, error) {
 	e.mu.Lock()
 	addr := e.addr
@@ -88,7 +88,7 @@
 	return c, nil
 }
 
-// release keeps a connection for the next call, if there is room for it.
+// release keeps a connection for the next call, or closes it if it has the endpoint's old address or the pool is full.
 func (p *Pool) release(e *Endpoint, c *conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -108,12 +108,12 @@
 // CloseExpired closes the connections that have been idle for the idle time-out.
 func (p *Pool) CloseExpired() {
 	p.mu.Lock()
-	holding := make([]*Endpoint, 0, len(p.withIdle))
+	endpoints := make([]*Endpoint, 0, len(p.withIdle))
 	for e := range p.withIdle {
-		holding = append(holding, e)
+		endpoints = append(endpoints, e)
 	}
 	p.mu.Unlock()
-	for _, e := range holding {
+	for _, e := range endpoints {
 		p.CloseIdle(e, p.idleTimeout)
 	}
 }
@@ -141,14 +141,14 @@
 	}
 }
 
-// isLocalShortage reports whether a connection failed for lack of a resource of this machine.
+// isLocalShortage reports whether a connection failed because this machine lacks a resource.
 func isLocalShortage(err error) bool {
 	return slices.ContainsFunc([]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL},
-		func(lack error) bool { return errors.Is(err, lack) })
+		func(shortage error) bool { return errors.Is(err, shortage) })
 }
 
-// IdleConnUsable reports whether an idle connection still stands: nothing has come on it, not even its end. A call on one
-// that the endpoint has closed would count as one that may have run.
+// IdleConnUsable reports whether an idle connection is still open and has received nothing, not even a close. A call on a
+// connection that the endpoint has closed would count as one that may have run.
 func IdleConnUsable(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -158,11 +158,11 @@
 	if err != nil {
 		return false
 	}
-	stands := false
-	err = raw.Control(func(fd uintptr) { // not Read: that would wait for one that is under way
+	usable := false
+	err = raw.Control(func(fd uintptr) { // not raw.Read, which would wait for a read in progress
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		stands = err == syscall.EAGAIN
+		usable = err == syscall.EAGAIN
 	})
-	return err == nil && stands
+	return err == nil && usable
 }
--- a/internal/calls/request_format.go
+++ b/internal/calls/request_format.go
@@ -10,8 +10,8 @@
 	"saffronyard.example/saffronyard/internal/cloudevents"
 )
 
-// Delivery is the configuration of the formats in which messages are sent. With a nil Delivery, and for a destination
-// that no target matches, the format is the platform's.
+// Delivery configures the formats in which messages are sent. With a nil Delivery, and for a destination
+// that no target matches, the platform's format is used.
 type Delivery struct {
 	Source  string   // source attribute of events made of plain messages
 	Type    string   // their type attribute; {class} stands for the class of the message
@@ -25,10 +25,10 @@
 	Form         string // Binary, Structured, Batched or Plain
 	Path         string // of the request; "" for the platform's
 	BatchEvents  int    // Batched: most events in one call
-	BatchBytes   int    // Batched: most bytes of one call, but for a single event
+	BatchBytes   int    // Batched: most bytes in one call; a single event may exceed it
 	Validate     bool   // ask an endpoint for permission before the first call (CloudEvents web hooks, section 4)
 	Origin       string // WebHook-Request-Origin
-	Rate         int    // WebHook-Request-Rate in requests a minute; 0 asks for none
+	Rate         int    // WebHook-Request-Rate in requests a minute; 0 omits the header
 }
 
 // Forms of messages: the platform's own, and the CloudEvents content modes.
@@ -39,10 +39,10 @@
 	Batched    = "batched"
 )
 
-// platformPath is the path of requests where a target names none.
+// platformPath is the path of requests for targets without one.
 const platformPath = "/hook"
 
-// requestFormat is how calls to an endpoint are written and their answers read.
+// requestFormat defines how calls to an endpoint are written and their answers interpreted.
 type requestFormat struct {
 	Target
 	path     string
@@ -53,7 +53,7 @@
 // platformFormat is the platform's own format.
 var platformFormat = &requestFormat{path: platformPath, plain: true}
 
-// requestFormats has one format for each target of a Delivery.
+// requestFormats holds one format for each target of a Delivery.
 type requestFormats struct {
 	delivery *Delivery
 	all      []*requestFormat
@@ -76,9 +76,9 @@
 
 // find returns the format for a destination and its kind.
 func (f *requestFormats) find(destination uint32, kind string) *requestFormat {
-	for _, one := range f.all {
-		if one.matches(destination, kind) {
-			return one
+	for _, format := range f.all {
+		if format.matches(destination, kind) {
+			return format
 		}
 	}
 	return platformFormat
@@ -92,8 +92,8 @@
 	return slices.Contains(t.Destinations, destination) || slices.Contains(t.Kinds, kind)
 }
 
-// cloudEvent is a message as an event. One that came as an event leaves as it came, with each attribute and extension; a
-// plain one gets the configured attributes, the same ones on every attempt.
+// cloudEvent returns a message as an event. A message that was submitted as an event keeps all attributes and extensions. A plain
+// message gets the configured attributes, the same ones on every attempt.
 func (f *requestFormat) cloudEvent(m *Message) *cloudevents.Event {
 	if m.Event != nil {
 		e := *m.Event
@@ -114,7 +114,7 @@
 	return e
 }
 
-// appendRequest renders a call.
+// appendRequest appends the request of a call.
 func (f *requestFormat) appendRequest(b []byte, ms []Message, addr string, timeout time.Duration) []byte {
 	m := &ms[0]
 	if f.plain && m.Event == nil {
@@ -144,7 +144,7 @@
 			events[i] = f.cloudEvent(&ms[i])
 		}
 		body = cloudevents.AppendBatch(nil, events)
-	default: // an event for a plain destination, too: the body is the same, and nothing of it is lost
+	default: // also an event for a plain destination: binary mode has the same body and keeps the attributes
 		b = f.cloudEvent(m).AppendHeaders(b)
 		body = m.Body
 	}
@@ -152,8 +152,8 @@
 	return append(append(b, "\r\n\r\n"...), body...)
 }
 
-// appendPlatformRequest renders a call of one message in the platform's format. Names are plain ASCII: they were read
-// from one header line each.
+// appendPlatformRequest appends the request of a call with one message in the platform's format. ID and Key need no escaping: each
+// was read from one header line and is plain ASCII.
 func appendPlatformRequest(b []byte, m *Message, addr string, timeout time.Duration) []byte {
 	b = append(append(b, "POST /hook HTTP/1.1\r\nHost: "...), addr...)
 	b = append(append(b, "\r\nUser-Agent: saffronyard\r\nX-Request-Id: "...), m.ID...)
--- a/internal/calls/request_format_test.go
+++ b/internal/calls/request_format_test.go
@@ -15,12 +15,12 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-func formOf(name string) *requestFormat {
+func formatOf(name string) *requestFormat {
 	f := newRequestFormats(&Delivery{Source: "/s", Type: "t", Targets: []Target{{Form: name, BatchEvents: 10, BatchBytes: 1 << 20}}})
 	return f.find(0, "")
 }
 
-// The outcome table, against every transport: PROTOCOL's for all, and the web hook's own words in event forms.
+// The outcome table of doc.go for every form: the platform's rules, and those of web hooks for event forms.
 func TestCall_OutcomesOfEveryForm(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
@@ -59,7 +59,7 @@
 				want, gone = c.plain, false
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
-			got, isGone := testPool().Call(ctx, &Endpoint{addr: e.Addr, format: formOf(name)}, tickets(Message{ID: "id"}, st.Wait), st.Wait)
+			got, isGone := testPool().Call(ctx, &Endpoint{addr: e.Addr, format: formatOf(name)}, tickets(Message{ID: "id"}, st.Wait), st.Wait)
 			cancel()
 			if got != want || isGone != gone {
 				t.Errorf("%s, %d %s: %+v, gone %v; want %+v, %v", name, c.status, c.line, got, isGone, want, gone)
@@ -69,7 +69,7 @@
 	for name, c := range map[string]struct {
 		answer func(st.Call, net.Conn) bool
 		want   brain.Outcome
-	}{"reset": {st.Reset, brain.ConnectionLost}, "silence": {st.Unresponsive, brain.TimedOut},
+	}{"reset": {st.Reset, brain.ConnectionLost}, "no answer": {st.Unresponsive, brain.TimedOut},
 		"noise":      {func(_ st.Call, c net.Conn) bool { io.WriteString(c, "noise\n"); return false }, brain.Errored},
 		"half a 204": {func(_ st.Call, c net.Conn) bool { io.WriteString(c, "HTTP/1.1 204 X\r\nA"); return false }, brain.Served}} {
 		e := st.NewEndpoint(t, c.answer)
@@ -79,7 +79,7 @@
 				want = brain.Errored
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 200*ms)
-			got, _ := testPool().Call(ctx, &Endpoint{addr: e.Addr, format: formOf(form)}, tickets(Message{ID: "id"}, st.Wait), 200*ms)
+			got, _ := testPool().Call(ctx, &Endpoint{addr: e.Addr, format: formatOf(form)}, tickets(Message{ID: "id"}, st.Wait), 200*ms)
 			cancel()
 			if got.Outcome != want {
 				t.Errorf("%s, %s: %+v, want %d", form, name, got, want)
@@ -98,34 +98,34 @@
 	}
 }
 
-// hook is an endpoint that asks for validation: it answers OPTIONS with lines, and counts.
-func hook(t *testing.T, options func() (status int, lines []string), answer func(st.Call, net.Conn) bool) (*st.Endpoint, *atomic.Int64) {
+// validatingEndpoint is an endpoint that answers a validation request (OPTIONS) by options, and other calls by answer. It counts the
+// validation requests; a status of 0 leaves one unanswered.
+func validatingEndpoint(t *testing.T, options func() (status int, lines []string), answer func(st.Call, net.Conn) bool) (*st.Endpoint, *atomic.Int64) {
 	t.Helper()
-	asked := new(atomic.Int64)
+	validations := new(atomic.Int64)
 	return st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		if c.Method != "OPTIONS" {
 			return answer(c, nc)
 		}
-		asked.Add(1)
+		validations.Add(1)
 		status, lines := options()
 		if status == 0 {
 			return st.Unresponsive(c, nc)
 		}
 		return st.Status(status, lines...)(c, nc)
-	}), asked
+	}), validations
 }
 
-var validated = Target{Form: Binary, Path: "/in", Validate: true, Origin: "council.example", Rate: 120}
+var validatingTarget = Target{Form: Binary, Path: "/in", Validate: true, Origin: "council.example", Rate: 120}
 
-// Before the first call, and once only, an endpoint is asked whether it wants calls; the rate that it allows is reported
-// to the decision module.
+// An endpoint is validated once, before the first call. The rate that it allows is reported to the decision module.
 func TestValidation_OnceBeforeFirstCall(t *testing.T) {
 	t.Parallel()
-	e, asked := hook(t, func() (int, []string) {
+	e, validations := validatingEndpoint(t, func() (int, []string) {
 		return 200, []string{"WebHook-Allowed-Origin: council.example", "WebHook-Allowed-Rate: 90"}
 	}, st.Status(200))
 	pool := testPool()
-	f := newRequestFormats(&Delivery{Source: "/s", Type: "t", Targets: []Target{validated}})
+	f := newRequestFormats(&Delivery{Source: "/s", Type: "t", Targets: []Target{validatingTarget}})
 	at := &Endpoint{addr: e.Addr, format: f.find(0, ""), validating: make(chan struct{}, 1)}
 	var wg sync.WaitGroup
 	for range 8 {
@@ -138,8 +138,8 @@
 		}()
 	}
 	wg.Wait()
-	if n := asked.Load(); n != 1 {
-		t.Errorf("it is asked %d times", n)
+	if n := validations.Load(); n != 1 {
+		t.Errorf("the endpoint is validated %d times", n)
 	}
 	first := e.Next(t)
 	if h := first.Header; first.Method != "OPTIONS" || first.Path != "/in" || h.Get("WebHook-Request-Origin") != "council.example" || h.Get("WebHook-Request-Rate") != "120" {
@@ -148,16 +148,16 @@
 	if c := e.Next(t); c.Method != "POST" || c.Header.Get("Origin") != "council.example" {
 		t.Errorf("%+v", c)
 	}
-	other, asked2 := hook(t, func() (int, []string) { return 204, []string{"WebHook-Allowed-Origin: *", "WebHook-Allowed-Rate: *"} }, st.Status(200))
+	other, otherValidations := validatingEndpoint(t, func() (int, []string) { return 204, []string{"WebHook-Allowed-Origin: *", "WebHook-Allowed-Rate: *"} }, st.Status(200))
 	at.mu.Lock()
-	at.addr = other.Addr // it moved: another may answer there
+	at.addr = other.Addr // the address changed: another endpoint may answer there
 	at.mu.Unlock()
-	if got := callOnce(pool, at, st.Wait, "x"); got != (brain.AttemptResult{Outcome: brain.Served, Final: true}) || asked2.Load() != 1 {
-		t.Errorf("%+v, asked %d times", got, asked2.Load())
+	if got := callOnce(pool, at, st.Wait, "x"); got != (brain.AttemptResult{Outcome: brain.Served, Final: true}) || otherValidations.Load() != 1 {
+		t.Errorf("%+v after %d validations", got, otherValidations.Load())
 	}
 }
 
-// An endpoint that does not allow it gets no call: the message never ran there, and is asked for again next time.
+// An endpoint that does not allow the origin gets no call, so the message has not run there. The next call validates it again.
 func TestValidation_OriginNotAllowed(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -169,22 +169,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var yes atomic.Bool
-			e, asked := hook(t, func() (int, []string) {
-				if yes.Load() {
+			var allowed atomic.Bool
+			e, validations := validatingEndpoint(t, func() (int, []string) {
+				if allowed.Load() {
 					return 200, []string{"WebHook-Allowed-Origin: Council.Example", "WebHook-Allowed-Rate: none"}
 				}
 				return c.status, c.lines
 			}, st.Status(200))
-			f := newRequestFormats(&Delivery{Source: "/s", Type: "t", Targets: []Target{validated}})
+			f := newRequestFormats(&Delivery{Source: "/s", Type: "t", Targets: []Target{validatingTarget}})
 			at := &Endpoint{addr: e.Addr, format: f.find(0, ""), validating: make(chan struct{}, 1)}
 			pool := testPool()
 			if got := callOnce(pool, at, 300*time.Millisecond, "x"); got.Outcome != brain.ConnectFailed && got.Outcome != brain.NotSent || got.Final {
 				t.Errorf("%+v", got)
 			}
-			yes.Store(true)
-			if got := callOnce(pool, at, st.Wait, "x"); got.Outcome != brain.Served || got.LimitReported || asked.Load() != 2 {
-				t.Errorf("%+v, asked %d times", got, asked.Load())
+			allowed.Store(true)
+			if got := callOnce(pool, at, st.Wait, "x"); got.Outcome != brain.Served || got.LimitReported || validations.Load() != 2 {
+				t.Errorf("%+v after %d validations", got, validations.Load())
 			}
 			methods := []string{e.Next(t).Method, e.Next(t).Method, e.Next(t).Method}
 			if !slices.Equal(methods, []string{"OPTIONS", "OPTIONS", "POST"}) {
@@ -194,7 +194,7 @@
 	}
 }
 
-// Forms go by destination or kind, the first that names one.
+// The format is that of the first target that matches the destination or its kind.
 func TestRequestFormats_FirstMatchApplies(t *testing.T) {
 	f := newRequestFormats(&Delivery{Targets: []Target{{Destinations: []uint32{3}, Form: Binary}, {Kinds: []string{"m2"}, Form: Structured}, {Destinations: []uint32{4, 5}, Kinds: []string{"m3"}, Form: Batched}}})
 	for _, c := range []struct {
@@ -208,12 +208,12 @@
 	}
 }
 
-// headerBytes is what a form adds to a call of 400 bytes; for the note.
+// BenchmarkForms reports the size of a request with a body of 400 bytes in each form.
 func BenchmarkForms(b *testing.B) {
 	m := Message{ID: "9b1f03aa5c7e2d41", Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Class: "keyed", Tenant: "acme", Body: []byte(strings.Repeat("x", 400))}
 	for _, name := range []string{Plain, Binary, Structured, Batched} {
 		b.Run(name, func(b *testing.B) {
-			f := formOf(name)
+			f := formatOf(name)
 			var buf []byte
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/calls/webhook.go
+++ b/internal/calls/webhook.go
@@ -14,19 +14,19 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// HTTP 1.1 Web Hooks for Event Delivery (CloudEvents): the answers of an endpoint, and the handshake by which it permits
-// calls. Sections are those of that specification.
+// This file implements HTTP 1.1 Web Hooks for Event Delivery (CloudEvents): the answers of an endpoint, and the validation
+// handshake by which it allows calls. Section numbers are those of that specification.
 
-// maxRetryAfter is the longest wait that a web hook may ask for; what is beyond counts as not told.
+// maxRetryAfter is the longest Retry-After accepted from a web hook; a longer one is ignored.
 const maxRetryAfter = 24 * time.Hour
 
-// validationTimeout bounds the time for the answer to a validation request.
+// validationTimeout bounds a validation request and its answer.
 const validationTimeout = 2 * time.Second
 
-// errOriginNotAllowed says that an endpoint does not want calls from the configured origin.
-var errOriginNotAllowed = errors.New("the endpoint did not allow our origin")
+// errOriginNotAllowed means that an endpoint does not allow calls from the configured origin.
+var errOriginNotAllowed = errors.New("endpoint does not allow calls from the configured origin")
 
-// applyWebHookStatus translates what the status of a web hook says beyond the platform's. gone is true if the endpoint
+// applyWebHookStatus translates statuses whose meaning for web hooks differs from the platform's. gone is true if the endpoint
 // wants no more calls.
 func (f *requestFormat) applyWebHookStatus(resp *http.Response, result *brain.AttemptResult, now time.Time) (gone bool) {
 	if f.plain {
@@ -35,7 +35,7 @@
 	switch {
 	case f.isDelivered(resp.StatusCode):
 		result.Outcome, result.Final = brain.Served, true
-	case resp.StatusCode == http.StatusGone: // the endpoint wants no more; the message may go elsewhere
+	case resp.StatusCode == http.StatusGone: // the endpoint wants no more calls; the message may be sent to another one
 		result.Outcome, result.Final = brain.NotSent, false
 		return true
 	case result.Outcome == brain.Rejected && result.RetryAfter == 0:
@@ -44,7 +44,7 @@
 	return false
 }
 
-// retryAfter reads Retry-After (RFC 9110, section 10.2.3): seconds, or a date. It is 0 if there is no usable one.
+// retryAfter parses a Retry-After header (RFC 9110, section 10.2.3): seconds, or a date. It returns 0 if there is no usable value.
 func retryAfter(text string, now time.Time) time.Duration {
 	var d time.Duration
 	if s, err := strconv.ParseFloat(text, 64); err == nil {
@@ -61,8 +61,8 @@
 	return d
 }
 
-// addAllowedRate adds the rate that an endpoint allowed in its validation to a result that has no figures of its own; the
-// Brain decides what it makes of that.
+// addAllowedRate adds the rate that an endpoint allowed in its validation to a result without a load report. The Brain decides
+// how to use it.
 func (e *Endpoint) addAllowedRate(f *requestFormat, result *brain.AttemptResult) {
 	if !f.Validate || result.LimitReported {
 		return
@@ -74,9 +74,9 @@
 	}
 }
 
-// validate asks an endpoint, before the first call, whether it wants calls from the configured origin and how many
-// (section 4). One call at a time asks; the others wait for what it hears. After an error no call may be made; nothing
-// of the message has been written.
+// validate asks an endpoint, before the first call, whether it allows calls from the configured origin and at what rate
+// (section 4). Only one call at a time sends the request; the others wait for its result. After an error no call may be made,
+// and nothing of the message has been written.
 func (p *Pool) validate(ctx context.Context, e *Endpoint, f *requestFormat, until time.Time) error {
 	if !f.Validate {
 		return nil
@@ -116,7 +116,7 @@
 }
 
 // requestPermission makes the validation request. It returns the rate that the endpoint allows, in calls a second (0 if
-// it tells none), and whether the connection can be used again.
+// it states none), and whether the connection can be reused.
 func (c *conn) requestPermission(ctx context.Context, f *requestFormat, until time.Time) (rate float64, reusable bool, err error) {
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -147,7 +147,7 @@
 	return rate, !resp.Close && c.r.Buffered() == 0, nil
 }
 
-// appendValidation renders a validation request (section 4.1).
+// appendValidation appends a validation request (section 4.1).
 func (f *requestFormat) appendValidation(b []byte, addr string) []byte {
 	b = append(append(append(b, "OPTIONS "...), f.path...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, addr...), "\r\nUser-Agent: saffronyard\r\nWebHook-Request-Origin: "...)
@@ -158,21 +158,21 @@
 	return append(b, "Content-Length: 0\r\n\r\n"...)
 }
 
-// permittedRate reads the answer to a validation request: the permitted rate in calls a second, 0 if none is told, or
-// errOriginNotAllowed.
+// permittedRate evaluates the answer to a validation request. It returns the allowed rate in calls a second, 0 if none is stated,
+// or errOriginNotAllowed.
 func (f *requestFormat) permittedRate(resp *http.Response) (float64, error) {
 	if resp.StatusCode/100 != 2 {
 		return 0, fmt.Errorf("%w: %s", errOriginNotAllowed, resp.Status)
 	}
 	origins := resp.Header.Values("WebHook-Allowed-Origin")
 	if len(origins) != 1 || origins[0] != "*" && !strings.EqualFold(origins[0], f.Origin) {
-		return 0, fmt.Errorf("%w: it allows %q", errOriginNotAllowed, origins)
+		return 0, fmt.Errorf("%w: the allowed origin is %q", errOriginNotAllowed, origins)
 	}
 	text := resp.Header.Get("WebHook-Allowed-Rate")
 	if text == "" || text == "*" {
 		return 0, nil
 	}
-	// Requests a minute (section 4.2.2). What can't be a rate counts as not told.
+	// Requests a minute (section 4.2.2). An invalid rate is ignored.
 	perMinute, err := strconv.ParseUint(text, 10, 31)
 	if err != nil {
 		return 0, nil
