--- a/internal/cloudevents/event.go
+++ b/internal/cloudevents/event.go
@@ -1,8 +1,8 @@
 // Package cloudevents reads and writes CloudEvents 1.0.2 (core, JSON event format, HTTP protocol binding). It does no
-// I/O and knows no clock: a request's header and body go in, an event or a Fault comes out, and back.
+// I/O and reads no clock: it converts the header and body of a request to an event or a Fault, and an event to a header and body.
 //
-// It is stricter than a reader must be wherever two readers could understand one request as two different events: attributes that
-// occur twice, members of a JSON object that occur twice, names in the wrong case, text that is no UTF-8.
+// It is stricter than the specification requires wherever two readers could take one request for two different events: duplicate
+// attributes, duplicate members of a JSON object, names in the wrong case, text that is not UTF-8.
 package cloudevents
 
 import (
@@ -28,7 +28,7 @@
 	Value string
 }
 
-// Type is an attribute's type as far as the JSON format tells them apart (JSON format, section 2.2).
+// Type is an attribute's type, as far as the JSON format distinguishes types (JSON format, section 2.2).
 type Type uint8
 
 // Types. Binary, URI, URI-reference and Timestamp are strings in JSON; HTTP headers hold strings only.
@@ -41,30 +41,30 @@
 // DataFormat is the format of an event's data.
 type DataFormat uint8
 
-// Data formats. They tell how the data is encoded in JSON (JSON format, section 3.1); in a binary request it is the body.
+// Data formats. They determine how the data is encoded in JSON (JSON format, section 3.1). In a binary request the data is the body.
 const (
 	NoData DataFormat = iota
 	JSON              // Data is a JSON value
 	Text              // Data is UTF-8, a string in JSON
-	Bytes             // Data is any bytes, data_base64 in JSON
+	Bytes             // Data is arbitrary bytes, data_base64 in JSON
 )
 
-// Kind is what is wrong with a request.
+// Kind is the kind of a Fault.
 type Kind uint8
 
 // Kinds of faults.
 const (
-	Malformed   Kind = iota // the event breaks a rule of the specification
+	Malformed   Kind = iota // the event violates the specification
 	Version                 // its specversion is not 1.0
 	Media                   // its media type, or the charset, is not supported
-	Incomplete              // the JSON ends early or is no JSON
-	TooMany                 // a batch has more events than are allowed
+	Incomplete              // the body is truncated or not JSON
+	TooMany                 // a batch has more events than allowed
 	NotAnEvent              // the request does not claim to be an event
-	TooLarge                // an event is longer than is allowed
+	TooLarge                // an event is larger than allowed
 	UnfitHeader             // the header of a binary event can't be read as an attribute
 )
 
-// Fault is why a request, or an event of a batch, can't be read.
+// Fault is the reason why a request, or an event of a batch, can't be read.
 type Fault struct {
 	Kind Kind
 	Text string
@@ -77,7 +77,7 @@
 	return &Fault{kind, fmt.Sprintf(format, args...)}
 }
 
-// Get is the value of an attribute; "" if the event has none of that name, since no attribute is empty.
+// Get returns the value of an attribute, or "" if the event does not have it. No attribute has an empty value.
 func (e *Event) Get(name string) string {
 	if i, ok := e.find(name); ok {
 		return e.Attributes[i].Value
@@ -85,7 +85,7 @@
 	return ""
 }
 
-// find looks from the front: there are few.
+// find searches linearly, as an event has few attributes. It returns the index of an attribute, or the index to insert it.
 func (e *Event) find(name string) (int, bool) {
 	for i := range e.Attributes {
 		if n := e.Attributes[i].Name; n >= name {
@@ -95,7 +95,7 @@
 	return len(e.Attributes), false
 }
 
-// Set gives the event an attribute; an empty value takes it away.
+// Set sets an attribute; an empty value removes it.
 func (e *Event) Set(name, value string) {
 	i, ok := e.find(name)
 	switch {
@@ -108,7 +108,7 @@
 	}
 }
 
-// add adds an attribute that was read. A second one of the same name is a fault.
+// add adds an attribute that was read. A duplicate name is a Fault.
 func (e *Event) add(a Attribute) error {
 	i, ok := e.find(a.Name)
 	if ok {
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// maxName bounds names. The specification asks for no more than 20 characters, which many senders overstep.
+// maxName bounds names. The specification recommends at most 20 characters, which many producers exceed.
 const maxName = 64
 
 // dataFormatOf returns the format of the body of a binary event.
@@ -142,8 +142,8 @@
 	return Bytes
 }
 
-// Content appends what makes two submissions under one identity the same event: all of it but its extensions, which may differ by attempt
-// (a trace, say), and JSON data without the white space that intermediaries may have changed.
+// Content appends the content by which two submissions with one identity are compared. It excludes extensions, which may differ between
+// attempts (such as a trace), and white space in JSON data, which intermediaries may change.
 func (e *Event) Content(b []byte) []byte {
 	for _, name := range []string{"type", "subject", "time", "dataschema"} {
 		v := e.Get(name)
@@ -152,14 +152,14 @@
 	}
 	kind := e.Get("datacontenttype")
 	if kind == "" && e.DataFormat == JSON {
-		kind = "application/json" // which is what its absence means
+		kind = "application/json" // the default if the attribute is absent
 	}
 	b = strconv.AppendInt(b, int64(len(kind)), 10)
 	b = append(append(b, ':'), kind...)
 	if e.DataFormat == JSON {
-		var tight bytes.Buffer
-		if json.Compact(&tight, e.Data) == nil {
-			return append(b, tight.Bytes()...)
+		var compact bytes.Buffer
+		if json.Compact(&compact, e.Data) == nil {
+			return append(b, compact.Bytes()...)
 		}
 	}
 	return append(b, e.Data...)
--- a/internal/cloudevents/read.go
+++ b/internal/cloudevents/read.go
@@ -30,7 +30,7 @@
 	headerPrefix   = "Ce-"
 )
 
-// ModeOf finds a request's content mode from its Content-Type (HTTP binding, section 3: a media type that begins with
+// ModeOf determines a request's content mode from its Content-Type (HTTP binding, section 3: a media type that begins with
 // application/cloudevents is structured or batched, any other is binary).
 func ModeOf(h http.Header) (Mode, error) {
 	values := h.Values("Content-Type")
@@ -51,7 +51,7 @@
 			mode = StructuredMode
 		case t == batchType:
 			mode = BatchedMode
-		case strings.HasPrefix(t, eventsPrefix): // these are events' for any format, and JSON is the one read here
+		case strings.HasPrefix(t, eventsPrefix): // reserved for events in any format; only JSON is supported
 			return 0, fault(Media, "Content-Type %s: events are read as %s, %s or in binary mode", t, structuredType, batchType)
 		}
 		if charset := strings.ToLower(params["charset"]); mode != BinaryMode && charset != "" && charset != "utf-8" && charset != "us-ascii" {
@@ -64,7 +64,7 @@
 	return mode, nil
 }
 
-// ReadBinary reads an event in binary mode (HTTP binding, section 3.1). The event keeps the body.
+// ReadBinary reads an event in binary mode (HTTP binding, section 3.1). The event refers to body without copying it.
 func ReadBinary(h http.Header, body []byte) (*Event, error) {
 	e, err := BinaryHead(h)
 	if err == nil {
@@ -73,14 +73,14 @@
 	return e, err
 }
 
-// SetBody gives an event that came in binary mode its data.
+// SetBody sets the data of an event that was read in binary mode.
 func (e *Event) SetBody(body []byte) {
 	if e.DataFormat = dataFormatOf(e.Get("datacontenttype"), body); e.DataFormat != NoData {
 		e.Data = body
 	}
 }
 
-// BinaryHead reads all of an event in binary mode but its data.
+// BinaryHead reads an event in binary mode without its data.
 func BinaryHead(h http.Header) (*Event, error) {
 	e := &Event{Attributes: make([]Attribute, 0, 10)}
 	for name, values := range h {
@@ -92,7 +92,7 @@
 		if len(values) != 1 {
 			return nil, fault(Malformed, "header ce-%s stands there more than once", rest)
 		}
-		if rest == "datacontenttype" { // it is the Content-Type; beside that it could name another
+		if rest == "datacontenttype" { // the Content-Type is this attribute; the header could contradict it
 			return nil, fault(Malformed, "header ce-datacontenttype: in binary mode that is the Content-Type")
 		}
 		v, err := unescape(values[0])
@@ -123,8 +123,8 @@
 )
 
 // unescape reads a header's value (HTTP binding, section 3.1.3.2): a quoted string is unquoted first (RFC 7230,
-// section 3.2.6), then percent signs are decoded, once. Text that should have been percent-encoded is taken as it is if
-// it is UTF-8: there is no other reading of it, and the Go SDK writes it so.
+// section 3.2.6), then percent-encoding is decoded, once. Unencoded non-ASCII text is accepted unchanged if it is UTF-8:
+// it has no other interpretation, and the Go SDK writes such headers.
 func unescape(v string) (string, error) {
 	for _, c := range []byte(v) {
 		if c < 0x20 || c == 0x7f {
--- a/internal/cloudevents/read_json.go
+++ b/internal/cloudevents/read_json.go
@@ -69,7 +69,7 @@
 func (e *Event) addMember(name string, v []byte) error {
 	a := Attribute{Name: name}
 	switch v[0] {
-	case 'n': // null: as if it were absent (JSON format, section 2.2), but for its name
+	case 'n': // null means absent (JSON format, section 2.2); only the name is checked
 		return checkName(name)
 	case 't', 'f':
 		a.Type, a.Value = Boolean, string(v)
@@ -91,7 +91,7 @@
 	return e.add(a)
 }
 
-// readData sets the event's data from its members data and data_base64 (JSON format, section 3.1); nil for an absent one.
+// readData sets the event's data from its members data and data_base64 (JSON format, section 3.1). An absent member is nil.
 func (e *Event) readData(data, base []byte) error {
 	contentType := e.Get("datacontenttype")
 	isText := contentType != "" && !isJSON(contentType)
@@ -113,15 +113,15 @@
 			return fault(Malformed, "data: %v", err)
 		}
 		e.DataFormat, e.Data = Text, []byte(s)
-	case data != nil && data[0] == 'n' && isText: // null is no text: there is no data
+	case data != nil && data[0] == 'n' && isText: // null instead of a text: there is no data
 	case data != nil:
 		e.DataFormat, e.Data = JSON, bytes.Clone(data)
 	}
 	return nil
 }
 
-// forEachMember calls f with each member of a JSON object that is sound, in order. A name that stands there twice, however
-// it is escaped, is a fault: readers differ on which of the two counts.
+// forEachMember calls f with each member of a valid JSON object, in order. A duplicate name, however it is escaped, is a Fault:
+// readers differ on which of the two members they use.
 func forEachMember(raw []byte, f func(name string, v []byte) error) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	first, err := d.Token()
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// maxMembers bounds the attributes of an event; headers have the bound of a request's head.
+// maxMembers bounds the members of an event in JSON. In binary mode, the limit on a request's head bounds the attributes.
 const maxMembers = 256
 
 var (
@@ -162,8 +162,8 @@
 	errNotString = errors.New("it is not a string")
 )
 
-// parseString reads a JSON string. Escapes of half a surrogate pair stand for no character: encoding/json makes U+FFFD of
-// each, so that texts which differ would become equal.
+// parseString reads a JSON string. It rejects the escape of a lone surrogate, which is no character: encoding/json replaces each by
+// U+FFFD, so that different texts would become equal.
 func parseString(raw []byte) (string, error) {
 	var s string
 	if err := json.Unmarshal(raw, &s); err != nil {
@@ -178,7 +178,7 @@
 	return s, nil
 }
 
-// hasLoneSurrogate is whether a sound JSON string holds the escape of a surrogate without its other half.
+// hasLoneSurrogate reports whether a valid JSON string contains the escape of a surrogate without its other half.
 func hasLoneSurrogate(raw []byte) bool {
 	for i := 0; i < len(raw); i++ {
 		if raw[i] != '\\' {
@@ -187,7 +187,7 @@
 		if i++; i >= len(raw) || raw[i] != 'u' {
 			continue
 		}
-		n, _ := strconv.ParseUint(string(raw[i+1:i+5]), 16, 32) // sound JSON has four digits here
+		n, _ := strconv.ParseUint(string(raw[i+1:i+5]), 16, 32) // valid JSON has four digits here
 		i += 4
 		switch {
 		case n >= 0xdc00 && n <= 0xdfff:
@@ -206,14 +206,14 @@
 	return false
 }
 
-// Item is one event of a batch, or why it is none.
+// Item is one event of a batch, or the error if it can't be read.
 type Item struct {
 	Event *Event
 	Err   error
 }
 
-// ReadBatch reads a batch: a JSON array of events (JSON format, section 4). One that is cut off or has too many is
-// not read at all; of a complete one, each event succeeds or fails by itself. One longer than maxBytes is a fault.
+// ReadBatch reads a batch: a JSON array of events (JSON format, section 4). A truncated batch, or one with more than maxEvents, is
+// rejected as a whole. Otherwise each event succeeds or fails by itself; an event longer than maxBytes is a Fault.
 func ReadBatch(body []byte, maxEvents, maxBytes int) ([]Item, error) {
 	if err := checkJSON(body); err != nil {
 		return nil, err
--- a/internal/cloudevents/read_test.go
+++ b/internal/cloudevents/read_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// header makes a request's header from lines.
+// header makes a request header from lines of "name: value".
 func header(lines ...string) http.Header {
 	h := http.Header{}
 	for _, l := range lines {
@@ -28,7 +28,7 @@
 	return header(append(append([]string(nil), minimalHeaders...), more...)...)
 }
 
-// wantFault fails the test unless err is a Fault of the kind that says so.
+// wantFault reports an error unless err is a Fault of the kind whose text contains says.
 func wantFault(t *testing.T, err error, kind Kind, says string) {
 	t.Helper()
 	var f *Fault
@@ -46,7 +46,7 @@
 		"application/cloudevents-batch+json; charset=utf-8": BatchedMode,
 	} {
 		if m, err := ModeOf(header("Content-Type: " + text)); err != nil || m != want {
-			t.Errorf("%s: %v %v", text, m, err)
+			t.Errorf("%s: mode %v, %v", text, m, err)
 		}
 	}
 	if m, err := ModeOf(with("Content-Type: application/json")); err != nil || m != BinaryMode {
@@ -218,7 +218,7 @@
 	} {
 		_, err := ReadStructured([]byte(text))
 		if err == nil {
-			t.Errorf("%s is read", text)
+			t.Errorf("%s: no error", text)
 			continue
 		}
 		wantFault(t, err, c.kind, c.says)
@@ -266,8 +266,8 @@
 	}
 }
 
-// random draws an event with all that events may have.
-func random(r *rand.Rand) *Event {
+// randomEvent generates an event with any combination of attributes, extensions and data.
+func randomEvent(r *rand.Rand) *Event {
 	texts := []string{"a", "a b", `"`, `\`, "%", "%25", "€", "😀", "é\u00a0x", "<&>", "\u2028", "\ufffd", "x=y;z"}
 	word := func() string {
 		s := "w"
@@ -307,7 +307,7 @@
 	return e
 }
 
-// binaryRequest writes an event as a request and reads that as the server does.
+// binaryRequest returns an event's request in binary mode, with the header as a server parses it.
 func binaryRequest(t testing.TB, e *Event) (http.Header, []byte) {
 	t.Helper()
 	h := http.Header{}
@@ -318,24 +318,24 @@
 	return h, e.Data
 }
 
-// What is written reads as what it was, in every mode and through the store's form, for generated events.
+// Generated events are unchanged after writing and reading, in every mode and in the stored form.
 func TestEvent_RoundTrip(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 1))
 	for range 5000 {
-		e := random(r)
+		e := randomEvent(r)
 		h, body := binaryRequest(t, e)
 		if got, err := ReadBinary(h, body); err != nil || !reflect.DeepEqual(got, e) {
 			t.Fatalf("binary: %+v, %v; was %+v", got, err, e)
 		}
 		e.Attributes = append(e.Attributes[:0:0], e.Attributes...)
-		if r.IntN(2) == 0 { // types that only JSON has
+		if r.IntN(2) == 0 { // types that only JSON can represent
 			if i, ok := e.find("ext0"); ok {
 				e.Attributes[i] = []Attribute{{"ext0", Integer, "-2147483648"}, {"ext0", Boolean, "false"}}[r.IntN(2)]
 			}
 		}
 		raw := e.AppendJSON(nil)
 		if !json.Valid(raw) {
-			t.Fatalf("no JSON: %s", raw)
+			t.Fatalf("invalid JSON: %s", raw)
 		}
 		if got, err := ReadStructured(raw); err != nil || !reflect.DeepEqual(got, e) {
 			t.Fatalf("structured: %+v, %v; was %+v", got, err, e)
@@ -354,11 +354,11 @@
 	}
 }
 
-// One event handed in again in another mode has the same content; any change to it, another.
+// An event submitted again in another mode has the same content; an event with any change has different content.
 func TestReadStructured_Content(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 2))
 	for range 1000 {
-		e := random(r)
+		e := randomEvent(r)
 		h, body := binaryRequest(t, e)
 		a, err := ReadBinary(h, body)
 		if err != nil {
@@ -369,10 +369,10 @@
 			t.Fatal(err)
 		}
 		if x, y := a.Content(nil), b.Content(nil); !bytes.Equal(x, y) {
-			t.Fatalf("%q and %q", x, y)
+			t.Fatalf("binary content %q, structured content %q", x, y)
 		}
 		was := string(a.Content(nil))
-		a.Set("traceparent", "00-1") // it may differ from try to try
+		a.Set("traceparent", "00-1") // an extension may differ between attempts
 		if string(a.Content(nil)) != was {
 			t.Error("an extension counts as content")
 		}
@@ -393,7 +393,7 @@
 	b := &Event{DataFormat: JSON, Data: []byte(`{"a":1}`)}
 	b.Set("datacontenttype", "application/json")
 	if string(a.Content(nil)) != string(b.Content(nil)) {
-		t.Error("blanks in JSON, or what its absence means, make two contents")
+		t.Error("white space in JSON, or the default media type written out, changes the content")
 	}
 }
 
@@ -405,20 +405,20 @@
 		e, err := ReadStructured(raw)
 		if err != nil {
 			if !errors.As(err, new(*Fault)) {
-				t.Errorf("%v is no Fault", err)
+				t.Errorf("%v is not a Fault", err)
 			}
 			return
 		}
 		again, err := ReadStructured(e.AppendJSON(nil))
 		if err != nil {
-			t.Fatalf("%s reads, and what it is written as does not: %v", raw, err)
+			t.Fatalf("%s can be read, but not after it was written again: %v", raw, err)
 		}
 		if again.AppendJSON(nil); string(again.AppendJSON(nil)) != string(e.AppendJSON(nil)) {
-			t.Errorf("%s and %s", e.AppendJSON(nil), again.AppendJSON(nil))
+			t.Errorf("written as %s, then as %s", e.AppendJSON(nil), again.AppendJSON(nil))
 		}
 		h, body := binaryRequest(t, e)
 		if b, err := ReadBinary(h, body); err != nil || b.Get("id") != e.Get("id") || b.Get("source") != e.Get("source") {
-			t.Errorf("it does not go in binary mode: %+v %v", b, err)
+			t.Errorf("the event does not survive binary mode: %+v %v", b, err)
 		}
 	})
 }
@@ -433,7 +433,7 @@
 		e, err := ReadBinary(h, body)
 		if err != nil {
 			if !errors.As(err, new(*Fault)) {
-				t.Errorf("%v is no Fault", err)
+				t.Errorf("%v is not a Fault", err)
 			}
 			return
 		}
@@ -461,7 +461,7 @@
 }
 
 func BenchmarkReadBinary(b *testing.B) {
-	e := random(rand.New(rand.NewPCG(9, 3)))
+	e := randomEvent(rand.New(rand.NewPCG(9, 3)))
 	h, body := binaryRequest(b, e)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -472,7 +472,7 @@
 }
 
 func BenchmarkReadStructured(b *testing.B) {
-	raw := random(rand.New(rand.NewPCG(9, 3))).AppendJSON(nil)
+	raw := randomEvent(rand.New(rand.NewPCG(9, 3))).AppendJSON(nil)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := ReadStructured(raw); err != nil {
--- a/internal/cloudevents/sdk_test.go
+++ b/internal/cloudevents/sdk_test.go
@@ -20,52 +20,52 @@
 	"github.com/cloudevents/sdk-go/v2/types"
 )
 
-// The official Go SDK as a second opinion. Where the two differ, the difference is one of those judged below, or the
-// test fails.
+// These tests compare this package with the official Go SDK. Where the two differ, the difference must be one of those listed and
+// explained below.
 
-// stricter are the faults that we find and the SDK does not, by a part of our text, with the judgement.
-var stricter = []string{
+// strictFaults lists parts of the texts of faults that this package reports and the SDK does not, with the reason.
+var strictFaults = []string{
 	"an attribute has no name",
-	"more than once",                                                                                                  // the SDK takes the last member, the first header, or fails: two readers, two events
-	"lower-case letters and digits",                                                                                   // core, Naming Conventions; the SDK takes upper case in JSON and more in headers
-	"is longer than 64 bytes",                                                                                         // ours, and said so
+	"more than once",                                                                                                  // the SDK uses the last member or the first header, or fails: two readers may see two events
+	"lower-case letters and digits",                                                                                   // core, Naming Conventions; the SDK accepts upper case in JSON and more in headers
+	"is longer than 64 bytes",                                                                                         // a limit of this package, stated in the text
 	"holds the character",                                                                                             // core, String: no control characters, no noncharacters
-	"half a character",                                                                                                // the SDK makes U+FFFD of it: ids that differ become equal
-	"is empty",                                                                                                        // the SDK takes an empty extension, and an empty time as absent
-	"holds a percent sign", "no URI does", "two fragments", "is no scheme", "has no scheme", "port that is no number", // RFC 3986; the SDK asks net/url, which takes nearly all
-	"data_base64 is not Base64",          // line ends in it
-	"data_base64 is not a string",        // the SDK takes null for absent
-	"exclude each other",                 // the SDK takes the last
-	"may be called",                      // an extension called data
-	"an event has more than 256 members", // ours
-	"is not UTF-8", "not UTF-8",          // the SDK replaces what is none
-	"no time by RFC 3339",                      // the SDK takes an hour of one digit, and a comma before the fraction
-	"not a whole number of 32 bits",            // the SDK takes numbers such as 1e3 and -0 for text
-	"percent sign stands before",               // the SDK decodes nothing
-	"quoted text is not closed",                // nor takes quotes off
+	"half a character",                                                                                                // the SDK replaces it by U+FFFD, so that different ids become equal
+	"is empty",                                                                                                        // the SDK accepts an empty extension, and treats an empty time as absent
+	"holds a percent sign", "no URI does", "two fragments", "is no scheme", "has no scheme", "port that is no number", // RFC 3986; the SDK uses net/url, which accepts nearly everything
+	"data_base64 is not Base64",          // contains line ends
+	"data_base64 is not a string",        // the SDK treats null as absent
+	"exclude each other",                 // the SDK uses the last one
+	"may be called",                      // an extension named data
+	"an event has more than 256 members", // a limit of this package
+	"is not UTF-8", "not UTF-8",          // the SDK replaces invalid bytes
+	"no time by RFC 3339",                      // the SDK accepts an hour of one digit, and a comma before the fraction
+	"not a whole number of 32 bits",            // the SDK reads numbers such as 1e3 and -0 as text
+	"percent sign stands before",               // the SDK does not decode percent-encoding
+	"quoted text is not closed",                // the SDK does not unquote
 	"neither printable nor UTF-8",              //
-	"ce-datacontenttype",                       // the SDK knows an extension of that name
-	"mime:", "is no media type", "plain ASCII", // the SDK looks at datacontenttype in structured mode only
-	"is a JSON object or array",        // the SDK keeps some as text
-	"an event is a JSON object",        // the SDK takes null for an empty event, which then lacks all: never accepted
-	"the JSON can't be read",           // its JSON reader is milder than RFC 8259
-	"is not a string",                  // the SDK makes text of a number or boolean
-	"attribute specversion is missing", // so with null
-	"specversion is",                   // 0.3 is a version of the SDK's
+	"ce-datacontenttype",                       // the SDK reads an extension of that name
+	"mime:", "is no media type", "plain ASCII", // the SDK checks datacontenttype only in structured mode
+	"is a JSON object or array",        // the SDK reads some as text
+	"an event is a JSON object",        // the SDK reads null as an empty event, which it rejects for missing attributes
+	"the JSON can't be read",           // its JSON parser is more lenient than RFC 8259
+	"is not a string",                  // the SDK converts a number or boolean to text
+	"attribute specversion is missing", // the same with null
+	"specversion is",                   // the SDK supports 0.3
 	"is missing",                       //
 }
 
-// milder are the SDK's errors for what we take, by a part of its text, with the judgement.
-var milder = []string{
+// lenientErrors lists parts of the SDK's error texts for events that this package accepts, with the reason.
+var lenientErrors = []string{
 	"not in RFC3339 format",               // a leap second, or lower-case t and z, which RFC 3339, section 5.6, allows
-	"MUST be a non-empty string",          // blanks alone: the SDK trims; the core asks for non-empty only
+	"MUST be a non-empty string",          // only white space: the SDK trims it; the core only requires a non-empty value
 	"parse \"",                            // a URI that net/url can't read
-	"failed to parse media type",          // blanks it does not take
-	"ReadString:", "unexpected character", // it reads data "s" as text, and so fails at an object where it does not see that the type is JSON
-	"invalid: the SDK panics", // at a header without a name
+	"failed to parse media type",          // white space that the SDK rejects
+	"ReadString:", "unexpected character", // the SDK fails at an object if it does not recognize the media type as JSON (isJSONUnknownToSDK)
+	"invalid: the SDK panics", // on a header without a name
 }
 
-func listed(list []string, err error) bool {
+func containsAny(list []string, err error) bool {
 	for _, part := range list {
 		if strings.Contains(err.Error(), part) {
 			return true
@@ -74,17 +74,17 @@
 	return false
 }
 
-// notTakenForJSON is whether an event's data is JSON by its media type, and the SDK does not see that: it knows
-// application/json, text/json and what ends with +json, which a parameter hides. It then reads data "s" as s, null as
-// nothing, and fails at an object. The JSON format, section 3.1, goes by the subtype.
-func notTakenForJSON(e *Event) bool {
+// isJSONUnknownToSDK reports whether an event's media type denotes JSON, but the SDK does not recognize it. The SDK recognizes
+// application/json, text/json and types that end with +json, but not with a parameter after it. For other types it reads data "s"
+// as s, null as no data, and fails at an object. The JSON format, section 3.1, decides by the subtype.
+func isJSONUnknownToSDK(e *Event) bool {
 	kind := e.Get("datacontenttype")
 	return kind != "" && isJSON(kind) && kind != "application/json" && kind != "text/json" && !strings.HasSuffix(kind, "+json")
 }
 
-// uri is a text as the SDK keeps it: as net/url writes what it has read, the scheme in lower case; nothing if it can't
-// read it. What goes on from here is what came.
-func uri(v string) string {
+// sdkURI returns a URI as the SDK represents it: parsed and formatted by net/url, with the scheme in lower case, or "" if net/url can't
+// parse it. This package forwards the original text.
+func sdkURI(v string) string {
 	u, err := url.Parse(v)
 	if err != nil {
 		return ""
@@ -92,12 +92,12 @@
 	return u.String()
 }
 
-// same is how the SDK's event differs from ours; "" if it does not.
-func same(e *Event, s *event.Event) string {
+// eventDiff returns the first difference between the SDK's event and ours, or "" if there is none.
+func eventDiff(e *Event, s *event.Event) string {
 	text := func(name string, v any, want string) string {
 		got, err := types.Format(v)
 		if err != nil || got != want {
-			return name + ": " + got + ", not " + want
+			return name + ": " + got + ", want " + want
 		}
 		return ""
 	}
@@ -112,9 +112,9 @@
 		case "subject":
 			diff = text("subject", s.Subject(), a.Value)
 		case "source":
-			diff = text("source", s.Source(), uri(a.Value))
+			diff = text("source", s.Source(), sdkURI(a.Value))
 		case "dataschema":
-			diff = text("dataschema", s.DataSchema(), uri(a.Value))
+			diff = text("dataschema", s.DataSchema(), sdkURI(a.Value))
 		case "datacontenttype":
 			diff = text("datacontenttype", s.DataContentType(), a.Value)
 		case "specversion":
@@ -122,7 +122,7 @@
 		case "time":
 			at, err := time.Parse(time.RFC3339Nano, strings.ToUpper(a.Value))
 			if err != nil || !at.Equal(s.Time()) {
-				diff = "time: " + s.Time().String() + ", not " + a.Value
+				diff = "time: " + s.Time().String() + ", want " + a.Value
 			}
 		default:
 			extensions++
@@ -133,9 +133,9 @@
 		}
 	}
 	if extensions != len(s.Extensions()) {
-		return "there are other extensions"
+		return "the SDK's event has other extensions"
 	}
-	if notTakenForJSON(e) {
+	if isJSONUnknownToSDK(e) {
 		return ""
 	}
 	data := s.Data()
@@ -146,20 +146,20 @@
 		}
 	}
 	if !bytes.Equal(data, e.Data) {
-		return "data: " + string(data) + ", not " + string(e.Data)
+		return "data: " + string(data) + ", want " + string(e.Data)
 	}
 	return ""
 }
 
-func againstSDK(t *testing.T, what string, e *Event, err error, s *event.Event, sdk error) {
+func compareWithSDK(t *testing.T, what string, e *Event, err error, s *event.Event, sdk error) {
 	t.Helper()
 	switch {
-	case err != nil && sdk == nil && !listed(stricter, err):
-		t.Errorf("%s: the SDK takes it, and we do not: %v", what, err)
-	case err == nil && sdk != nil && !listed(milder, sdk):
-		t.Errorf("%s: the SDK does not take it: %v", what, sdk)
+	case err != nil && sdk == nil && !containsAny(strictFaults, err):
+		t.Errorf("%s: only the SDK accepts the event: %v", what, err)
+	case err == nil && sdk != nil && !containsAny(lenientErrors, sdk):
+		t.Errorf("%s: only the SDK rejects the event: %v", what, sdk)
 	case err == nil && sdk == nil:
-		if diff := same(e, s); diff != "" {
+		if diff := eventDiff(e, s); diff != "" {
 			t.Errorf("%s: %s", what, diff)
 		}
 	}
@@ -175,7 +175,7 @@
 
 func sdkBinary(h http.Header, body []byte) (s *event.Event, err error) {
 	defer func() {
-		if p := recover(); p != nil { // at a header "ce-" without a name, for one
+		if p := recover(); p != nil { // for example at a header "ce-" without a name
 			err = fmt.Errorf("invalid: the SDK panics: %v", p)
 		}
 	}()
@@ -190,43 +190,43 @@
 	return s, s.Validate()
 }
 
-// Generated events, whole and with a byte changed here and there, read by both.
+// Generated events, unchanged and with one byte changed, are read by this package and the SDK.
 func TestReadStructured_AgreesWithSDK(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 5))
-	whole, spoilt := 0, 0
+	unchanged, rejected := 0, 0
 	for range 4000 {
-		e := random(r)
+		e := randomEvent(r)
 		raw := e.AppendJSON(nil)
 		s, sdk := sdkStructured(raw)
 		if sdk != nil {
-			if notTakenForJSON(e) {
+			if isJSONUnknownToSDK(e) {
 				continue
 			}
 			t.Fatalf("%s: %v", raw, sdk)
 		}
-		if diff := same(e, s); diff != "" {
+		if diff := eventDiff(e, s); diff != "" {
 			t.Fatalf("%s: %s", raw, diff)
 		}
-		whole++
+		unchanged++
 		raw[r.IntN(len(raw))] = byte(r.UintN(128))
 		got, err := ReadStructured(raw)
 		s, sdk = sdkStructured(raw)
-		againstSDK(t, string(raw), got, err, s, sdk)
+		compareWithSDK(t, string(raw), got, err, s, sdk)
 		if err != nil {
-			spoilt++
+			rejected++
 		}
 	}
-	if whole < 3000 || spoilt < 500 {
-		t.Errorf("%d whole, %d spoilt", whole, spoilt)
+	if unchanged < 3000 || rejected < 500 {
+		t.Errorf("only %d unchanged events compared, %d changed ones rejected", unchanged, rejected)
 	}
 }
 
-// What the SDK writes is read as it is, and the other way round.
+// Events written by this package and then by the SDK are read unchanged.
 func TestEvent_SDKWritesAndReads(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 6))
 	for range 2000 {
-		e := random(r)
-		if notTakenForJSON(e) {
+		e := randomEvent(r)
+		if isJSONUnknownToSDK(e) {
 			continue
 		}
 		s, err := sdkStructured(e.AppendJSON(nil))
@@ -241,7 +241,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", raw, err)
 		}
-		if diff := same(got, s); diff != "" {
+		if diff := eventDiff(got, s); diff != "" {
 			t.Fatalf("%s: %s", raw, diff)
 		}
 	}
@@ -254,7 +254,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		e, err := ReadStructured(raw)
 		s, sdk := sdkStructured(raw)
-		againstSDK(t, string(raw), e, err, s, sdk)
+		compareWithSDK(t, string(raw), e, err, s, sdk)
 	})
 }
 
@@ -263,7 +263,7 @@
 	f.Add("ext", "b%c", "application/json", []byte("{}"))
 	f.Fuzz(func(t *testing.T, name, value, kind string, body []byte) {
 		name = http.CanonicalHeaderKey("ce-" + name)
-		for _, c := range []byte(name + value + kind) { // what a request's reader lets through
+		for _, c := range []byte(name + value + kind) { // net/http rejects these characters in a header
 			if c < 0x20 || c == 0x7f {
 				return
 			}
@@ -279,6 +279,6 @@
 		}
 		e, err := ReadBinary(h, body)
 		s, sdk := sdkBinary(h, body)
-		againstSDK(t, name+": "+value, e, err, s, sdk)
+		compareWithSDK(t, name+": "+value, e, err, s, sdk)
 	})
 }
--- a/internal/cloudevents/validate.go
+++ b/internal/cloudevents/validate.go
@@ -8,7 +8,7 @@
 	"unicode/utf8"
 )
 
-// checkName holds a name to the core's "Naming Conventions": lower-case letters and digits of ASCII.
+// checkName checks a name against the core's "Naming Conventions": ASCII lower-case letters and digits.
 func checkName(name string) error {
 	if name == "" {
 		return fault(Malformed, "an attribute has no name")
@@ -27,9 +27,9 @@
 	return nil
 }
 
-// checkText holds a value to the core's type String: no control characters, no noncharacters, and, as what this
-// program keeps of an event goes on, sound UTF-8. An empty one is never right: each attribute that may be absent must
-// not be empty when it is there.
+// checkText checks a value against the core's type String: no control characters and no noncharacters. It also requires
+// valid UTF-8, as attributes are forwarded. An empty value is never valid: optional attributes must be non-empty if
+// present.
 func checkText(name, v string) error {
 	if v == "" {
 		return fault(Malformed, "attribute %s is empty", name)
@@ -85,18 +85,18 @@
 	return nil
 }
 
-// SyntaxError is an attribute's value that is not of the syntax that it must have.
+// SyntaxError reports an attribute whose value has invalid syntax.
 type SyntaxError struct{ detail string }
 
 func syntaxError(format string, args ...any) error {
 	return &SyntaxError{detail: fmt.Sprintf(format, args...)}
 }
 
-// Error names the value.
+// Error returns the value and the problem with it.
 func (e *SyntaxError) Error() string { return e.detail }
 
-// uriReference returns an error for a text that is no URI reference (RFC 3986 4.1), or no absolute URI (4.3) if it has to be: its
-// characters, and percent signs before two hexadecimal digits. net/url accepts much more.
+// uriReference returns an error for a text that is not a URI reference (RFC 3986 4.1) or, with absolute, not an absolute URI (4.3). It
+// checks the characters, percent-encoding, fragment, scheme and port. net/url accepts much more.
 func uriReference(v string, absolute bool) error {
 	for i := 0; i < len(v); i++ {
 		c := v[i]
@@ -152,7 +152,7 @@
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
 }
 
-// mediaType returns an error for a text that is no media type (RFC 2046).
+// mediaType returns an error for a text that is not a media type (RFC 2046).
 func mediaType(v string) error {
 	if simpleType(v) {
 		return nil
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// timestamp returns an error for a text that is no time by RFC 3339. time.Parse accepts a comma before the fraction and hours of one
+// timestamp returns an error for a text that is not a time by RFC 3339. time.Parse accepts a comma before the fraction and hours of one
 // digit, and rejects leap seconds.
 func timestamp(v string) error {
 	leap := v
@@ -203,7 +203,7 @@
 	return slash == 1
 }
 
-// parseType reads a media type; "" if it can't be read.
+// parseType parses a media type; it returns "" for an invalid one.
 func parseType(v string) (string, map[string]string) {
 	if simpleType(v) {
 		return v, nil
@@ -215,7 +215,7 @@
 	return t, params
 }
 
-// isJSON is whether a media type says that data is JSON (JSON format, section 3.1): the subtype is json or ends
+// isJSON reports whether a media type denotes JSON (JSON format, section 3.1): the subtype is json or ends
 // with +json.
 func isJSON(contentType string) bool {
 	t, _ := parseType(contentType)
@@ -223,7 +223,7 @@
 	return minor == "json" || strings.HasSuffix(minor, "+json")
 }
 
-// isText is whether a media type says that data is text in UTF-8.
+// isText reports whether a media type denotes text in UTF-8.
 func isText(contentType string) bool {
 	t, params := parseType(contentType)
 	charset := strings.ToLower(params["charset"])
--- a/internal/cloudevents/write.go
+++ b/internal/cloudevents/write.go
@@ -8,7 +8,7 @@
 	"unicode/utf8"
 )
 
-// AppendHeaders adds an event's header lines in binary mode, Content-Type among them, each with its line end. Data is
+// AppendHeaders appends an event's header lines in binary mode, including Content-Type, each with its line end. The data is
 // the request's body.
 func (e *Event) AppendHeaders(b []byte) []byte {
 	kind := ""
@@ -21,7 +21,7 @@
 		b = append(escape(b, a.Value), "\r\n"...)
 	}
 	if kind == "" && e.DataFormat == JSON {
-		kind = "application/json" // which its absence means in JSON, and not here (JSON format, section 3.1)
+		kind = "application/json" // absence means JSON in the JSON format (section 3.1), but not in binary mode
 	}
 	if kind != "" {
 		b = append(append(append(b, "Content-Type: "...), kind...), "\r\n"...)
@@ -29,8 +29,8 @@
 	return b
 }
 
-// escape percent-encodes a header's value (HTTP binding, section 3.1.3.2): blanks, quotes, percent signs and all that
-// is not printable ASCII.
+// escape percent-encodes a header's value (HTTP binding, section 3.1.3.2): spaces, quotes, percent signs and everything
+// but printable ASCII.
 func escape(b []byte, v string) []byte {
 	const digits = "0123456789ABCDEF"
 	for _, c := range []byte(v) {
@@ -43,17 +43,17 @@
 	return b
 }
 
-// AppendJSON adds the event as a JSON object (JSON format, section 3).
+// AppendJSON appends the event as a JSON object (JSON format, section 3).
 func (e *Event) AppendJSON(b []byte) []byte {
 	b = e.appendMembers(append(b, '{'))
 	switch e.DataFormat {
 	case JSON:
 		b = append(b, `,"data":`...)
-		var tight bytes.Buffer
-		if json.Compact(&tight, e.Data) == nil { // line ends in it are no trouble, but cost
-			b = append(b, tight.Bytes()...)
+		var compact bytes.Buffer
+		if json.Compact(&compact, e.Data) == nil { // white space is allowed, but costs bytes
+			b = append(b, compact.Bytes()...)
 		} else {
-			b = append(b, "null"...) // it was sound when it was read
+			b = append(b, "null"...) // can't happen: the data was valid JSON when it was read
 		}
 	case Text:
 		b = appendString(append(b, `,"data":`...), string(e.Data))
@@ -80,7 +80,7 @@
 	return b
 }
 
-// AppendBatch adds events as a JSON array (JSON format, section 4).
+// AppendBatch appends events as a JSON array (JSON format, section 4).
 func AppendBatch(b []byte, events []*Event) []byte {
 	b = append(b, '[')
 	for i, e := range events {
@@ -92,7 +92,7 @@
 	return append(b, ']')
 }
 
-// ContentType is the Content-Type of requests in a mode; "" in binary mode, where AppendHeaders writes it.
+// ContentType returns the Content-Type of requests in a mode, or "" in binary mode, where AppendHeaders writes it.
 func ContentType(m Mode) string {
 	switch m {
 	case StructuredMode:
@@ -104,7 +104,7 @@
 	}
 }
 
-// appendString adds a JSON string. Nearly all attributes are plain ASCII.
+// appendString appends a JSON string. Plain ASCII comes first, as nearly all attributes are.
 func appendString(b []byte, s string) []byte {
 	b = append(b, '"')
 	for i := 0; i < len(s); {
@@ -131,14 +131,14 @@
 	return append(b, '"')
 }
 
-// AppendHead adds what a store keeps of an event beside its data: a JSON object with its form and attributes.
+// AppendHead appends the part of an event that is stored besides its data: a JSON object with the data format and attributes.
 func (e *Event) AppendHead(b []byte) []byte {
 	b = strconv.AppendInt(append(b, `{"form":`...), int64(e.DataFormat), 10)
 	b = e.appendMembers(append(b, `,"attributes":{`...))
 	return append(b, "}}"...)
 }
 
-// ReadHead reads what AppendHead wrote; the data is the caller's to set.
+// ReadHead reads an event written by AppendHead. The caller sets its data.
 func ReadHead(raw []byte) (*Event, error) {
 	var head struct {
 		Form       DataFormat      `json:"form"`
@@ -158,7 +158,7 @@
 	return e, nil
 }
 
-// UnmarshalJSON reads what AppendHead wrote.
+// UnmarshalJSON reads an event written by AppendHead, without its data.
 func (e *Event) UnmarshalJSON(raw []byte) error {
 	got, err := ReadHead(raw)
 	if err == nil {
@@ -167,5 +167,5 @@
 	return err
 }
 
-// MarshalJSON writes what AppendHead does: data stands beside it.
+// MarshalJSON writes the event as AppendHead does; the data is stored separately.
 func (e *Event) MarshalJSON() ([]byte, error) { return e.AppendHead(nil), nil }
