--- a/internal/calls/doc.go
+++ b/internal/calls/doc.go
@@ -6,7 +6,7 @@
 //
 // Pool.Call makes one attempt and translates its result:
 //
-//	what happened                                             outcome          and
+//	end of the attempt                                        outcome          other fields
 //	-                                                         -                -
 //	no connection was established                             ConnectFailed
 //	this machine lacked a resource for it                     NotSent
--- a/internal/cloudevents/event.go
+++ b/internal/cloudevents/event.go
@@ -150,12 +150,12 @@
 		b = strconv.AppendInt(b, int64(len(v)), 10)
 		b = append(append(b, ':'), v...)
 	}
-	kind := e.Get("datacontenttype")
-	if kind == "" && e.DataFormat == JSON {
-		kind = "application/json" // the default if the attribute is absent
+	contentType := e.Get("datacontenttype")
+	if contentType == "" && e.DataFormat == JSON {
+		contentType = "application/json" // the default if the attribute is absent
 	}
-	b = strconv.AppendInt(b, int64(len(kind)), 10)
-	b = append(append(b, ':'), kind...)
+	b = strconv.AppendInt(b, int64(len(contentType)), 10)
+	b = append(append(b, ':'), contentType...)
 	if e.DataFormat == JSON {
 		var compact bytes.Buffer
 		if json.Compact(&compact, e.Data) == nil {
--- a/internal/cloudevents/read.go
+++ b/internal/cloudevents/read.go
@@ -103,9 +103,9 @@
 			return nil, err
 		}
 	}
-	kind := h.Get("Content-Type")
-	if kind != "" {
-		if err := e.add(Attribute{Name: "datacontenttype", Value: kind}); err != nil {
+	contentType := h.Get("Content-Type")
+	if contentType != "" {
+		if err := e.add(Attribute{Name: "datacontenttype", Value: contentType}); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/cloudevents/read_test.go
+++ b/internal/cloudevents/read_test.go
@@ -28,12 +28,12 @@
 	return header(append(append([]string(nil), minimalHeaders...), more...)...)
 }
 
-// wantFault reports an error unless err is a Fault of the kind whose text contains says.
-func wantFault(t *testing.T, err error, kind Kind, says string) {
+// wantFault reports an error unless err is a Fault of the kind whose Text contains text.
+func wantFault(t *testing.T, err error, kind Kind, text string) {
 	t.Helper()
 	var f *Fault
-	if !errors.As(err, &f) || f.Kind != kind || !strings.Contains(f.Text, says) {
-		t.Errorf("%v (%T), want kind %d with %q", err, err, kind, says)
+	if !errors.As(err, &f) || f.Kind != kind || !strings.Contains(f.Text, text) {
+		t.Errorf("%v (%T), want kind %d with %q", err, err, kind, text)
 	}
 }
 
@@ -58,7 +58,7 @@
 	for _, c := range []struct {
 		h    http.Header
 		kind Kind
-		says string
+		text string
 	}{
 		{header("Content-Type: application/cloudevents+xml"), Media, "are read as"},
 		{header("Content-Type: application/cloudevents"), Media, "are read as"},
@@ -69,7 +69,7 @@
 		{header(), NotAnEvent, "ce-specversion"},
 	} {
 		_, err := ModeOf(c.h)
-		wantFault(t, err, c.kind, c.says)
+		wantFault(t, err, c.kind, c.text)
 	}
 }
 
@@ -105,7 +105,7 @@
 	for name, c := range map[string]struct {
 		h    http.Header
 		kind Kind
-		says string
+		text string
 	}{
 		"twice":               {with("ce-id: 2"), Malformed, "ce-id stands there more than once"},
 		"twice, another case": {with("CE-ID: 2"), Malformed, "more than once"},
@@ -140,7 +140,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := ReadBinary(c.h, []byte("x"))
-			wantFault(t, err, c.kind, c.says)
+			wantFault(t, err, c.kind, c.text)
 		})
 	}
 	for _, good := range []string{"2026-12-01T10:00:00Z", "2026-12-01t10:00:00z", "2026-12-31T23:59:60Z", "2026-12-01T10:00:00.123456789+05:30"} {
@@ -184,7 +184,7 @@
 func TestReadStructured_Faults(t *testing.T) {
 	for text, c := range map[string]struct {
 		kind Kind
-		says string
+		text string
 	}{
 		``:                                    {Incomplete, "byte"},
 		`{` + minimalJSON:                     {Incomplete, "byte"},
@@ -221,7 +221,7 @@
 			t.Errorf("%s: no error", text)
 			continue
 		}
-		wantFault(t, err, c.kind, c.says)
+		wantFault(t, err, c.kind, c.text)
 	}
 	var many strings.Builder
 	for i := range maxMembers {
@@ -252,7 +252,7 @@
 	wantFault(t, items[0].Err, TooLarge, "over")
 	for text, c := range map[string]struct {
 		kind Kind
-		says string
+		text string
 	}{
 		good:                           {Malformed, "array"},
 		`[` + good + `,` + good:        {Incomplete, "byte"},
@@ -262,7 +262,7 @@
 		`[1,2,3,4,5]`:                  {TooMany, "4 events"},
 	} {
 		_, err := ReadBatch([]byte(text), 4, 1000)
-		wantFault(t, err, c.kind, c.says)
+		wantFault(t, err, c.kind, c.text)
 	}
 }
 
--- a/internal/cloudevents/sdk_test.go
+++ b/internal/cloudevents/sdk_test.go
@@ -78,8 +78,8 @@
 // application/json, text/json and types that end with +json, but not with a parameter after it. For other types it reads data "s"
 // as s, null as no data, and fails at an object. The JSON format, section 3.1, decides by the subtype.
 func isJSONUnknownToSDK(e *Event) bool {
-	kind := e.Get("datacontenttype")
-	return kind != "" && isJSON(kind) && kind != "application/json" && kind != "text/json" && !strings.HasSuffix(kind, "+json")
+	contentType := e.Get("datacontenttype")
+	return contentType != "" && isJSON(contentType) && contentType != "application/json" && contentType != "text/json" && !strings.HasSuffix(contentType, "+json")
 }
 
 // sdkURI returns a URI as the SDK represents it: parsed and formatted by net/url, with the scheme in lower case, or "" if net/url can't
--- a/internal/cloudevents/write.go
+++ b/internal/cloudevents/write.go
@@ -11,20 +11,20 @@
 // AppendHeaders appends an event's header lines in binary mode, including Content-Type, each with its line end. The data is
 // the request's body.
 func (e *Event) AppendHeaders(b []byte) []byte {
-	kind := ""
+	contentType := ""
 	for _, a := range e.Attributes {
 		if a.Name == "datacontenttype" {
-			kind = a.Value
+			contentType = a.Value
 			continue
 		}
 		b = append(append(append(b, "ce-"...), a.Name...), ": "...)
 		b = append(escape(b, a.Value), "\r\n"...)
 	}
-	if kind == "" && e.DataFormat == JSON {
-		kind = "application/json" // absence means JSON in the JSON format (section 3.1), but not in binary mode
+	if contentType == "" && e.DataFormat == JSON {
+		contentType = "application/json" // absence means JSON in the JSON format (section 3.1), but not in binary mode
 	}
-	if kind != "" {
-		b = append(append(append(b, "Content-Type: "...), kind...), "\r\n"...)
+	if contentType != "" {
+		b = append(append(append(b, "Content-Type: "...), contentType...), "\r\n"...)
 	}
 	return b
 }
--- a/internal/knowledge/file.go
+++ b/internal/knowledge/file.go
@@ -32,7 +32,7 @@
 var ErrNewer = errors.New("snapshot was written by a newer version")
 
 // ErrClockSetBack means that the wall clock is before the time at which a snapshot was written.
-var ErrClockSetBack = errors.New("wall clock was set back")
+var ErrClockSetBack = errors.New("the clock was set back")
 
 // ErrDamaged means that a snapshot can't be decoded.
 var ErrDamaged = errors.New("snapshot is damaged")
--- a/internal/peers/backoff_test.go
+++ b/internal/peers/backoff_test.go
@@ -40,7 +40,7 @@
 		return false
 	})
 	if a.state("b") != stateAlive {
-		t.Errorf("b has state %s", a.state("b"))
+		t.Error(a.state("b"))
 	}
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -308,7 +308,7 @@
 			received := 0
 			err := followOne(c.addr, &streamProgress{}, func(f []knowledge.Fact) bool { received += len(f); return true })
 			if err == nil || !strings.Contains(err.Error(), c.want) || received > c.maxFacts || c.maxFacts == 1 && received != 1 {
-				t.Errorf("%v after %d facts, want %q and at most %d", err, received, c.want, c.maxFacts)
+				t.Errorf("%v after %d facts", err, received)
 			}
 		})
 	}
--- a/internal/peers/routes.go
+++ b/internal/peers/routes.go
@@ -40,7 +40,7 @@
 			}
 		}
 		if other, twice := t[r.Address]; twice {
-			return nil, &RouteError{fmt.Sprintf("reach %d: %s already has a route via %s", i+1, r.Address, other)}
+			return nil, &RouteError{fmt.Sprintf("reach %d: %s is reached at %s already", i+1, r.Address, other)}
 		}
 		t[r.Address] = r.Via
 	}
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -25,7 +25,7 @@
 		return Batch{}, headerError("the clock is not a number")
 	}
 	if size < 4 || size > MaxFrame {
-		return Batch{}, headerError("length %d is out of range", size)
+		return Batch{}, headerError("length %d is out of bounds", size)
 	}
 	body, err := io.ReadAll(io.LimitReader(r, int64(size)-4)) // grows with the bytes that arrive, not with the claimed size
 	if err != nil {
@@ -83,11 +83,11 @@
 	fail string // error of the first field that cannot be read
 }
 
-// take reads the next n bytes, which belong to the field called what. After a failure it returns zeros.
-func (d *decoder) take(n int, what string) []byte {
+// take reads the next n bytes, which belong to field. After a failure it returns zeros.
+func (d *decoder) take(n int, field string) []byte {
 	if d.fail != "" || n > len(d.buf)-d.at {
 		if d.fail == "" {
-			d.fail = fmt.Sprintf("%s at offset %d of the record exceeds the record", what, d.at+6)
+			d.fail = fmt.Sprintf("%s at offset %d of the record exceeds the record", field, d.at+6)
 		}
 		return make([]byte, 8)
 	}
@@ -95,41 +95,41 @@
 	return d.buf[d.at-n : d.at]
 }
 
-func (d *decoder) u8(what string) uint8 { return d.take(1, what)[0] }
+func (d *decoder) u8(field string) uint8 { return d.take(1, field)[0] }
 
-func (d *decoder) u16(what string) uint16 { return binary.LittleEndian.Uint16(d.take(2, what)) }
+func (d *decoder) u16(field string) uint16 { return binary.LittleEndian.Uint16(d.take(2, field)) }
 
-func (d *decoder) u32(what string) uint32 { return binary.LittleEndian.Uint32(d.take(4, what)) }
+func (d *decoder) u32(field string) uint32 { return binary.LittleEndian.Uint32(d.take(4, field)) }
 
-func (d *decoder) u64(what string) uint64 { return binary.LittleEndian.Uint64(d.take(8, what)) }
+func (d *decoder) u64(field string) uint64 { return binary.LittleEndian.Uint64(d.take(8, field)) }
 
-func (d *decoder) f32(what string) float32 {
-	v := math.Float32frombits(d.u32(what))
+func (d *decoder) f32(field string) float32 {
+	v := math.Float32frombits(d.u32(field))
 	if v64 := float64(v); math.IsNaN(v64) || math.IsInf(v64, 0) {
-		d.bad(what)
+		d.bad(field)
 	}
 	return v
 }
 
-func (d *decoder) f64(what string) float64 {
-	v := math.Float64frombits(d.u64(what))
+func (d *decoder) f64(field string) float64 {
+	v := math.Float64frombits(d.u64(field))
 	if math.IsNaN(v) || math.IsInf(v, 0) {
-		d.bad(what)
+		d.bad(field)
 	}
 	return v
 }
 
-func (d *decoder) bad(what string) {
+func (d *decoder) bad(field string) {
 	if d.fail == "" {
-		d.fail = what + " is not a number"
+		d.fail = field + " is not a number"
 	}
 }
 
 // count reads an element count and checks that the record is long enough for the elements, each of size bytes.
-func (d *decoder) count(size int, what string) int {
-	n := int64(d.u32(what + " count"))
+func (d *decoder) count(size int, field string) int {
+	n := int64(d.u32(field + " count"))
 	if d.fail == "" && n*int64(size) > int64(len(d.buf)-d.at) {
-		d.fail = fmt.Sprintf("%s count %d exceeds the record", what, n)
+		d.fail = fmt.Sprintf("%s count %d exceeds the record", field, n)
 	}
 	if d.fail != "" {
 		return 0
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -76,16 +76,16 @@
 		in   []byte
 		want string
 	}{
-		"short header":        {valid[:10], "frame header: input ends after 10 of 16 bytes"},
-		"short body":          {valid[:30], "frame body: input ends after 14 of 48 bytes"},
-		"count past the end":  {bigCount, "do not fit"},
-		"length out of range": {bigSize, "length 4294967295 is out of range"},
-		"record past the end": {longRecord, "record 0 at offset 0: size 1048576 exceeds"},
-		"node count":          {frame(1, submit, manyNodes), "record 1 at offset 48 (code 11): nodesList count"},
-		"short record":        {frame(1, rec(6, "0300 00")), "record 0 at offset 0 (code 6): call at offset 8"},
-		"unknown code":        {frame(1, rec(99, "0300")), "unknown code"},
-		"bytes left over":     {fewer, "record 0 at offset 0: 48 bytes left"},
-		"not a number":        {frame(math.NaN()), "clock is not a number"},
+		"short header":         {valid[:10], "frame header: input ends after 10 of 16 bytes"},
+		"short body":           {valid[:30], "frame body: input ends after 14 of 48 bytes"},
+		"count past the end":   {bigCount, "do not fit"},
+		"length out of bounds": {bigSize, "length 4294967295 is out of bounds"},
+		"record past the end":  {longRecord, "record 0 at offset 0: size 1048576 exceeds"},
+		"node count":           {frame(1, submit, manyNodes), "record 1 at offset 48 (code 11): nodesList count"},
+		"short record":         {frame(1, rec(6, "0300 00")), "record 0 at offset 0 (code 6): call at offset 8"},
+		"unknown code":         {frame(1, rec(99, "0300")), "unknown code"},
+		"bytes left over":      {fewer, "record 0 at offset 0: 48 bytes left"},
+		"not a number":         {frame(math.NaN()), "clock is not a number"},
 	} {
 		_, err := ReadBatch(bytes.NewReader(c.in))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
