--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -16,7 +16,7 @@
 	if n, err := io.ReadFull(r, head[:]); err == io.EOF {
 		return Batch{}, io.EOF
 	} else if err != nil {
-		return Batch{}, headerError("%d of 16 bytes, then the input ends", n)
+		return Batch{}, headerError("input ends after %d of 16 bytes", n)
 	}
 	clock := math.Float64frombits(binary.LittleEndian.Uint64(head[:]))
 	size := binary.LittleEndian.Uint32(head[8:])
@@ -27,14 +27,14 @@
 	if size < 4 || size > MaxFrame {
 		return Batch{}, headerError("length %d is out of bounds", size)
 	}
-	body, err := io.ReadAll(io.LimitReader(r, int64(size)-4)) // grows with what comes, whatever is claimed
+	body, err := io.ReadAll(io.LimitReader(r, int64(size)-4)) // grows with the bytes that arrive, not with the claimed size
 	if err != nil {
 		return Batch{}, &FrameError{Part: "frame body", Reason: err.Error(), Err: err}
 	}
 	if uint32(len(body)) != size-4 {
 		return Batch{}, &FrameError{
 			Part:   "frame body",
-			Reason: fmt.Sprintf("%d of %d bytes, then the input ends", len(body), size-4),
+			Reason: fmt.Sprintf("input ends after %d of %d bytes", len(body), size-4),
 		}
 	}
 	return parse(clock, count, body)
@@ -54,12 +54,12 @@
 	at := 0
 	for i := 0; i < int(count); i++ {
 		if len(body)-at < 6 {
-			return b, &RecordError{i, at, NotRead, &LayoutError{"no room for its code and size"}}
+			return b, &RecordError{i, at, NotRead, &LayoutError{"frame ends before its code and size"}}
 		}
 		code := binary.LittleEndian.Uint16(body[at:])
 		size := int64(binary.LittleEndian.Uint32(body[at+2:]))
 		if size > int64(len(body)-at-6) {
-			return b, &RecordError{i, at, NotRead, &LayoutError{fmt.Sprintf("size %d runs past the frame", size)}}
+			return b, &RecordError{i, at, NotRead, &LayoutError{fmt.Sprintf("size %d exceeds the rest of the frame", size)}}
 		}
 		d := decoder{buf: body[at+6 : at+6+int(size)]}
 		e := Event{Code: code, Index: i, Offset: at}
@@ -80,14 +80,14 @@
 type decoder struct {
 	buf  []byte
 	at   int
-	fail string // what is wrong with the first field that cannot be read
+	fail string // error of the first field that cannot be read
 }
 
-// take reads the next n bytes of a field that is called what.
-func (d *decoder) take(n int, what string) []byte {
+// take reads the next n bytes, which belong to field. After a failure it returns zeros.
+func (d *decoder) take(n int, field string) []byte {
 	if d.fail != "" || n > len(d.buf)-d.at {
 		if d.fail == "" {
-			d.fail = fmt.Sprintf("%s at offset %d of the record runs past its end", what, d.at+6)
+			d.fail = fmt.Sprintf("%s at offset %d of the record exceeds the record", field, d.at+6)
 		}
 		return make([]byte, 8)
 	}
@@ -95,41 +95,41 @@
 	return d.buf[d.at-n : d.at]
 }
 
-func (d *decoder) u8(what string) uint8 { return d.take(1, what)[0] }
+func (d *decoder) u8(field string) uint8 { return d.take(1, field)[0] }
 
-func (d *decoder) u16(what string) uint16 { return binary.LittleEndian.Uint16(d.take(2, what)) }
+func (d *decoder) u16(field string) uint16 { return binary.LittleEndian.Uint16(d.take(2, field)) }
 
-func (d *decoder) u32(what string) uint32 { return binary.LittleEndian.Uint32(d.take(4, what)) }
+func (d *decoder) u32(field string) uint32 { return binary.LittleEndian.Uint32(d.take(4, field)) }
 
-func (d *decoder) u64(what string) uint64 { return binary.LittleEndian.Uint64(d.take(8, what)) }
+func (d *decoder) u64(field string) uint64 { return binary.LittleEndian.Uint64(d.take(8, field)) }
 
-func (d *decoder) f32(what string) float32 {
-	v := math.Float32frombits(d.u32(what))
+func (d *decoder) f32(field string) float32 {
+	v := math.Float32frombits(d.u32(field))
 	if v64 := float64(v); math.IsNaN(v64) || math.IsInf(v64, 0) {
-		d.bad(what)
+		d.bad(field)
 	}
 	return v
 }
 
-func (d *decoder) f64(what string) float64 {
-	v := math.Float64frombits(d.u64(what))
+func (d *decoder) f64(field string) float64 {
+	v := math.Float64frombits(d.u64(field))
 	if math.IsNaN(v) || math.IsInf(v, 0) {
-		d.bad(what)
+		d.bad(field)
 	}
 	return v
 }
 
-func (d *decoder) bad(what string) {
+func (d *decoder) bad(field string) {
 	if d.fail == "" {
-		d.fail = what + " is not a number"
+		d.fail = field + " is not a number"
 	}
 }
 
-// count reads an element count and makes sure that so many elements are there.
-func (d *decoder) count(size int, what string) int {
-	n := int64(d.u32(what + " count"))
+// count reads an element count and checks that the record is long enough for the elements, each of size bytes.
+func (d *decoder) count(size int, field string) int {
+	n := int64(d.u32(field + " count"))
 	if d.fail == "" && n*int64(size) > int64(len(d.buf)-d.at) {
-		d.fail = fmt.Sprintf("%s count %d runs past the record's end", what, n)
+		d.fail = fmt.Sprintf("%s count %d exceeds the record", field, n)
 	}
 	if d.fail != "" {
 		return 0
