--- a/internal/work/capacity.go
+++ b/internal/work/capacity.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// CapacityError is jobs that can't be accepted: a bound of Limits would be exceeded, or a priority does not exist.
+// CapacityError reports jobs that can't be accepted: a bound of Limits would be exceeded, or a priority does not exist.
 type CapacityError struct{ Reason string }
 
 // Error returns the reason.
 func (e *CapacityError) Error() string { return e.Reason }
 
-// CheckCapacity returns a *CapacityError if the jobs can't be accepted, all of them together.
+// CheckCapacity returns a *CapacityError unless all the jobs can be accepted together.
 func (s *Scheduler) CheckCapacity(jobs ...Job) error {
 	if reason := s.capacityExceeded(jobs); reason != "" {
 		return &CapacityError{Reason: reason}
@@ -21,28 +21,28 @@
 
 func (s *Scheduler) capacityExceeded(jobs []Job) string {
 	n, size := len(s.jobs), s.bytes
-	by := map[string]int{}
+	perOwner := map[string]int{}
 	for i := range jobs {
 		j := &jobs[i]
 		n++
 		size += j.Size
-		by[j.Owner]++
-		present := 0
+		perOwner[j.Owner]++
+		current := 0
 		if o := s.owners[j.Owner]; o != nil {
-			present = o.jobs
+			current = o.jobs
 		}
 		l := &s.settings.Limits
 		switch {
 		case j.Priority < 0 || j.Priority >= priorities:
 			return j.Priority.String()
 		case l.Depth > 0 && j.Depth > l.Depth:
-			return fmt.Sprintf("jobs make jobs %d deep; %d is the most", j.Depth, l.Depth)
+			return fmt.Sprintf("the job is spawned %d deep; the limit is %d", j.Depth, l.Depth)
 		case l.Jobs > 0 && n > l.Jobs:
-			return fmt.Sprintf("%d jobs are held; there is no room for more", l.Jobs)
+			return fmt.Sprintf("the limit of %d jobs is reached", l.Jobs)
 		case l.Bytes > 0 && size > l.Bytes:
-			return fmt.Sprintf("jobs hold %d bytes; there is no room for more", s.bytes)
-		case l.OwnerJobs > 0 && present+by[j.Owner] > l.OwnerJobs:
-			return fmt.Sprintf("%s has %d jobs; one owner may have %d", j.Owner, present, l.OwnerJobs)
+			return fmt.Sprintf("jobs take %d bytes; the limit would be exceeded", s.bytes)
+		case l.OwnerJobs > 0 && current+perOwner[j.Owner] > l.OwnerJobs:
+			return fmt.Sprintf("owner %s has %d jobs; the limit per owner is %d", j.Owner, current, l.OwnerJobs)
 		}
 	}
 	return ""
@@ -50,7 +50,7 @@
 
 func (s *Scheduler) submit(e Submit) {
 	if s.jobs[e.ID] != nil || e.ID == 0 {
-		s.actions = append(s.actions, Reject{e.ID, "its number is taken"})
+		s.actions = append(s.actions, Reject{e.ID, "its ID is 0 or already in use"})
 		return
 	}
 	if err := s.CheckCapacity(e.Job); err != nil {
--- a/internal/work/command.go
+++ b/internal/work/command.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// command does an operator's command.
+// command applies an operator's command.
 func (s *Scheduler) command(c Command) {
 	switch c.Verb {
 	case Pause, Resume:
@@ -14,7 +14,7 @@
 	}
 }
 
-// setPaused pauses or resumes a kind, an owner, or both; an empty name is none.
+// setPaused pauses or resumes a kind, an owner, or both; an empty name selects none.
 func (s *Scheduler) setPaused(kind, owner string, paused bool) {
 	if kind != "" {
 		s.kind(kind).paused = paused
@@ -23,21 +23,21 @@
 		o := s.owner(owner)
 		o.paused = paused
 		if !paused {
-			s.throttledOwners[o] = struct{}{} // wakeWaiting looks at it
+			s.throttledOwners[o] = struct{}{} // wakeWaiting then puts its queues back
 		}
 	}
 }
 
 // commandJobs runs or drops the jobs that a command selects.
 func (s *Scheduler) commandJobs(c Command) {
-	var of []*job
+	var selected []*job
 	for _, j := range s.jobs {
 		if c.ID == j.ID || c.ID == 0 && (c.Kind == "" || c.Kind == j.Kind) && (c.Owner == "" || c.Owner == j.Owner) {
-			of = append(of, j)
+			selected = append(selected, j)
 		}
 	}
-	slices.SortFunc(of, func(a, b *job) int { return int(int64(a.ID) - int64(b.ID)) })
-	for _, j := range of {
+	slices.SortFunc(selected, func(a, b *job) int { return int(int64(a.ID) - int64(b.ID)) })
+	for _, j := range selected {
 		switch {
 		case c.Verb == Drop && j.state == running:
 			j.dropped = true
--- a/internal/work/configure.go
+++ b/internal/work/configure.go
@@ -74,9 +74,9 @@
 	budget          *buckets
 	running         int
 	paused          bool
-	windowOpensAt   time.Duration // its window, when closed
+	windowOpensAt   time.Duration // when its window opens, set while that is closed
 	retryBudget     retryBudget
 	creditUpdatedAt time.Duration
-	waiting         *list.List // jobs that wait for credit
+	waiting         *list.List // jobs that wait for retry credit
 	used            Cost
 }
--- a/internal/work/cost.go
+++ b/internal/work/cost.go
@@ -9,17 +9,17 @@
 
 // Currencies and their units.
 const (
-	Loop      Currency = iota // nanoseconds of the loop that owns the messages
+	Loop      Currency = iota // nanoseconds of the event loop that owns the messages
 	CPU                       // nanoseconds
 	DiskRead                  // bytes
 	DiskWrite                 // bytes
-	Syncs                     // of files
+	Syncs                     // calls of fsync
 	Net                       // bytes
 	Calls                     // to receivers
 	Currencies
 )
 
-// CurrencyNames returns the names of the currencies, as settings and reports have them.
+// CurrencyNames returns the names of the currencies, as settings and reports spell them.
 func CurrencyNames() []string {
 	return []string{"loop", "cpu", "disk_read", "disk_write", "syncs", "net", "calls"}
 }
--- a/internal/work/dispatch.go
+++ b/internal/work/dispatch.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// lowerPriorityInterval is how many starts there are per start of a lower priority than the highest one that has jobs.
+// One in lowerPriorityInterval starts goes to a priority below the highest one that has jobs.
 const (
 	lowerPriorityInterval = 8
 	never                 = time.Duration(math.MaxInt64)
-	minCharge             = 1e-6 // seconds of budget, for a slice that used nothing: owners then take turns
+	minCharge             = 1e-6 // seconds of budget, charged for each slice so that owners whose slices use nothing take turns
 )
 
 // mayStart reports whether a kind may start a slice: it is not paused, below its concurrency, in its window and solvent.
@@ -82,7 +82,7 @@
 }
 
 // nextJob returns the job to start next: by priority, then fairness, then laxity. Every lowerPriorityInterval-th start goes to a lower
-// priority, to each that has a job in turn.
+// priority; the lower priorities that have jobs take turns.
 func (s *Scheduler) nextJob() *job {
 	var best *queue
 	var lower [priorities]*queue
@@ -158,7 +158,7 @@
 		d[i] = max(0, used[i]) - max(0, before[i])
 	}
 	s.totalBudget.take(d)
-	for i := range o.budget { // those of owners who are not in debt are filled only here
+	for i := range o.budget { // refillBuckets skips owners that are not throttled
 		o.budget[i].fill(s.now, 1)
 	}
 	o.budget.take(d)
@@ -170,11 +170,11 @@
 			b.level += n
 		}
 	}
-	was, is := s.settings.Rates.dominantShare(before), s.settings.Rates.dominantShare(used)
+	chargedShare, usedShare := s.settings.Rates.dominantShare(before), s.settings.Rates.dominantShare(used)
 	if before == (Cost{}) {
-		is += minCharge
+		usedShare += minCharge
 	}
-	o.virtualTime += (is - was) / o.weight
+	o.virtualTime += (usedShare - chargedShare) / o.weight
 	if !o.budget.solvent() {
 		s.throttledOwners[o] = struct{}{}
 	}
--- a/internal/work/event.go
+++ b/internal/work/event.go
@@ -4,37 +4,38 @@
 	"time"
 )
 
-// Event is what happened: Submit, SliceEnded, SetAllowance, Command or Configure. That time has passed is no event.
+// Event is an input of Scheduler.Step: Submit, SliceEnded, SetAllowance, Command or Configure. The passage of time is not an event; Step
+// gets the time as an argument.
 //
 //sumtype:decl
 type Event interface{ event() }
 
 type (
-	// Submit is a new job, or one that an earlier process left.
+	// Submit adds a new job, or one that an earlier process did not finish.
 	Submit struct {
 		Job
-		Failures     int    // in a row, in an earlier process
-		ParkedReason string // why it was parked; empty: it was not
+		Failures     int    // consecutive failures in an earlier process
+		ParkedReason string // why the job is parked; empty: it is not
 	}
-	// SliceEnded says how a slice ended.
+	// SliceEnded reports how a slice ended.
 	SliceEnded struct {
 		ID      ID
 		Used    Cost
 		More    bool          // the job needs another slice
-		Delay   time.Duration // which may not start before this is over
+		Delay   time.Duration // wait before that slice may start
 		Failure string        // why the slice failed; empty: it succeeded
 		Park    bool          // park the failed job instead of retrying it
 	}
 	// SetAllowance sets the fraction of its budget, from 0 to 1, that the load of live traffic leaves to background work.
 	SetAllowance struct{ Fraction float64 }
-	// Command is an operator's.
+	// Command is an operator's command.
 	Command struct {
 		Verb  Verb
-		ID    ID     // of one job; 0: of those that the next two select
+		ID    ID     // one job; 0: the jobs that Kind and Owner select
 		Kind  string // empty: all
 		Owner string // empty: all
 	}
-	// Configure replaces the settings. Jobs beyond the new bounds stay, and no more are accepted.
+	// Configure replaces the settings. Jobs beyond the new limits stay, and no more are accepted.
 	Configure struct{ Settings }
 )
 
@@ -48,21 +49,21 @@
 
 func (Configure) event() {}
 
-// Verb is what an operator commands.
+// Verb is the operation of a Command.
 type Verb int
 
 // Verbs. Pause and Resume are for kinds and owners, not for single jobs.
 const (
 	Pause Verb = iota
 	Resume
-	Run  // now: whatever it waited for but locks and budgets, parked or not
-	Drop // it ends, and is gone
+	Run  // makes parked and delayed jobs, and those that await retry credit, ready now; locks and budgets still apply
+	Drop // removes jobs; a slice that runs is cancelled first
 )
 
-// VerbNames returns the names of the verbs, as the command line has them.
+// VerbNames returns the names of the verbs, as the command line spells them.
 func VerbNames() []string { return []string{"pause", "resume", "run", "drop"} }
 
-// Action is what is to be done: Start, Reject, Finished, Park or Stop.
+// Action is an output of Scheduler.Step for the caller to perform: Start, Reject, Finished, Park or Stop.
 //
 //sumtype:decl
 type Action interface{ action() }
@@ -70,22 +71,22 @@
 type (
 	// Start starts a slice of a job.
 	Start struct{ ID ID }
-	// Reject turns a job away: nothing of it is held.
+	// Reject refuses a submitted job; the scheduler stores nothing about the job.
 	Reject struct {
 		ID     ID
 		Reason string
 	}
-	// Finished says that a job is done, or dropped: it can be forgotten.
+	// Finished reports that a job is done or was dropped. The caller can delete it.
 	Finished struct {
 		ID      ID
 		Dropped bool
 	}
-	// Park says that a job waits for an operator.
+	// Park reports that a job waits for an operator.
 	Park struct {
 		ID     ID
 		Reason string
 	}
-	// Stop has the slice that runs called off: its job was dropped.
+	// Stop cancels the running slice of a job that was dropped.
 	Stop struct{ ID ID }
 )
 
--- a/internal/work/fairness_test.go
+++ b/internal/work/fairness_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// jain is Jain's index of fairness: 1 if all have the same.
+// jain returns Jain's fairness index: 1 if all values are equal.
 func jain(x []float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, v := range x {
@@ -20,9 +20,9 @@
 	return sum * sum / (float64(len(x)) * squares)
 }
 
-// Owners with a million jobs beside one, with slices that cost alike, otherwise, or not what they said: as long as two of
-// them have work, what they got over their weights differs by no more than the sum of each one's largest slice over its
-// weight, and a little for slices that cost nothing.
+// Owners with different weights always have work, and slices use random amounts that differ from the estimates. For any two owners, the
+// dominant shares received, divided by weight, differ by no more than a bound: the sum of each owner's largest slice divided by its
+// weight, times twice the number of workers. A minimum slice size in the bound allows for slices that use nothing.
 func TestScheduler_Fairness(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		owners := []string{"a", "b", "c", "d"}
@@ -37,7 +37,7 @@
 		owner := map[ID]string{}
 		var running []ID
 		id := ID(0)
-		book := func(acts []Action) {
+		recordStarts := func(acts []Action) {
 			for _, a := range acts {
 				if a, ok := a.(Start); ok {
 					running = append(running, a.ID)
@@ -45,10 +45,10 @@
 			}
 		}
 		for _, o := range owners {
-			for range workers + rapid.IntRange(0, 3).Draw(t, "jobs") { // always one that waits, or runs
+			for range workers + rapid.IntRange(0, 3).Draw(t, "jobs") { // more jobs than workers: each owner always has one that is ready or running
 				id++
 				owner[id] = o
-				book(s.Step(0, monday, Submit{Job: Job{ID: id, Kind: "k", Owner: o, Priority: Normal, SliceCost: Cost{CPU: int64(rnd.IntN(50))}}}))
+				recordStarts(s.Step(0, monday, Submit{Job: Job{ID: id, Kind: "k", Owner: o, Priority: Normal, SliceCost: Cost{CPU: int64(rnd.IntN(50))}}}))
 			}
 		}
 		got, largest := map[string]float64{}, map[string]float64{}
@@ -61,21 +61,21 @@
 			share := set.Rates.dominantShare(used)
 			got[o] += share
 			largest[o] = max(largest[o], share, 0.05)
-			book(s.Step(time.Duration(n)*time.Millisecond, monday, SliceEnded{ID: x, Used: used, More: true}))
+			recordStarts(s.Step(time.Duration(n)*time.Millisecond, monday, SliceEnded{ID: x, Used: used, More: true}))
 		}
 		for _, a := range owners {
 			for _, b := range owners {
 				lag := math.Abs(got[a]/weights[a] - got[b]/weights[b])
-				// With several workers as many slices of each may be under way.
+				// Each owner may have as many slices in flight as there are workers.
 				bound := float64(2*workers) * (largest[a]/weights[a] + largest[b]/weights[b])
 				if lag > bound {
-					t.Fatalf("%s got %.3f and %s %.3f over their weights: a lag of %.3f, %.3f is the bound", a, got[a]/weights[a], b, got[b]/weights[b], lag, bound)
+					t.Fatalf("%s got %.3f and %s got %.3f, divided by weight: the lag is %.3f, the bound %.3f", a, got[a]/weights[a], b, got[b]/weights[b], lag, bound)
 				}
 			}
 		}
 	})
-	// A member with very many jobs beside one with one, which comes later: it goes at once.
-	r := newRig(t, one(Settings{}))
+	// An owner's only job starts next even if another owner submitted very many jobs before it.
+	r := newRig(t, singleWorker(Settings{}))
 	for i := range 20_000 {
 		r.submit(Job{ID: ID(i + 1), Kind: "k", Owner: "many", Priority: Normal})
 	}
@@ -85,16 +85,16 @@
 	r.submit(Job{ID: 50_000, Kind: "k", Owner: "single", Priority: Normal})
 	r.end(SliceEnded{})
 	if r.running[0] != 50_000 {
-		t.Errorf("job %d goes first", r.running[0])
+		t.Errorf("job %d starts first, want 50000", r.running[0])
 	}
 	if got := jain([]float64{1, 1, 1, 1}); got != 1 {
 		t.Error(got)
 	}
 }
 
-// An owner whose jobs wait for their time has no claim to what it did not use meanwhile.
+// An owner whose only job is delayed has no claim to the budget that it does not use meanwhile.
 func TestScheduler_IdleOwnerHasNoClaim(t *testing.T) {
-	r := newRig(t, one(Settings{Rates: Rates{CPU: {PerSecond: 100, Burst: 1e9}}}))
+	r := newRig(t, singleWorker(Settings{Rates: Rates{CPU: {PerSecond: 100, Burst: 1e9}}}))
 	r.submit(Job{ID: 1, Kind: "k", Owner: "idle", Earliest: 100 * sec}, Job{ID: 2, Kind: "k", Owner: "busy"})
 	for r.now < 100*sec {
 		r.end(SliceEnded{Used: Cost{CPU: 100}, More: true})
@@ -105,6 +105,6 @@
 		got[r.end(SliceEnded{Used: Cost{CPU: 100}, More: true})]++
 	}
 	if got[1] < 8 || got[1] > 12 {
-		t.Errorf("of 20 slices the one that was idle has %d", got[1])
+		t.Errorf("the owner that was idle got %d of 20 slices, want about 10", got[1])
 	}
 }
--- a/internal/work/finish.go
+++ b/internal/work/finish.go
@@ -22,7 +22,7 @@
 	if j.Resource != "" {
 		if b := s.breakers[j.Resource]; b != nil {
 			b.recordResult(s.now, j.ID, failed, &s.settings.Breaker)
-			if !b.open { // all that waited may try
+			if !b.open { // all jobs that waited for the resource may start
 				back := b.waiting
 				b.waiting = nil
 				for _, w := range back {
@@ -56,7 +56,7 @@
 	}
 }
 
-// scheduleRetry has a failed job wait for its backoff, or first for its kind's retry credit.
+// scheduleRetry makes a failed job wait for its backoff, or for retry credit if its kind has none.
 func (s *Scheduler) scheduleRetry(j *job, k *kind) {
 	pause := k.Retry.backoff(j.failures, s.random())
 	if k.retryBudget.credit >= 1 {
@@ -91,7 +91,7 @@
 	s.actions = append(s.actions, Finished{j.ID, dropped})
 }
 
-// removeWaiting removes a job from whatever it waits in.
+// removeWaiting removes a job from the queue, heap or list in which it waits.
 func (s *Scheduler) removeWaiting(j *job) {
 	switch j.state {
 	case ready:
@@ -107,6 +107,6 @@
 	case awaitingResource:
 		b := s.breakers[j.Resource]
 		b.waiting = slices.DeleteFunc(b.waiting, func(x *job) bool { return x == j })
-	case running, parked: // neither waits
+	case running, parked: // in no queue, heap or list
 	}
 }
--- a/internal/work/heap.go
+++ b/internal/work/heap.go
@@ -2,27 +2,27 @@
 
 import "container/heap"
 
-// indexedHeap is a heap whose items know their index in it, so that any can be removed.
+// indexedHeap is a heap that reports each item's index to setIndex, so that any item can be removed.
 type indexedHeap[T any] struct {
 	items    []T
 	less     func(a, b T) bool
-	setIndex func(x T, at int) // tells x its index; -1: it is not in the heap
+	setIndex func(x T, at int) // records the index of x; -1: x is not in the heap
 }
 
-// Len is heap.Interface's, as are Less, Swap, Push and Pop.
+// Len implements heap.Interface, as do Less, Swap, Push and Pop.
 func (o *indexedHeap[T]) Len() int { return len(o.items) }
 
-// Less is heap.Interface's.
+// Less implements heap.Interface.
 func (o *indexedHeap[T]) Less(i, j int) bool { return o.less(o.items[i], o.items[j]) }
 
-// Swap is heap.Interface's.
+// Swap implements heap.Interface.
 func (o *indexedHeap[T]) Swap(i, j int) {
 	o.items[i], o.items[j] = o.items[j], o.items[i]
 	o.setIndex(o.items[i], i)
 	o.setIndex(o.items[j], j)
 }
 
-// Push is heap.Interface's.
+// Push implements heap.Interface.
 func (o *indexedHeap[T]) Push(x any) {
 	v, ok := x.(T)
 	if !ok {
@@ -32,12 +32,12 @@
 	o.items = append(o.items, v)
 }
 
-// Pop is heap.Interface's.
+// Pop implements heap.Interface.
 func (o *indexedHeap[T]) Pop() any {
 	n := len(o.items) - 1
 	v := o.items[n]
-	var none T
-	o.items[n] = none
+	var zero T
+	o.items[n] = zero
 	o.items = o.items[:n]
 	o.setIndex(v, -1)
 	return v
--- a/internal/work/invariants_test.go
+++ b/internal/work/invariants_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// Generated histories against what the rules say, looked at from outside: no job is lost, no lock has two, no more run than
-// may, nothing waits that may run, and among those that may run the next one is of the best priority (but for every eighth).
+// Generated histories check the scheduler's invariants from its actions and views: every job submitted and not finished is listed, a lock
+// has one holder, no more slices run than allowed, no job that may run waits while a worker is free, and every job is finished or parked
+// in the end.
 func TestScheduler_Invariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		workers := rapid.IntRange(1, 3).Draw(t, "workers")
@@ -20,7 +21,7 @@
 			set.Rates[CPU] = Rate{PerSecond: 10, Burst: 10}
 		}
 		s := New(set, func() float64 { return 0.25 })
-		held, running, parked := map[ID]Job{}, map[ID]bool{}, map[ID]bool{}
+		unfinished, running, parked := map[ID]Job{}, map[ID]bool{}, map[ID]bool{}
 		now := time.Duration(0)
 		id := ID(0)
 		dropping := map[ID]bool{}
@@ -28,15 +29,15 @@
 			for _, a := range acts {
 				switch a := a.(type) {
 				case Start:
-					if running[a.ID] || parked[a.ID] || held[a.ID].ID == 0 {
-						t.Fatalf("job %d is started, and can't be", a.ID)
+					if running[a.ID] || parked[a.ID] || unfinished[a.ID].ID == 0 {
+						t.Fatalf("job %d is started, but is running, parked or unknown", a.ID)
 					}
 					running[a.ID] = true
 				case Finished:
-					if _, ok := held[a.ID]; !ok || a.Dropped != dropping[a.ID] {
-						t.Fatalf("job %d is over (%v)", a.ID, a.Dropped)
+					if _, ok := unfinished[a.ID]; !ok || a.Dropped != dropping[a.ID] {
+						t.Fatalf("job %d is finished (dropped: %v), but is unknown or was not to end so", a.ID, a.Dropped)
 					}
-					delete(held, a.ID)
+					delete(unfinished, a.ID)
 					delete(running, a.ID)
 					delete(parked, a.ID)
 				case Park:
@@ -44,38 +45,38 @@
 					delete(running, a.ID)
 				case Reject:
 					t.Fatalf("%+v", a)
-				case Stop: // the slice is ended below, as any
+				case Stop: // the slice ends below, like any other
 				}
 			}
 			if len(running) > workers {
-				t.Fatalf("%d run", len(running))
+				t.Fatalf("%d slices run", len(running))
 			}
 			locks, kinds := map[string]ID{}, map[string]int{}
 			for x := range running {
-				j := held[x]
+				j := unfinished[x]
 				if j.Lock != "" && locks[j.Lock] != 0 {
-					t.Fatalf("jobs %d and %d have lock %s", x, locks[j.Lock], j.Lock)
+					t.Fatalf("jobs %d and %d both hold lock %s", x, locks[j.Lock], j.Lock)
 				}
 				locks[j.Lock] = x
 				kinds[j.Kind]++
 			}
 			if kinds["k1"] > 1 {
-				t.Fatal("two of a kind that runs one")
+				t.Fatal("two slices of a kind whose limit is one run")
 			}
 			views := s.Views(Filter{})
-			if len(views) != len(held) {
-				t.Fatalf("%d jobs are held, %d should be", len(views), len(held))
+			if len(views) != len(unfinished) {
+				t.Fatalf("%d jobs are listed, want %d", len(views), len(unfinished))
 			}
 			for _, v := range views {
 				if (v.State == "running") != running[v.ID] || (v.State == "parked") != parked[v.ID] {
 					t.Fatalf("%+v; running %v, parked %v", v, running[v.ID], parked[v.ID])
 				}
-				// A job that has nothing to wait for but its turn waits only for a worker.
+				// A job may wait for its turn only if no worker is free.
 				if v.Reason == "its turn" && len(running) < workers {
-					t.Fatalf("job %d waits for nothing, and %d of %d run", v.ID, len(running), workers)
+					t.Fatalf("job %d waits for its turn, although only %d of %d workers are busy", v.ID, len(running), workers)
 				}
 				if v.State == "waiting" && v.Reason == "" {
-					t.Fatalf("%+v: nobody says why", v)
+					t.Fatalf("%+v: a waiting job has no reason", v)
 				}
 			}
 		}
@@ -90,7 +91,7 @@
 				if rapid.Bool().Draw(t, "later") {
 					j.Earliest = now + sec
 				}
-				held[id] = j
+				unfinished[id] = j
 				check(s.Step(now, monday, Submit{Job: j}))
 			case 2, 3:
 				for range running {
@@ -109,7 +110,7 @@
 			case 4:
 				if id > 0 {
 					x := ID(rapid.IntRange(1, int(id)).Draw(t, "id"))
-					if _, ok := held[x]; ok {
+					if _, ok := unfinished[x]; ok {
 						if rapid.Bool().Draw(t, "drop") {
 							dropping[x] = true
 							check(s.Step(now, monday, Command{Verb: Drop, ID: x}))
@@ -123,7 +124,7 @@
 				check(s.Step(now, monday, SetAllowance{rapid.SampledFrom([]float64{0.02, 0.5, 1}).Draw(t, "allow")}))
 			}
 		}
-		// Left alone, with all slices ending well, all that is not parked is done.
+		// Without further commands, and with all slices successful, every job that is not parked is finished.
 		check(s.Step(now, monday, SetAllowance{1}))
 		for range 2000 {
 			if len(running) > 0 {
@@ -139,9 +140,9 @@
 			now = next
 			check(s.Step(now, monday))
 		}
-		for x := range held {
+		for x := range unfinished {
 			if !parked[x] {
-				t.Fatalf("job %d is never done: %+v", x, s.Views(Filter{ID: x}))
+				t.Fatalf("job %d is never finished: %+v", x, s.Views(Filter{ID: x}))
 			}
 		}
 	})
--- a/internal/work/lock.go
+++ b/internal/work/lock.go
@@ -9,7 +9,7 @@
 	waiters *list.List
 }
 
-// inheritPriority gives the holder of a lock the priority of a job that waits for it.
+// inheritPriority raises the priority of the job that holds a lock to that of a job that waits for the lock.
 func (s *Scheduler) inheritPriority(j *job, p Priority) {
 	if p >= j.effective {
 		return
@@ -17,7 +17,7 @@
 	if j.state == ready {
 		s.dequeue(j)
 		j.effective = p
-		s.enqueue(j) // in its turn: it has been ready since it was
+		s.enqueue(j) // seq does not change, so the job is still ordered by when it became ready
 		return
 	}
 	j.effective = p
--- a/internal/work/pressure.go
+++ b/internal/work/pressure.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// LoadSignals is the load of live traffic. Each signal is divided by its target, and the worst counts.
+// LoadSignals is the load of live traffic. Each signal is divided by its target; the controller uses the largest ratio.
 type LoadSignals struct {
-	TurnLate    time.Duration // how late the loop's turns are
+	TurnLate    time.Duration // how late the turns of the event loop are
 	Calls       float64       // calls in flight, as a fraction of the slots
-	Pending     float64       // messages, as a fraction of their capacity
-	Journal     float64       // as a fraction of its capacity
-	DiskLatency time.Duration // from the begin of a write to the journal to the end of the loop's turn
+	Pending     float64       // pending messages, as a fraction of their capacity
+	Journal     float64       // size of the journal, as a fraction of its capacity
+	DiskLatency time.Duration // from the start of a write to the journal to the end of the event loop's turn
 }
 
-// Targets are the signals above which background work steps back; 0 is no target.
+// Targets are the values of the signals above which background work is reduced; 0 is no target.
 type Targets struct {
 	TurnLate    time.Duration
 	Calls       float64
@@ -20,7 +20,7 @@
 	DiskLatency time.Duration
 }
 
-// DefaultTargets returns targets that leave live traffic what it needs.
+// DefaultTargets returns targets that leave live traffic the capacity that it needs.
 func DefaultTargets() Targets {
 	return Targets{TurnLate: 5 * time.Millisecond, Calls: 0.8, Pending: 0.5, Journal: 0.7, DiskLatency: 50 * time.Millisecond}
 }
@@ -28,12 +28,12 @@
 // Constants of the controller; docs/design/work.md gives the reasons.
 const (
 	minAllowance     = 0.02
-	decreaseInterval = 100 * time.Millisecond // between two steps down
-	increaseInterval = 500 * time.Millisecond // and two up
+	decreaseInterval = 100 * time.Millisecond // minimum between two decreases
+	increaseInterval = 500 * time.Millisecond // minimum between two increases
 	increaseStep     = 0.1
 	decreaseFactor   = 0.5
-	increaseBelow    = 0.8 // of a target: below, it goes up
-	decreaseAbove    = 1.0
+	increaseBelow    = 0.8 // ratio to the target below which the allowance grows
+	decreaseAbove    = 1.0 // ratio to the target above which the allowance shrinks
 )
 
 // Pressure controls which fraction of its budget background work may use: AIMD on the worst signal, with a dead band. With zero Targets
@@ -48,22 +48,22 @@
 	worstSignal string
 }
 
-// Step takes in the load and returns the fraction, from minAllowance to 1. now does not go back.
-func (p *Pressure) Step(now time.Duration, f LoadSignals) float64 {
+// Step processes a sample of the load and returns the fraction, from minAllowance to 1. now must not go back.
+func (p *Pressure) Step(now time.Duration, load LoadSignals) float64 {
 	if !p.started {
 		p.started, p.allowance, p.changedAt = true, 1, now-increaseInterval
 	}
 	p.worst, p.worstSignal = 0, ""
-	see := func(name string, is, target float64) {
+	observe := func(name string, is, target float64) {
 		if target > 0 && is/target > p.worst {
 			p.worst, p.worstSignal = is/target, name
 		}
 	}
-	see("turns", float64(f.TurnLate), float64(p.Targets.TurnLate))
-	see("calls", f.Calls, p.Targets.Calls)
-	see("held", f.Pending, p.Targets.Pending)
-	see("journal", f.Journal, p.Targets.Journal)
-	see("disk", float64(f.DiskLatency), float64(p.Targets.DiskLatency))
+	observe("turns", float64(load.TurnLate), float64(p.Targets.TurnLate))
+	observe("calls", load.Calls, p.Targets.Calls)
+	observe("held", load.Pending, p.Targets.Pending)
+	observe("journal", load.Journal, p.Targets.Journal)
+	observe("disk", float64(load.DiskLatency), float64(p.Targets.DiskLatency))
 	switch {
 	case p.worst > decreaseAbove && now-p.changedAt >= decreaseInterval:
 		p.allowance, p.changedAt = max(p.allowance*decreaseFactor, minAllowance), now
@@ -73,7 +73,7 @@
 	return p.allowance
 }
 
-// Worst returns the signal that counted in the last Step, and its ratio to its target.
+// Worst returns the signal with the largest ratio to its target in the last Step, and that ratio.
 func (p *Pressure) Worst() (name string, over float64) { return p.worstSignal, p.worst }
 
 // Allowance returns the fraction that the last Step returned; 1 before the first.
--- a/internal/work/queue.go
+++ b/internal/work/queue.go
@@ -9,7 +9,7 @@
 	owner       *owner
 	level       *level
 	jobs        indexedHeap[*job]
-	virtualTime float64 // the owner's, when the queue was put in order
+	virtualTime float64 // the owner's, as of when the queue was last ordered
 	heapIndex   int     // in the level's heap; -1: the owner is throttled
 }
 
@@ -29,7 +29,7 @@
 	active          int // ready or running
 	paused          bool
 	idleIndex       int      // in Scheduler.idleOwners; -1: it has jobs
-	throttledQueues []*queue // out of their levels' heaps while the owner is in debt or paused
+	throttledQueues []*queue // not in their levels' heaps while the owner is in debt or paused
 	used            Cost
 }
 
@@ -49,7 +49,7 @@
 		l.queues[j.Owner] = q
 	}
 	o := q.owner
-	if o.active == 0 { // it was idle: it has no claim to what it did not use
+	if o.active == 0 { // an owner that was idle has no claim to the budget that it did not use
 		o.virtualTime = max(o.virtualTime, s.virtualTime)
 	}
 	o.active++
@@ -61,7 +61,7 @@
 	}
 }
 
-// orderQueue puts a queue into its level's heap, or aside if its owner is throttled.
+// orderQueue puts a queue into its level's heap, or among its owner's throttledQueues if the owner is in debt or paused.
 func (s *Scheduler) orderQueue(q *queue) {
 	if q.owner.paused || !q.owner.budget.solvent() {
 		q.owner.throttledQueues = append(q.owner.throttledQueues, q)
@@ -78,7 +78,7 @@
 	return x < y || x == y && a.seq < b.seq
 }
 
-// dequeue removes a ready job from its queue, and the queue from its level if it was the last.
+// dequeue removes a ready job from its queue, and the queue from its level if the queue is then empty.
 func (s *Scheduler) dequeue(j *job) {
 	q := j.queue
 	q.jobs.remove(j.heapIndex)
--- a/internal/work/report.go
+++ b/internal/work/report.go
@@ -13,7 +13,7 @@
 	Priority   string `json:"priority"`
 	State      string `json:"state"` // running, waiting or parked
 	Reason     string `json:"why,omitempty"`
-	ForMS      int64  `json:"for_ms,omitempty"` // it has been ready
+	ForMS      int64  `json:"for_ms,omitempty"` // how long it has been ready
 	SlicesDone int    `json:"slices"`
 	Failures   int    `json:"fails,omitempty"`
 	Err        string `json:"err,omitempty"`
@@ -29,7 +29,7 @@
 	Limit int
 }
 
-// Views returns the jobs that a filter selects, in the order of their numbers.
+// Views returns the jobs that a filter selects, in the order of their IDs.
 func (s *Scheduler) Views(f Filter) []View {
 	var ids []ID
 	for id, j := range s.jobs {
@@ -64,7 +64,7 @@
 	}
 }
 
-// waitReason tells what a job waits for; empty if it runs.
+// waitReason returns what a job waits for; empty if it runs.
 func (s *Scheduler) waitReason(j *job) string {
 	switch j.state {
 	case running:
--- a/internal/work/retry.go
+++ b/internal/work/retry.go
@@ -6,9 +6,9 @@
 
 // Retry is the retry policy of a kind: exponential backoff with full jitter, within a retry budget.
 type Retry struct {
-	InitialBackoff time.Duration // upper bound of the wait after the first failure; it doubles with each
-	MaxBackoff     time.Duration // up to this
-	MaxFailures    int           // in a row, after which it is parked; 0: never
+	InitialBackoff time.Duration // upper bound of the wait after the first failure; doubles with each further one
+	MaxBackoff     time.Duration // limit of that upper bound
+	MaxFailures    int           // consecutive failures after which the job is parked; 0: never
 	Ratio          float64       // retries per success
 	Credit         float64       // retries that may be saved up
 }
@@ -18,8 +18,8 @@
 	return Retry{InitialBackoff: time.Second, MaxBackoff: 10 * time.Minute, MaxFailures: 8, Ratio: 0.1, Credit: 10}
 }
 
-// backoff is how long to wait after the n-th failure in a row: anything up to the doubled first one (full jitter), by a
-// random number of at least 0 and under 1.
+// backoff returns how long to wait after the n-th consecutive failure: random, a number from 0 to under 1, times the exponential upper
+// bound (full jitter).
 func (r *Retry) backoff(n int, random float64) time.Duration {
 	top := r.MaxBackoff
 	if n < 30 {
@@ -30,13 +30,13 @@
 	return time.Duration(random * float64(top))
 }
 
-// retryBudget keeps retries a part of successes: when everything fails at once, a few are tried and the others wait.
+// retryBudget limits retries to a fraction of successes: when all jobs fail at once, a few are retried and the others wait.
 type retryBudget struct {
 	credit float64
 }
 
-// recordSuccess earns credit for a success. A retry that succeeds also gets back what it took, so that a backlog of failures drains as
-// fast as any work once its cause is gone.
+// recordSuccess earns credit for a success. A retry that succeeds also returns the credit that it took, so that a backlog of
+// failed jobs drains as fast as other work once the cause of the failures is gone.
 func (b *retryBudget) recordSuccess(r *Retry, retry bool) {
 	gain := r.Ratio
 	if retry {
@@ -45,13 +45,13 @@
 	b.credit = min(b.credit+gain, max(r.Credit, 1))
 }
 
-// creditInterval is how long it takes for one retry to be earned by waiting alone, so that a kind that only fails goes on trying.
+// creditInterval is the time in which a kind earns one retry without any success, so that a kind whose jobs all fail keeps retrying.
 const creditInterval = 10 * time.Second
 
-// Breaker is the policy of circuit breakers, of which each resource has one.
+// Breaker is the policy of the circuit breakers. Each resource has one breaker.
 type Breaker struct {
-	FailureThreshold int           // in a row; 0: never
-	OpenTime         time.Duration // after it one job is the trial (half-open)
+	FailureThreshold int           // consecutive failures that open the breaker; 0: never
+	OpenTime         time.Duration // after which one job is admitted as the trial (half-open)
 }
 
 // DefaultBreaker returns the policy for a disk or a peer.
@@ -60,7 +60,7 @@
 // breaker is the circuit breaker of one resource.
 type breaker struct {
 	failures int
-	until    time.Duration // open
+	until    time.Duration // end of OpenTime
 	open     bool
 	trial    ID // half-open: the job that tries the resource; 0: none
 	waiting  []*job
@@ -78,7 +78,7 @@
 	return true
 }
 
-// recordResult takes in how a slice on the resource ended, and reports whether the breaker has closed.
+// recordResult records how a slice that uses the resource ended, and reports whether that closed the breaker.
 func (b *breaker) recordResult(now time.Duration, id ID, failed bool, c *Breaker) (closed bool) {
 	if !failed {
 		was := b.open
--- a/internal/work/rig_test.go
+++ b/internal/work/rig_test.go
@@ -9,24 +9,24 @@
 
 const sec = time.Second
 
-// rig is a scheduler with its clock, and what it did.
+// rig is a scheduler with its clock, and a record of the actions that it returned.
 type rig struct {
-	t       testing.TB
-	s       *Scheduler
-	now     time.Duration
-	wall    time.Time
-	running []ID
-	over    []ID
-	dropped []ID
-	parked  map[ID]string
-	refused map[ID]string
-	stopped []ID
+	t        testing.TB
+	s        *Scheduler
+	now      time.Duration
+	wall     time.Time
+	running  []ID
+	finished []ID
+	dropped  []ID
+	parked   map[ID]string
+	rejected map[ID]string
+	stopped  []ID
 }
 
 var monday = time.Date(2026, 11, 30, 12, 0, 0, 0, time.UTC)
 
 func newRig(t testing.TB, set Settings) *rig {
-	return &rig{t: t, s: New(set, func() float64 { return 0.5 }), wall: monday, parked: map[ID]string{}, refused: map[ID]string{}}
+	return &rig{t: t, s: New(set, func() float64 { return 0.5 }), wall: monday, parked: map[ID]string{}, rejected: map[ID]string{}}
 }
 
 func (r *rig) step(events ...Event) *rig {
@@ -38,12 +38,12 @@
 			if a.Dropped {
 				r.dropped = append(r.dropped, a.ID)
 			} else {
-				r.over = append(r.over, a.ID)
+				r.finished = append(r.finished, a.ID)
 			}
 		case Park:
 			r.parked[a.ID] = a.Reason
 		case Reject:
-			r.refused[a.ID] = a.Reason
+			r.rejected[a.ID] = a.Reason
 		case Stop:
 			r.stopped = append(r.stopped, a.ID)
 		}
@@ -64,26 +64,26 @@
 	return r
 }
 
-// end ends the slice that runs for longest, and gives its job.
+// end ends the slice that has run for longest, and returns its job.
 func (r *rig) end(e SliceEnded) ID {
 	r.t.Helper()
 	if len(r.running) == 0 {
-		r.t.Fatal("nothing runs")
+		r.t.Fatal("no slice runs")
 	}
 	e.ID, r.running = r.running[0], r.running[1:]
 	r.step(e)
 	return e.ID
 }
 
-func (r *rig) runs(ids ...ID) *rig {
+func (r *rig) wantRunning(ids ...ID) *rig {
 	r.t.Helper()
 	if !slices.Equal(r.running, ids) {
-		r.t.Fatalf("%v runs, want %v", r.running, ids)
+		r.t.Fatalf("%v run, want %v", r.running, ids)
 	}
 	return r
 }
 
-func (r *rig) why(id ID, want string) *rig {
+func (r *rig) wantReason(id ID, want string) *rig {
 	r.t.Helper()
 	v := r.s.Views(Filter{ID: id})
 	if len(v) != 1 || !strings.Contains(v[0].Reason, want) {
@@ -92,7 +92,7 @@
 	return r
 }
 
-func one(set Settings) Settings { // a single worker
+func singleWorker(set Settings) Settings {
 	set.Limits.Running = 1
 	return set
 }
--- a/internal/work/schedule_test.go
+++ b/internal/work/schedule_test.go
@@ -9,12 +9,12 @@
 	t.Helper()
 	z, err := time.LoadLocation(name)
 	if err != nil {
-		t.Skip("no zone data here: ", err)
+		t.Skip("no time zone data: ", err)
 	}
 	return z
 }
 
-// Times of day on days of 23 and 25 hours, over restarts, and with clocks that jump.
+// Schedules on days of 23 and 25 hours, after missed times, and with clocks that jump.
 func TestSchedule_Due(t *testing.T) {
 	berlin := mustZone(t, "Europe/Berlin")
 	at := func(text string) time.Time {
@@ -27,9 +27,9 @@
 	}
 	half := Schedule{At: 2*time.Hour + 30*time.Minute, Zone: berlin}
 	for _, c := range []struct{ after, want string }{
-		{"2026-03-28 12:00:00", "2026-03-29 03:00:00 +0200"}, // 02:30 does not exist: the first moment after the gap
+		{"2026-03-28 12:00:00", "2026-03-29 03:00:00 +0200"}, // 02:30 is skipped: the first moment after the gap
 		{"2026-03-29 12:00:00", "2026-03-30 02:30:00 +0200"},
-		{"2026-10-24 12:00:00", "2026-10-25 02:30:00 +0200"}, // it comes twice: the first
+		{"2026-10-24 12:00:00", "2026-10-25 02:30:00 +0200"}, // 02:30 occurs twice: the first
 		{"2026-12-31 12:00:00", "2027-01-01 02:30:00 +0100"},
 	} {
 		if got := half.after(at(c.after)).Format("2006-01-02 15:04:05 -0700"); got != c.want {
@@ -38,9 +38,9 @@
 	}
 	first := half.after(at("2026-10-24 12:00:00"))
 	if second := half.after(first); second.Format("2006-01-02 15:04") != "2026-10-26 02:30" {
-		t.Errorf("on the day of 25 hours it comes again at %v", second)
+		t.Errorf("the run after the one on the day of 25 hours is at %v", second)
 	}
-	// A year of days, each once, whatever the day's length.
+	// One run on each day of a year, whatever the day's length.
 	day := Schedule{At: 2*time.Hour + 30*time.Minute, Zone: berlin, Missed: MissedAll}
 	last, n := at("2026-01-01 00:00:00"), 0
 	for now := last; now.Before(at("2027-01-01 00:00:00")); now = now.Add(17 * time.Minute) {
@@ -74,7 +74,7 @@
 			t.Errorf("%s: %d runs, last %v, next %v", name, runs, last, next)
 		}
 	}
-	// Set ahead by an hour, and back: what ran in that hour does not run again.
+	// The clock is set ahead by an hour and back: the runs of that hour are not repeated.
 	s := every(MissedOnce)
 	s.Every = 10 * time.Minute
 	runs, last, _ := s.Due(begin, begin.Add(time.Hour))
@@ -88,6 +88,6 @@
 		t.Error(runs, again)
 	}
 	if runs, last, next := s.Due(time.Time{}, begin); runs != 0 || !last.Equal(begin) || !next.Equal(begin.Add(10*time.Minute)) {
-		t.Error("the first time:", runs, last, next)
+		t.Error("without a previous run:", runs, last, next)
 	}
 }
--- a/internal/work/scheduler.go
+++ b/internal/work/scheduler.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Scheduler decides what runs next; the package comment tells how. It is for one goroutine.
+// Scheduler decides which slice runs next, as the package comment describes. It is for one goroutine.
 type Scheduler struct {
 	settings Settings
 	random   func() float64
@@ -17,18 +17,18 @@
 	levels              [priorities]map[string]*level
 	kinds               map[string]*kind
 	owners              map[string]*owner
-	readyCount          int // jobs that are ready
+	readyCount          int
 	locks               map[string]*lock
 	breakers            map[string]*breaker
 	throttledOwners     map[*owner]struct{}
-	idleOwners          indexedHeap[*owner] // without jobs, and ahead of the others in virtual time: removed when those have caught up
+	idleOwners          indexedHeap[*owner] // owners without jobs; each is removed once Scheduler.virtualTime has reached its own virtual time
 	totalBudget         *buckets
 	pool                [Currencies]float64
 	allowance           float64
 	virtualTime         float64
 	runningCount        int
 	starts              uint64
-	lowerPriorityStarts uint64 // of them, those of a lower priority
+	lowerPriorityStarts uint64 // the starts that nextJob gave to a lower priority
 	nextSequence        uint64
 	actions             []Action
 }
@@ -44,14 +44,14 @@
 	for i := range s.levels {
 		s.levels[i] = map[string]*level{}
 	}
-	for name := range set.Kinds { // also kinds without jobs: what they do not use goes to the pool
+	for name := range set.Kinds { // kinds without jobs too: the budget that they do not use goes to the pool
 		s.kind(name)
 	}
 	return s
 }
 
-// Step takes in events and returns the actions to do, in order. now is of a clock that does not go back; wall is the time of day, for the
-// kinds' windows.
+// Step processes events and returns the actions to perform, in order. now is from a clock that does not go back; wall is the time of day,
+// for the kinds' windows.
 func (s *Scheduler) Step(now time.Duration, wall time.Time, events ...Event) []Action {
 	s.now, s.wall = max(now, s.now), wall
 	s.actions = nil
@@ -77,8 +77,8 @@
 	return s.actions
 }
 
-// removeIdleOwners drops owners without jobs as soon as that changes nothing: an owner that is ahead in virtual time, in debt or paused
-// would come back without that.
+// removeIdleOwners removes owners without jobs once that does not affect scheduling. An owner that is ahead in virtual time, in debt or
+// paused must stay: it would be created again without that state when it submits its next job.
 func (s *Scheduler) removeIdleOwners() {
 	if len(s.jobs) == 0 {
 		for _, o := range s.idleOwners.items {
--- a/internal/work/settings.go
+++ b/internal/work/settings.go
@@ -4,30 +4,30 @@
 type (
 	// Limits bound the jobs that are accepted; 0 is no limit.
 	Limits struct {
-		Jobs      int   // of all
-		Bytes     int64 // of all
+		Jobs      int   // in total
+		Bytes     int64 // in total
 		OwnerJobs int   // of one owner
-		Depth     int   // jobs made by jobs made by jobs
-		Running   int   // slices at once
+		Depth     int   // of Job.Depth
+		Running   int   // concurrent slices
 	}
-	// Rate is how much may be used: tokens a second, and how many may be saved up. No rate: no bound.
+	// Rate is a token bucket's refill rate, in tokens a second, and its capacity. The zero Rate sets no bound.
 	Rate struct {
 		PerSecond float64
 		Burst     float64
 	}
-	// Rates are those of all currencies.
+	// Rates has a Rate for each currency.
 	Rates [Currencies]Rate
-	// Kind is what is known of a kind of jobs.
+	// Kind has the settings of one kind of jobs.
 	Kind struct {
-		Rates   Rates   // guaranteed to it
-		Running int     // slices at once; 0: as many as there may be
-		Window  *Window // it runs only within; nil: always
+		Rates   Rates   // guaranteed to the kind
+		Running int     // concurrent slices; 0: only Limits.Running applies
+		Window  *Window // slices start only within it; nil: at any time
 		Retry   Retry
 	}
-	// Settings are all of a scheduler's.
+	// Settings has all settings of a scheduler.
 	Settings struct {
 		Limits  Limits
-		Rates   Rates              // of all work together, scaled by what pressure leaves
+		Rates   Rates              // of all work together, scaled by the allowance that pressure leaves
 		Owners  Rates              // of each owner
 		Weights map[string]float64 // of owners; 1 for all others
 		Kinds   map[string]Kind
--- a/internal/work/wake.go
+++ b/internal/work/wake.go
@@ -4,7 +4,8 @@
 	"time"
 )
 
-// wakeWaiting makes jobs ready that waited for a time, for retry credit, or for a resource, and puts back the queues of solvent owners.
+// wakeWaiting makes jobs ready that waited for a time, for retry credit, or for a resource, and puts the queues of owners that are no
+// longer throttled back into their levels' heaps.
 func (s *Scheduler) wakeWaiting() {
 	for {
 		j, ok := s.delayed.top()
@@ -24,7 +25,7 @@
 		}
 	}
 	for _, b := range s.breakers {
-		if b.open && b.trial == 0 && s.now >= b.until && len(b.waiting) > 0 { // one tries
+		if b.open && b.trial == 0 && s.now >= b.until && len(b.waiting) > 0 { // one job is the trial
 			j := b.waiting[0]
 			b.waiting = b.waiting[1:]
 			b.trial = j.ID
--- a/internal/work/window.go
+++ b/internal/work/window.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Window is a span of the day, in the time of a zone. If From is after To it reaches over midnight.
+// Window is a span of the day, in the time of a zone. If From is after To it spans midnight.
 type Window struct {
 	From, To time.Duration // since midnight
 	Zone     *time.Location
@@ -28,23 +28,23 @@
 	return false, t.Add(24 * time.Hour)
 }
 
-// wallTime returns a time of day on a date. A time that a clock set ahead skips is the first moment after the gap; of one that comes twice
-// it is the first.
+// wallTime returns a time of day on a date. If the clock is set ahead and skips that time, it returns the first moment after the gap; if
+// the time occurs twice, it returns the first.
 func wallTime(year int, month time.Month, day int, since time.Duration, zone *time.Location) time.Time {
 	h, m, s := int(since/time.Hour), int(since/time.Minute)%60, int(since/time.Second)%60
 	t := time.Date(year, month, day, h, m, s, 0, zone)
-	if t.Hour() != h || t.Minute() != m { // it is left out: Date gives a moment off by the gap, on either side
+	if t.Hour() != h || t.Minute() != m { // the time is skipped: time.Date returns a moment off by the gap, on either side
 		_, before := t.Add(-6 * time.Hour).Zone()
 		_, after := t.Add(6 * time.Hour).Zone()
 		gap := time.Duration(after-before) * time.Second
-		for probe := t.Add(-gap); probe.Before(t.Add(2 * gap)); probe = probe.Add(time.Minute) { // whole minutes, in all zones of today
+		for probe := t.Add(-gap); probe.Before(t.Add(2 * gap)); probe = probe.Add(time.Minute) { // all current zones change at whole minutes
 			if _, off := probe.Zone(); off == after {
 				return probe.Truncate(time.Minute)
 			}
 		}
 		return t
 	}
-	if first := t.Add(-time.Hour); first.Hour() == h && first.Minute() == m { // the earlier one of two
+	if first := t.Add(-time.Hour); first.Hour() == h && first.Minute() == m { // the time occurs twice
 		return first
 	}
 	return t
