--- a/internal/work/run/config.go
+++ b/internal/work/run/config.go
@@ -29,10 +29,10 @@
 	LastRun(timer string) (time.Time, error)
 	Intend(id work.ID) error
 	ClearIntent(id work.ID) error
-	RecordFailure(id work.ID, fails int, parked string) error
+	RecordFailure(id work.ID, failures int, parked string) error
 	Park(id work.ID, why string) error
-	Checkpoint(id work.ID, state []byte, earliest int64, made []store.Record) error
-	Complete(id work.ID, made []store.Record) error
+	Checkpoint(id work.ID, state []byte, earliest int64, spawned []store.Record) error
+	Complete(id work.ID, spawned []store.Record) error
 	Load(f func(store.Record) error) error
 	Close() error
 }
--- a/internal/work/run/operate.go
+++ b/internal/work/run/operate.go
@@ -4,14 +4,14 @@
 	"saffronyard.example/saffronyard/internal/work"
 )
 
-// Command does an operator's command.
+// Command applies an operator's command.
 func (r *Runner) Command(c work.Command) error {
 	return r.call(func() {
-		if c.Verb == work.Run { // what was parked is so no more, in the store too
+		if c.Verb == work.Run { // the store too must record that the jobs are no longer parked
 			for _, v := range r.sched.Views(work.Filter{ID: c.ID, Kind: c.Kind, Owner: c.Owner, State: "parked"}) {
 				if r.persisted(v.ID) {
 					if err := r.store.Park(v.ID, ""); err != nil {
-						r.log.Warn("a job's release from parking can't be stored", "job", v.ID, "err", err)
+						r.log.Warn("failed to store that a job is no longer parked", "job", v.ID, "err", err)
 					}
 				}
 				r.records[v.ID].Failures = 0
@@ -37,7 +37,7 @@
 	Owners     []work.Total `json:"owners"`
 	JobCount   int          `json:"held"`
 	Running    int          `json:"running"`
-	Allowance  float64      `json:"allow"` // the part of its budget that live traffic leaves
+	Allowance  float64      `json:"allow"` // fraction of the budget that live traffic leaves
 	Worst      string       `json:"worst,omitempty"`
 	WorstRatio float64      `json:"over"`
 }
--- a/internal/work/run/resume.go
+++ b/internal/work/run/resume.go
@@ -8,7 +8,7 @@
 	"saffronyard.example/saffronyard/internal/work/store"
 )
 
-// resume submits the jobs that an earlier process left.
+// resume submits the stored jobs, which an earlier process did not finish.
 func (r *Runner) resume() error {
 	var events []work.Event
 	err := r.store.Load(func(rec store.Record) error {
@@ -36,10 +36,10 @@
 			}
 		}
 	}
-	// What is held already is held, whatever the bounds are now; but no more run than there are workers.
-	open := r.config.Settings
-	open.Limits = work.Limits{Running: r.config.Workers}
-	r.step(append([]work.Event{work.Configure{Settings: open}}, events...)...)
+	// Stored jobs are accepted even if they exceed the configured limits, but no more slices may run than there are workers.
+	unlimited := r.config.Settings
+	unlimited.Limits = work.Limits{Running: r.config.Workers}
+	r.step(append([]work.Event{work.Configure{Settings: unlimited}}, events...)...)
 	r.step(work.Configure{Settings: r.config.Settings})
 	return nil
 }
--- a/internal/work/run/runner.go
+++ b/internal/work/run/runner.go
@@ -14,11 +14,11 @@
 
 const (
 	loadInterval  = 100 * time.Millisecond
-	timerInterval = 30 * time.Second // wall clocks jump: schedules and windows are looked at so often
+	timerInterval = 30 * time.Second // schedules and windows are checked this often, since wall clocks jump
 	maxStackBytes = 1 << 20
 )
 
-// Runner does background work; the package comment tells how.
+// Runner runs background jobs, as the package comment describes.
 type Runner struct {
 	config    Config
 	log       *slog.Logger
@@ -33,15 +33,15 @@
 	done     chan struct{}
 	workers  sync.WaitGroup
 
-	// The loop's.
+	// Owned by the loop.
 	sched          *work.Scheduler
 	pressure       work.Pressure
 	running        map[work.ID]*runningSlice
-	records        map[work.ID]*store.Record // of all jobs that are held
-	nextVolatileID work.ID                   // numbers of volatile jobs count down from here
-	lastRuns       map[string]time.Time      // schedules: of which time the last run was
+	records        map[work.ID]*store.Record // of all unfinished jobs
+	nextVolatileID work.ID                   // IDs of volatile jobs count down from here
+	lastRuns       map[string]time.Time      // scheduled time of each timer's last run
 	dueTimes       map[string]time.Time
-	timerFailing   bool // the store
+	timerFailing   bool // the last submission of a timer's jobs failed, which was logged
 }
 
 type runningSlice struct {
@@ -111,11 +111,11 @@
 func (r *Runner) loop() {
 	defer close(r.done)
 	timer := time.NewTimer(0)
-	facts := time.NewTicker(loadInterval)
-	look := time.NewTicker(timerInterval)
+	loadTicker := time.NewTicker(loadInterval)
+	timerTicker := time.NewTicker(timerInterval)
 	defer timer.Stop()
-	defer facts.Stop()
-	defer look.Stop()
+	defer loadTicker.Stop()
+	defer timerTicker.Stop()
 	r.submitDueTimers()
 	for {
 		timer.Reset(max(0, min(r.sched.Next()-r.now(), r.nextTimer())))
@@ -126,14 +126,14 @@
 			f()
 		case e := <-r.results:
 			r.handleResult(e)
-		case <-facts.C:
+		case <-loadTicker.C:
 			r.reportSlowSlices()
-			part := 1.0
+			fraction := 1.0
 			if r.config.Load != nil && !r.config.IgnorePressure {
-				part = r.pressure.Step(r.now(), r.config.Load())
+				fraction = r.pressure.Step(r.now(), r.config.Load())
 			}
-			r.step(work.SetAllowance{Fraction: part})
-		case <-look.C:
+			r.step(work.SetAllowance{Fraction: fraction})
+		case <-timerTicker.C:
 			r.submitDueTimers()
 			r.step()
 		case <-timer.C:
@@ -147,14 +147,14 @@
 	r.apply(r.sched.Step(r.now(), r.config.Wall(), events...))
 }
 
-// apply does the actions of the scheduler.
+// apply performs the actions of the scheduler.
 func (r *Runner) apply(actions []work.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case work.Start:
 			r.startSlice(a.ID)
-		case work.Reject: // it was asked before whether there is room
-			r.log.Error("a job is refused", "job", a.ID, "why", a.Reason)
+		case work.Reject: // unexpected: CheckCapacity permitted the job before
+			r.log.Error("the scheduler rejected a job", "job", a.ID, "why", a.Reason)
 			delete(r.records, a.ID)
 		case work.Finished:
 			if a.Dropped {
@@ -174,8 +174,8 @@
 // persisted reports whether a job is in the store, and not volatile.
 func (r *Runner) persisted(id work.ID) bool { return id < 1<<61 }
 
-// Close cancels the slices that run and waits for them, up to a time-out. A slice that overruns it is logged, and counts as one that a
-// kill has cut off.
+// Close cancels the slices that run and waits for them, up to a time-out. A slice that overruns it is logged, and the next process
+// treats it as interrupted by a kill.
 func (r *Runner) Close(timeout time.Duration) error {
 	r.stop()
 	<-r.done
@@ -188,7 +188,7 @@
 	defer timer.Stop()
 	for {
 		select {
-		case e := <-r.results: // done in the last moment: it is written down
+		case e := <-r.results: // a slice that ends while Close waits is recorded
 			r.handleResult(e)
 		case <-drained:
 			r.drainResults()
--- a/internal/work/run/runner_test.go
+++ b/internal/work/run/runner_test.go
@@ -17,87 +17,87 @@
 	"saffronyard.example/saffronyard/internal/work/store"
 )
 
-const wait = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-var errDead = errors.New("the process is dead")
+var errCrashed = errors.New("the process has crashed")
 
-// mortal is a process that dies at its n-th step, before it or after it. Steps are those of the store, and the effects of
-// slices on the world outside. Once it is dead nothing of it reaches either.
-type mortal struct {
-	mu     sync.Mutex
-	steps  int
-	dies   int
-	after  bool
-	dead   bool
-	killed chan struct{}
+// crashingProcess simulates a process that crashes at step crashAt, before or after the step takes effect. Steps are writes to the store
+// and side effects of slices. After the crash neither has any effect.
+type crashingProcess struct {
+	mu          sync.Mutex
+	steps       int
+	crashAt     int
+	afterStep   bool
+	crashed     bool
+	crashSignal chan struct{}
 }
 
-func (m *mortal) do(f func() error) error {
+func (m *crashingProcess) do(f func() error) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.dead {
-		return errDead
+	if m.crashed {
+		return errCrashed
 	}
 	m.steps++
-	if m.steps != m.dies {
+	if m.steps != m.crashAt {
 		return f()
 	}
-	m.dead = true
-	close(m.killed)
-	if m.after {
+	m.crashed = true
+	close(m.crashSignal)
+	if m.afterStep {
 		f()
 	}
-	return errDead
+	return errCrashed
 }
 
-// dying is a store of a mortal process.
-type dying struct {
+// crashingStore is the store of a crashingProcess.
+type crashingStore struct {
 	jobStore
-	m *mortal
+	process *crashingProcess
 }
 
-func (d dying) Add(r []store.Record, timer string, ran time.Time) error {
-	return d.m.do(func() error { return d.jobStore.Add(r, timer, ran) })
+func (d crashingStore) Add(r []store.Record, timer string, ran time.Time) error {
+	return d.process.do(func() error { return d.jobStore.Add(r, timer, ran) })
 }
-func (d dying) Intend(id work.ID) error {
-	return d.m.do(func() error { return d.jobStore.Intend(id) })
+func (d crashingStore) Intend(id work.ID) error {
+	return d.process.do(func() error { return d.jobStore.Intend(id) })
 }
-func (d dying) ClearIntent(id work.ID) error {
-	return d.m.do(func() error { return d.jobStore.ClearIntent(id) })
+func (d crashingStore) ClearIntent(id work.ID) error {
+	return d.process.do(func() error { return d.jobStore.ClearIntent(id) })
 }
-func (d dying) RecordFailure(id work.ID, n int, p string) error {
-	return d.m.do(func() error { return d.jobStore.RecordFailure(id, n, p) })
+func (d crashingStore) RecordFailure(id work.ID, n int, p string) error {
+	return d.process.do(func() error { return d.jobStore.RecordFailure(id, n, p) })
 }
-func (d dying) Checkpoint(id work.ID, s []byte, e int64, m []store.Record) error {
-	return d.m.do(func() error { return d.jobStore.Checkpoint(id, s, e, m) })
+func (d crashingStore) Checkpoint(id work.ID, s []byte, e int64, m []store.Record) error {
+	return d.process.do(func() error { return d.jobStore.Checkpoint(id, s, e, m) })
 }
-func (d dying) Complete(id work.ID, m []store.Record) error {
-	return d.m.do(func() error { return d.jobStore.Complete(id, m) })
+func (d crashingStore) Complete(id work.ID, m []store.Record) error {
+	return d.process.do(func() error { return d.jobStore.Complete(id, m) })
 }
 
-// world is what slices do to others: so often each.
-type world struct {
-	mu      sync.Mutex
-	effects map[string]int
+// sideEffects counts the side effects of slices by name.
+type sideEffects struct {
+	mu     sync.Mutex
+	counts map[string]int
 }
 
-func (w *world) happen(m *mortal, what string) error {
+func (w *sideEffects) perform(m *crashingProcess, what string) error {
 	return m.do(func() error {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.effects[what]++
+		w.counts[what]++
 		return nil
 	})
 }
 
-func (w *world) happened(what string) bool {
+func (w *sideEffects) performed(what string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.effects[what] > 0
+	return w.counts[what] > 0
 }
 
-// counting is a kind whose jobs have three slices with an effect each; the second makes another job, which has one.
-func counting(name string, w *world, m *mortal, repeat, settles bool) *Kind {
+// threeSliceKind returns a kind whose jobs have three slices with one side effect each. The second slice spawns a job with one slice.
+func threeSliceKind(name string, w *sideEffects, m *crashingProcess, idempotent, hasCheckDone bool) *Kind {
 	next := func(t Task) (Result, string) {
 		n := len(t.State) // "", "p", "pp"; a child begins with "c"
 		what := fmt.Sprintf("%s %s %d", name, t.Owner, n)
@@ -110,20 +110,20 @@
 		}
 		return r, what
 	}
-	k := &Kind{Name: name, Idempotent: repeat, Slice: func(_ context.Context, t Task) (Result, error) {
+	k := &Kind{Name: name, Idempotent: idempotent, Slice: func(_ context.Context, t Task) (Result, error) {
 		r, what := next(t)
-		return r, w.happen(m, what)
+		return r, w.perform(m, what)
 	}}
-	if settles {
+	if hasCheckDone {
 		k.CheckDone = func(_ context.Context, t Task) (bool, Result, error) {
 			r, what := next(t)
-			return w.happened(what), r, nil
+			return w.performed(what), r, nil
 		}
 	}
 	return k
 }
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 func config(path string) Config {
 	return Config{Path: path, Bytes: 1 << 20, Workers: 2, Settings: work.Settings{Limits: work.Limits{Jobs: 1000, OwnerJobs: 1000, Depth: 2},
@@ -133,7 +133,7 @@
 // waitUntilIdle waits until nothing but parked jobs is left.
 func waitUntilIdle(t *testing.T, r *Runner) Report {
 	t.Helper()
-	for over := time.Now().Add(wait); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
 		rep, err := r.Report(work.Filter{})
 		if err != nil {
 			t.Fatal(err)
@@ -147,50 +147,51 @@
 		if left == 0 {
 			return rep
 		}
-		if time.Now().After(over) {
+		if time.Now().After(deadline) {
 			t.Fatalf("%+v", rep.Jobs)
 		}
 	}
 }
 
-// The process dies at each step that writes or has an effect, before it and after it: the next one goes on, and each slice
-// has been done once; or once more where its kind says that this does no harm; or, where nobody can say, its job is parked.
+// The process crashes before or after each step that writes to the store or has a side effect, and the next process resumes the jobs. Each
+// slice must be done exactly once; a slice of an idempotent kind may be done once more, and a job whose interrupted slice can't be checked
+// is parked.
 func TestRunner_DiesAtEachStep(t *testing.T) {
 	jobs := []JobSpec{{Kind: "repeat", Owner: "a"}, {Kind: "settle", Owner: "b"}, {Kind: "neither", Owner: "c"}}
-	play := func(t *testing.T, dies int, after bool) (steps int) {
+	runWithCrash := func(t *testing.T, crashAt int, afterStep bool) (steps int) {
 		path := filepath.Join(t.TempDir(), "work.db")
-		w := &world{effects: map[string]int{}}
-		kinds := func(m *mortal) []*Kind {
-			return []*Kind{counting("repeat", w, m, true, false), counting("settle", w, m, false, true), counting("neither", w, m, false, false)}
+		w := &sideEffects{counts: map[string]int{}}
+		kinds := func(m *crashingProcess) []*Kind {
+			return []*Kind{threeSliceKind("repeat", w, m, true, false), threeSliceKind("settle", w, m, false, true), threeSliceKind("neither", w, m, false, false)}
 		}
-		first := &mortal{dies: dies, after: after, killed: make(chan struct{})}
+		first := &crashingProcess{crashAt: crashAt, afterStep: afterStep, crashSignal: make(chan struct{})}
 		c := config(path)
-		c.wrapStore = func(k jobStore) jobStore { return dying{k, first} }
-		r, err := Start(c, kinds(first), quiet())
+		c.wrapStore = func(k jobStore) jobStore { return crashingStore{k, first} }
+		r, err := Start(c, kinds(first), discardLogger())
 		if err != nil {
 			t.Fatal(err)
 		}
 		submitted := r.Submit(jobs...) == nil
-		if dies == 0 {
+		if crashAt == 0 {
 			waitUntilIdle(t, r)
 		} else {
 			select {
-			case <-first.killed:
-			case <-time.After(wait):
-				t.Fatal("it does not come to this step")
+			case <-first.crashSignal:
+			case <-time.After(waitTimeout):
+				t.Fatal("the process does not reach this step")
 			}
 		}
-		if err := r.Close(wait); err != nil {
+		if err := r.Close(waitTimeout); err != nil {
 			t.Fatal(err)
 		}
-		if dies == 0 {
+		if crashAt == 0 {
 			return first.steps
 		}
-		second := &mortal{killed: make(chan struct{})}
-		if r, err = Start(config(path), kinds(second), quiet()); err != nil {
+		second := &crashingProcess{crashSignal: make(chan struct{})}
+		if r, err = Start(config(path), kinds(second), discardLogger()); err != nil {
 			t.Fatal(err)
 		}
-		defer r.Close(wait)
+		defer r.Close(waitTimeout)
 		rep := waitUntilIdle(t, r)
 		for _, j := range rep.Jobs {
 			if j.Kind != "neither" || !strings.Contains(j.Err, "may have been done") {
@@ -198,108 +199,108 @@
 			}
 		}
 		if len(rep.Jobs) > 2 {
-			t.Errorf("%d are parked", len(rep.Jobs))
+			t.Errorf("%d jobs are parked, want at most 2", len(rep.Jobs))
 		}
-		twice := 0
-		for what, n := range w.effects {
+		repeated := 0
+		for what, n := range w.counts {
 			if n > 1 {
-				twice += n - 1
+				repeated += n - 1
 				if !strings.HasPrefix(what, "repeat") {
 					t.Errorf("%s happened %d times", what, n)
 				}
 			}
 		}
-		if twice > 2 { // two slices may be under way
-			t.Errorf("%d effects came again", twice)
+		if repeated > 2 { // two slices may be in flight
+			t.Errorf("%d side effects were repeated, want at most 2", repeated)
 		}
-		if submitted || len(w.effects) > 0 {
+		if submitted || len(w.counts) > 0 {
 			for _, kind := range []string{"repeat a", "settle b", "neither c"} {
 				if kind == "neither c" && len(rep.Jobs) > 0 {
 					continue
 				}
 				for _, what := range []string{"0", "1", "2", "1 child"} {
-					if w.effects[kind+" "+what] == 0 {
-						t.Errorf("%s %s never happened: %v", kind, what, w.effects)
+					if w.counts[kind+" "+what] == 0 {
+						t.Errorf("%s %s never happened: %v", kind, what, w.counts)
 					}
 				}
 			}
 		}
 		return 0
 	}
-	steps := play(t, 0, false)
+	steps := runWithCrash(t, 0, false)
 	if steps < 30 {
 		t.Fatalf("%d steps", steps)
 	}
-	for dies := 1; dies <= steps; dies++ {
-		for _, after := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%d/%v", dies, after), func(t *testing.T) {
+	for crashAt := 1; crashAt <= steps; crashAt++ {
+		for _, afterStep := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%d/%v", crashAt, afterStep), func(t *testing.T) {
 				t.Parallel()
-				play(t, dies, after)
+				runWithCrash(t, crashAt, afterStep)
 			})
 		}
 	}
 }
 
-// A store that is full, or fails for a while: what is not taken is said to be so, what is done and can't be written down is
-// done again only where that does no harm, and it goes on when the disk does.
+// The store is full or fails for a while. Submit must return the error. A slice whose result can't be stored is done again only if its kind
+// is idempotent, and else its job is parked. Jobs continue when the store works again.
 func TestRunner_StoreFails(t *testing.T) {
-	w := &world{effects: map[string]int{}}
-	m := &mortal{killed: make(chan struct{})}
+	w := &sideEffects{counts: map[string]int{}}
+	m := &crashingProcess{crashSignal: make(chan struct{})}
 	c := config(filepath.Join(t.TempDir(), "work.db"))
-	fails := &failing{}
-	c.wrapStore = func(k jobStore) jobStore { fails.jobStore = k; return fails }
+	st := &failingStore{}
+	c.wrapStore = func(k jobStore) jobStore { st.jobStore = k; return st }
 	c.Settings.Kinds["repeat"] = work.Kind{Retry: work.Retry{InitialBackoff: 1, MaxBackoff: 1, Credit: 100}}
-	r, err := Start(c, []*Kind{counting("repeat", w, m, true, false), counting("neither", w, m, false, false)}, quiet())
+	r, err := Start(c, []*Kind{threeSliceKind("repeat", w, m, true, false), threeSliceKind("neither", w, m, false, false)}, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Close(wait)
-	fails.set(true)
+	defer r.Close(waitTimeout)
+	st.failAdd(true)
 	if err := r.Submit(JobSpec{Kind: "repeat", Owner: "a"}); !errors.Is(err, errFull) {
 		t.Error(err)
 	}
-	fails.set(false)
+	st.failAdd(false)
 	if err := r.Submit(JobSpec{Kind: "repeat", Owner: "a"}, JobSpec{Kind: "neither", Owner: "b", Delay: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
-	settle := func() { // all but the one that waits for an hour
-		for over := time.Now().Add(wait); ; time.Sleep(time.Millisecond) {
+	waitForRepeatJobs := func() { // all jobs but the one that is delayed by an hour
+		for deadline := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
 			if rep, _ := r.Report(work.Filter{Kind: "repeat"}); len(rep.Jobs) == 0 {
 				return
 			}
-			if time.Now().After(over) {
-				t.Fatal("it does not go on")
+			if time.Now().After(deadline) {
+				t.Fatal("the jobs are not finished")
 			}
 		}
 	}
-	settle()
-	fails.checkpoints(true)
+	waitForRepeatJobs()
+	st.failCheckpoint(true)
 	if err := r.Submit(JobSpec{Kind: "repeat", Owner: "z"}); err != nil {
 		t.Fatal(err)
 	}
-	for over := time.Now().Add(wait); !w.happened("repeat z 0"); time.Sleep(time.Millisecond) {
-		if time.Now().After(over) {
-			t.Fatal("it was not begun")
+	for deadline := time.Now().Add(waitTimeout); !w.performed("repeat z 0"); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("the slice was not started")
 		}
 	}
-	fails.checkpoints(false)
-	settle()
-	// What can't be done twice and can't be written down is parked.
-	fails.checkpoints(true)
+	st.failCheckpoint(false)
+	waitForRepeatJobs()
+	// A slice that is not idempotent and whose result can't be stored has its job parked.
+	st.failCheckpoint(true)
 	if err := r.Command(work.Command{Verb: work.Run, Kind: "neither"}); err != nil {
 		t.Fatal(err)
 	}
 	rep := waitUntilIdle(t, r)
-	if len(rep.Jobs) != 1 || !strings.Contains(rep.Jobs[0].Err, "can't be written down") || w.effects["neither b 0"] != 1 {
-		t.Errorf("%+v, %v", rep.Jobs, w.effects)
+	if len(rep.Jobs) != 1 || !strings.Contains(rep.Jobs[0].Err, "the slice can't be stored") || w.counts["neither b 0"] != 1 {
+		t.Errorf("%+v, %v", rep.Jobs, w.counts)
 	}
-	big := config(filepath.Join(t.TempDir(), "small.db"))
-	big.Bytes = 1000
-	r2, err := Start(big, []*Kind{counting("repeat", w, m, true, false)}, quiet())
+	small := config(filepath.Join(t.TempDir(), "small.db"))
+	small.Bytes = 1000
+	r2, err := Start(small, []*Kind{threeSliceKind("repeat", w, m, true, false)}, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r2.Close(wait)
+	defer r2.Close(waitTimeout)
 	if err := r2.Submit(JobSpec{Kind: "repeat", Owner: "a", State: make([]byte, 2000)}); !errors.Is(err, store.ErrFull) {
 		t.Error(err)
 	}
@@ -307,53 +308,53 @@
 
 var errFull = errors.New("no space left on device")
 
-type failing struct {
+type failingStore struct {
 	jobStore
-	mu          sync.Mutex
-	all, checks bool
+	mu                        sync.Mutex
+	addFails, checkpointFails bool
 }
 
-func (f *failing) set(on bool)         { f.mu.Lock(); f.all = on; f.mu.Unlock() }
-func (f *failing) checkpoints(on bool) { f.mu.Lock(); f.checks = on; f.mu.Unlock() }
+func (f *failingStore) failAdd(on bool)        { f.mu.Lock(); f.addFails = on; f.mu.Unlock() }
+func (f *failingStore) failCheckpoint(on bool) { f.mu.Lock(); f.checkpointFails = on; f.mu.Unlock() }
 
-func (f *failing) Add(r []store.Record, timer string, ran time.Time) error {
+func (f *failingStore) Add(r []store.Record, timer string, ran time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.all {
+	if f.addFails {
 		return errFull
 	}
 	return f.jobStore.Add(r, timer, ran)
 }
 
-func (f *failing) Checkpoint(id work.ID, s []byte, e int64, m []store.Record) error {
+func (f *failingStore) Checkpoint(id work.ID, s []byte, e int64, m []store.Record) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.checks {
+	if f.checkpointFails {
 		return errFull
 	}
 	return f.jobStore.Checkpoint(id, s, e, m)
 }
 
-// What panics, hangs, makes jobs that make jobs, or is of a newer version.
+// Jobs that panic, hang, spawn jobs recursively, are parked by their slice, are of a newer version, or are of an unknown kind.
 func TestRunner_FaultyJobs(t *testing.T) {
 	var logged syncBuffer
 	c := config(filepath.Join(t.TempDir(), "work.db"))
 	c.SlowSlice = 50 * time.Millisecond
 	c.Settings.Limits.OwnerJobs = 20
-	for _, k := range []string{"panics", "breeds"} {
+	for _, k := range []string{"panics", "spawns"} {
 		c.Settings.Kinds[k] = work.Kind{Retry: work.Retry{InitialBackoff: 1, MaxBackoff: 1, MaxFailures: 2, Credit: 100}}
 	}
-	hangs := make(chan struct{})
-	var bred atomic.Int32
+	unblock := make(chan struct{})
+	var spawnerSlices atomic.Int32
 	kinds := []*Kind{
-		{Name: "panics", Idempotent: true, Slice: func(context.Context, Task) (Result, error) { panic("at the disco") }},
-		{Name: "hangs", Idempotent: true, Slice: func(ctx context.Context, _ Task) (Result, error) { <-hangs; return Result{}, nil }},
-		{Name: "breeds", Idempotent: true, Slice: func(context.Context, Task) (Result, error) {
-			bred.Add(1)
-			return Result{Jobs: make10("breeds")}, nil
+		{Name: "panics", Idempotent: true, Slice: func(context.Context, Task) (Result, error) { panic("test panic") }},
+		{Name: "hangs", Idempotent: true, Slice: func(ctx context.Context, _ Task) (Result, error) { <-unblock; return Result{}, nil }},
+		{Name: "spawns", Idempotent: true, Slice: func(context.Context, Task) (Result, error) {
+			spawnerSlices.Add(1)
+			return Result{Jobs: make10("spawns")}, nil
 		}},
 		{Name: "parks", Idempotent: true, Slice: func(context.Context, Task) (Result, error) {
-			return Result{}, fmt.Errorf("ask somebody: %w", ErrPark)
+			return Result{}, fmt.Errorf("operator must decide: %w", ErrPark)
 		}},
 	}
 	c.Workers = 3
@@ -361,44 +362,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Submit(JobSpec{Kind: "nonsense"}); err == nil || !strings.Contains(err.Error(), "no kind of work") {
+	if err := r.Submit(JobSpec{Kind: "nonsense"}); err == nil || !strings.Contains(err.Error(), "unknown kind of work") {
 		t.Error(err)
 	}
 	if err := r.Submit(JobSpec{Kind: "panics", Owner: "a"}, JobSpec{Kind: "parks", Owner: "a"}, JobSpec{Kind: "hangs", Owner: "h"}); err != nil {
 		t.Fatal(err)
 	}
-	for over := time.Now().Add(wait); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
 		rep, _ := r.Report(work.Filter{State: "parked"})
 		if len(rep.Jobs) == 2 && strings.Contains(logged.String(), "a slice takes long") {
-			if !strings.Contains(rep.Jobs[0].Err, "at the disco") || !strings.Contains(rep.Jobs[0].Err, "runner_test.go") || !strings.Contains(rep.Jobs[1].Err, "ask somebody") {
+			if !strings.Contains(rep.Jobs[0].Err, "test panic") || !strings.Contains(rep.Jobs[0].Err, "runner_test.go") || !strings.Contains(rep.Jobs[1].Err, "operator must decide") {
 				t.Errorf("%+v", rep.Jobs)
 			}
 			break
 		}
-		if time.Now().After(over) {
+		if time.Now().After(deadline) {
 			t.Fatalf("%+v\n%s", rep.Jobs, logged.String())
 		}
 	}
 	if n := strings.Count(logged.String(), "a slice takes long"); n != 1 || !strings.Contains(logged.String(), "TestRunner_FaultyJobs") {
-		t.Errorf("it is named %d times", n)
+		t.Errorf("the slow slice is logged %d times, want once with its stack", n)
 	}
-	close(hangs)
-	if err := r.Submit(JobSpec{Kind: "breeds", Owner: "b"}); err != nil {
+	close(unblock)
+	if err := r.Submit(JobSpec{Kind: "spawns", Owner: "b"}); err != nil {
 		t.Fatal(err)
 	}
 	rep := waitUntilIdle(t, r)
-	if bred.Load() > 40 || rep.JobCount > 25 {
-		t.Errorf("%d slices, %d jobs are held", bred.Load(), rep.JobCount)
+	if spawnerSlices.Load() > 40 || rep.JobCount > 25 {
+		t.Errorf("%d slices ran, %d jobs are left", spawnerSlices.Load(), rep.JobCount)
 	}
 	for _, j := range rep.Jobs {
-		if j.Kind == "breeds" && !strings.Contains(j.Err, "not taken") {
+		if j.Kind == "spawns" && !strings.Contains(j.Err, "not accepted") {
 			t.Errorf("%+v", j)
 		}
 	}
-	if err := r.Close(wait); err != nil {
+	if err := r.Close(waitTimeout); err != nil {
 		t.Fatal(err)
 	}
-	// The next process knows an earlier version only, and of some nothing at all.
+	// The next process has an earlier version of one kind, and lacks the other kinds.
 	st, err := store.Open(c.Path, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -407,10 +408,10 @@
 		t.Fatal(err)
 	}
 	st.Close()
-	if r, err = Start(c, kinds[3:], quiet()); err != nil {
+	if r, err = Start(c, kinds[3:], discardLogger()); err != nil {
 		t.Fatal(err)
 	}
-	defer r.Close(wait)
+	defer r.Close(waitTimeout)
 	rep = waitUntilIdle(t, r)
 	newer, unknown := 0, 0
 	for _, j := range rep.Jobs {
@@ -451,26 +452,26 @@
 	return s.b.String()
 }
 
-// Leaving in the middle of ten slices: those that heed their context are called off, one that does not is named, and it
-// ends in time; the next process takes all of them up.
+// Close during ten slices: those that observe their context are cancelled, one that ignores it is logged, and Close returns in time. The
+// next process resumes all ten jobs.
 func TestRunner_Close(t *testing.T) {
 	var logged syncBuffer
 	c := config(filepath.Join(t.TempDir(), "work.db"))
 	c.Workers = 10
-	begun := make(chan struct{}, 10)
-	deaf := make(chan struct{})
-	defer close(deaf)
-	slow := func(deafened bool) func(context.Context, Task) (Result, error) {
+	started := make(chan struct{}, 10)
+	unblock := make(chan struct{})
+	defer close(unblock)
+	slow := func(ignoresContext bool) func(context.Context, Task) (Result, error) {
 		return func(ctx context.Context, _ Task) (Result, error) {
-			begun <- struct{}{}
-			if deafened {
-				<-deaf
+			started <- struct{}{}
+			if ignoresContext {
+				<-unblock
 			}
 			<-ctx.Done()
 			return Result{}, ctx.Err()
 		}
 	}
-	r, err := Start(c, []*Kind{{Name: "slow", Idempotent: true, Slice: slow(false)}, {Name: "deaf", Idempotent: true, Slice: slow(true)}}, slog.New(slog.NewTextHandler(&logged, nil)))
+	r, err := Start(c, []*Kind{{Name: "slow", Idempotent: true, Slice: slow(false)}, {Name: "unresponsive", Idempotent: true, Slice: slow(true)}}, slog.New(slog.NewTextHandler(&logged, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -479,9 +480,9 @@
 			t.Fatal(err)
 		}
 	}
-	r.Submit(JobSpec{Kind: "deaf", Owner: "a"})
+	r.Submit(JobSpec{Kind: "unresponsive", Owner: "a"})
 	for range 10 {
-		<-begun
+		<-started
 	}
 	from := time.Now()
 	if err := r.Close(200 * time.Millisecond); err != nil {
@@ -494,16 +495,16 @@
 		t.Error(err)
 	}
 	quick := func(context.Context, Task) (Result, error) { return Result{}, nil }
-	if r, err = Start(c, []*Kind{{Name: "slow", Idempotent: true, Slice: quick}, {Name: "deaf", Idempotent: true, Slice: quick}}, quiet()); err != nil {
+	if r, err = Start(c, []*Kind{{Name: "slow", Idempotent: true, Slice: quick}, {Name: "unresponsive", Idempotent: true, Slice: quick}}, discardLogger()); err != nil {
 		t.Fatal(err)
 	}
-	defer r.Close(wait)
+	defer r.Close(waitTimeout)
 	if rep := waitUntilIdle(t, r); rep.Kinds == nil || rep.JobCount != 0 {
 		t.Errorf("%+v", rep)
 	}
 }
 
-// What an earlier process left begins no more at once than there are workers.
+// Jobs that an earlier process left run no more slices at once than there are workers.
 func TestRunner_ConcurrencyAfterRestart(t *testing.T) {
 	c := config(filepath.Join(t.TempDir(), "work.db"))
 	st, err := store.Open(c.Path, 0)
@@ -514,24 +515,24 @@
 		t.Fatal(err)
 	}
 	st.Close()
-	var now, most atomic.Int32
-	begun := make(chan struct{}, 10)
+	var running, mostRunning atomic.Int32
+	started := make(chan struct{}, 10)
 	r, err := Start(c, []*Kind{{Name: "slow", Idempotent: true, Slice: func(context.Context, Task) (Result, error) {
-		n := now.Add(1)
-		defer now.Add(-1)
-		for m := most.Load(); n > m && !most.CompareAndSwap(m, n); m = most.Load() {
+		n := running.Add(1)
+		defer running.Add(-1)
+		for m := mostRunning.Load(); n > m && !mostRunning.CompareAndSwap(m, n); m = mostRunning.Load() {
 		}
-		begun <- struct{}{}
+		started <- struct{}{}
 		time.Sleep(2 * time.Millisecond)
 		return Result{}, nil
-	}}}, quiet())
+	}}}, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Close(wait)
+	defer r.Close(waitTimeout)
 	waitUntilIdle(t, r)
-	if most.Load() > int32(c.Workers) || len(begun) != 10 {
-		t.Errorf("%d at once of %d, %d workers", most.Load(), len(begun), c.Workers)
+	if mostRunning.Load() > int32(c.Workers) || len(started) != 10 {
+		t.Errorf("%d of %d slices ran at once, with %d workers", mostRunning.Load(), len(started), c.Workers)
 	}
 }
 
@@ -543,37 +544,37 @@
 	return out
 }
 
-// A slice that is called off as the process leaves may have been done: the next one does not do it again by itself.
+// A slice that is cancelled because the process ends may have been done: the next process parks its job instead of repeating the slice.
 func TestRunner_CancelledSliceMayHaveBeenDone(t *testing.T) {
 	c := config(filepath.Join(t.TempDir(), "work.db"))
-	begun, times := make(chan struct{}), 0
+	started, runs := make(chan struct{}), 0
 	kind := &Kind{Name: "once", Slice: func(ctx context.Context, _ Task) (Result, error) {
-		times++
-		close(begun)
+		runs++
+		close(started)
 		<-ctx.Done()
 		return Result{}, ctx.Err()
 	}}
-	r, err := Start(c, []*Kind{kind}, quiet())
+	r, err := Start(c, []*Kind{kind}, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := r.Submit(JobSpec{Kind: "once", Owner: "a"}); err != nil {
 		t.Fatal(err)
 	}
-	<-begun
-	if err := r.Close(wait); err != nil {
+	<-started
+	if err := r.Close(waitTimeout); err != nil {
 		t.Fatal(err)
 	}
-	if r, err = Start(c, []*Kind{kind}, quiet()); err != nil {
+	if r, err = Start(c, []*Kind{kind}, discardLogger()); err != nil {
 		t.Fatal(err)
 	}
-	defer r.Close(wait)
-	if rep := waitUntilIdle(t, r); len(rep.Jobs) != 1 || !strings.Contains(rep.Jobs[0].Err, "may have been done") || times != 1 {
-		t.Errorf("%+v, done %d times", rep.Jobs, times)
+	defer r.Close(waitTimeout)
+	if rep := waitUntilIdle(t, r); len(rep.Jobs) != 1 || !strings.Contains(rep.Jobs[0].Err, "may have been done") || runs != 1 {
+		t.Errorf("%+v, done %d times", rep.Jobs, runs)
 	}
 }
 
-// Timed work keeps its promise over restarts, and with a clock that jumps: what is missed runs once.
+// Timers run as scheduled across restarts and clock jumps, and missed times cause one run. Volatile kinds behave the same.
 func TestRunner_Timers(t *testing.T) {
 	c := config(filepath.Join(t.TempDir(), "work.db"))
 	var mu sync.Mutex
@@ -584,17 +585,17 @@
 		wall = wall.Add(d)
 		mu.Unlock()
 		if r != nil {
-			r.call(func() { r.submitDueTimers() }) // it looks every so often
+			r.call(func() { r.submitDueTimers() }) // the loop does so every timerInterval
 		}
 	}
 	ran := make(chan struct{}, 100)
-	kind := func(memory bool) *Kind {
-		return &Kind{Name: "timed", Idempotent: true, Volatile: memory, Timer: &Timer{work.Schedule{Every: time.Hour}, JobSpec{Kind: "timed", Owner: "a"}},
+	kind := func(volatile bool) *Kind {
+		return &Kind{Name: "timed", Idempotent: true, Volatile: volatile, Timer: &Timer{work.Schedule{Every: time.Hour}, JobSpec{Kind: "timed", Owner: "a"}},
 			Slice: func(context.Context, Task) (Result, error) { ran <- struct{}{}; return Result{}, nil }}
 	}
-	for _, memory := range []bool{false, true} {
+	for _, volatile := range []bool{false, true} {
 		c.Path = filepath.Join(t.TempDir(), "work.db")
-		r, err := Start(c, []*Kind{kind(memory)}, quiet())
+		r, err := Start(c, []*Kind{kind(volatile)}, discardLogger())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -602,7 +603,7 @@
 			t.Helper()
 			waitUntilIdle(t, r)
 			if len(ran) != want {
-				t.Errorf("memory %v: it ran %d times, want %d", memory, len(ran), want)
+				t.Errorf("volatile %v: the timer ran %d times, want %d", volatile, len(ran), want)
 			}
 			for len(ran) > 0 {
 				<-ran
@@ -611,20 +612,20 @@
 		count(0)
 		jump(r, time.Hour)
 		count(1)
-		jump(r, -30*time.Minute) // set back
+		jump(r, -30*time.Minute) // the clock is set back
 		count(0)
 		jump(r, 40*time.Minute)
 		count(0)
-		if err := r.Close(wait); err != nil {
+		if err := r.Close(waitTimeout); err != nil {
 			t.Fatal(err)
 		}
-		jump(nil, 10*time.Hour) // nobody is there
-		if r, err = Start(c, []*Kind{kind(memory)}, quiet()); err != nil {
+		jump(nil, 10*time.Hour) // no process runs
+		if r, err = Start(c, []*Kind{kind(volatile)}, discardLogger()); err != nil {
 			t.Fatal(err)
 		}
 		r.call(func() {})
 		count(1)
-		if err := r.Close(wait); err != nil {
+		if err := r.Close(waitTimeout); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/work/run/slice.go
+++ b/internal/work/run/slice.go
@@ -14,19 +14,19 @@
 
 // startSlice starts a slice in a worker goroutine.
 func (r *Runner) startSlice(id work.ID) {
-	if r.ctx.Err() != nil { // it is closing: the next process starts it
+	if r.ctx.Err() != nil { // the runner is closing: the next process starts the slice
 		return
 	}
 	rec := r.records[id]
 	k := r.kinds[rec.Kind]
-	if k == nil { // an operator started it, and no kind does it
+	if k == nil { // an operator ran a job of a kind that the runner does not have
 		r.results <- sliceResult{id, Result{}, fmt.Errorf("nobody here does %s: %w", rec.Kind, ErrPark)}
 		return
 	}
 	check := rec.Intended && r.persisted(id) && !k.Idempotent
 	if !check && !k.Idempotent && r.persisted(id) {
 		if err := r.store.Intend(id); err != nil {
-			r.results <- sliceResult{id, Result{}, fmt.Errorf("what is intended can't be written down: %w", err)}
+			r.results <- sliceResult{id, Result{}, fmt.Errorf("the intent to run the slice can't be stored: %w", err)}
 			return
 		}
 		rec.Intended = true
@@ -53,7 +53,7 @@
 	if !check {
 		return k.Slice(ctx, t)
 	}
-	if k.CheckDone == nil { // an operator has it run all the same
+	if k.CheckDone == nil { // the job was parked, and an operator ran it
 		return k.Slice(ctx, t)
 	}
 	done, res, err := k.CheckDone(ctx, t)
@@ -63,7 +63,7 @@
 	return res, err
 }
 
-// handleResult takes in how a slice went: first in the store, then in the scheduler.
+// handleResult records the result of a slice, first in the store, then in the scheduler.
 func (r *Runner) handleResult(e sliceResult) {
 	rec := r.records[e.id]
 	if s := r.running[e.id]; s != nil {
@@ -86,9 +86,9 @@
 		return
 	}
 	if err := r.persistResult(e, spawned); err != nil {
-		// The slice is done, and that can't be written down: where it must not be done twice, nobody may retry it.
+		// The slice is done, but its result can't be stored. A job that is not idempotent must not be retried, and is parked.
 		ended := e.event()
-		ended.Failure, ended.Park = fmt.Sprintf("what was done can't be written down: %v", err), !r.kinds[rec.Kind].Idempotent
+		ended.Failure, ended.Park = fmt.Sprintf("the result of the slice can't be stored: %v", err), !r.kinds[rec.Kind].Idempotent
 		r.step(ended)
 		return
 	}
@@ -105,12 +105,12 @@
 	r.accept(accepted)
 }
 
-// event is the result as the scheduler takes it.
+// event converts the result to the scheduler's event.
 func (e *sliceResult) event() work.SliceEnded {
 	return work.SliceEnded{ID: e.id, Used: e.res.Used, More: e.res.More, Delay: e.res.Delay}
 }
 
-// handleNotDone has a slice done that an earlier process was about to do and did not do.
+// handleNotDone clears the intent of a slice that an earlier process did not do, and schedules the slice.
 func (r *Runner) handleNotDone(rec *store.Record, e sliceResult) {
 	ended := e.event()
 	rec.Intended = false
@@ -123,7 +123,7 @@
 	r.step(ended)
 }
 
-// persistResult writes down what a slice did, with the jobs that it spawned, in one transaction.
+// persistResult stores the result of a slice, with the jobs that it spawned, in one transaction.
 func (r *Runner) persistResult(e sliceResult, spawned []store.Record) error {
 	if !r.persisted(e.id) {
 		return nil
@@ -143,7 +143,7 @@
 	ended := e.event()
 	ended.Failure, ended.Park = e.err.Error(), errors.Is(e.err, ErrPark)
 	rec.Failures++
-	if r.ctx.Err() != nil { // cancelled as the runner closes: it is no failure, and nothing is written
+	if r.ctx.Err() != nil { // cancelled because the runner closes: that is no failure, and nothing is stored
 		return
 	}
 	parked := ""
@@ -151,9 +151,9 @@
 		parked, ended.Park = ended.Failure, true
 	}
 	if r.persisted(e.id) {
-		// A slice that failed says that it was not done: the intention is over.
+		// A failure means that the slice was not done, so the intent is cleared.
 		if err := r.store.RecordFailure(e.id, rec.Failures, parked); err != nil && !errors.Is(err, store.ErrNotFound) {
-			r.log.Warn("a job's failure can't be stored", "job", e.id, "err", err)
+			r.log.Warn("failed to store a job's failure", "job", e.id, "err", err)
 		} else {
 			rec.Intended = false
 		}
@@ -171,26 +171,26 @@
 // spawnedRecords returns the records of the jobs that a slice spawned, if they can be accepted.
 func (r *Runner) spawnedRecords(by *store.Record, jobs []JobSpec) ([]store.Record, error) {
 	var recs []store.Record
-	var ask []work.Job
+	var candidates []work.Job
 	for i := range jobs {
 		k := r.kinds[jobs[i].Kind]
 		if k == nil {
 			return nil, fmt.Errorf("%w: %w", &UnknownKindError{Kind: jobs[i].Kind}, ErrPark)
 		}
 		if k.Volatile != r.kinds[by.Kind].Volatile {
-			return nil, fmt.Errorf("%s is kept and %s is not, or the other way round: %w", by.Kind, jobs[i].Kind, ErrPark)
+			return nil, fmt.Errorf("kinds %s and %s are not both volatile or both stored: %w", by.Kind, jobs[i].Kind, ErrPark)
 		}
 		rec := r.record(&jobs[i], by.Depth+1)
 		recs = append(recs, rec)
-		ask = append(ask, r.job(&rec))
+		candidates = append(candidates, r.job(&rec))
 	}
-	if err := r.sched.CheckCapacity(ask...); err != nil {
-		return nil, fmt.Errorf("the jobs that it makes are not taken: %w", err)
+	if err := r.sched.CheckCapacity(candidates...); err != nil {
+		return nil, fmt.Errorf("the jobs that the slice spawned are not accepted: %w", err)
 	}
 	return recs, nil
 }
 
-// reportSlowSlices logs slices that overrun SlowSlice, each once, with the stacks of all goroutines: the one that hangs is among them.
+// reportSlowSlices logs slices that overrun SlowSlice, each once, with the stacks of all goroutines, which include the slice's.
 func (r *Runner) reportSlowSlices() {
 	for id, s := range r.running {
 		if s.reported || time.Since(s.startedAt) < r.config.SlowSlice {
@@ -206,7 +206,7 @@
 func (r *Runner) deleteDropped(id work.ID) {
 	if r.persisted(id) {
 		if err := r.store.Complete(id, nil); err != nil && !errors.Is(err, store.ErrNotFound) {
-			r.log.Error("a dropped job is still in the store and comes back with the next process", "job", id, "err", err)
+			r.log.Error("failed to delete a dropped job from the store; the next process resumes it", "job", id, "err", err)
 		}
 	}
 }
--- a/internal/work/run/submit.go
+++ b/internal/work/run/submit.go
@@ -18,36 +18,36 @@
 }
 
 func (r *Runner) submit(jobs []JobSpec, depth int, timer string, ran time.Time) error {
-	var keep []store.Record
-	var all []*store.Record
-	var ask []work.Job
+	var durable []store.Record
+	var accepted []*store.Record
+	var candidates []work.Job
 	for i := range jobs {
 		k := r.kinds[jobs[i].Kind]
 		if k == nil {
 			return &UnknownKindError{Kind: jobs[i].Kind}
 		}
 		rec := r.record(&jobs[i], depth)
-		ask = append(ask, r.job(&rec))
+		candidates = append(candidates, r.job(&rec))
 		if k.Volatile {
 			r.nextVolatileID--
 			rec.ID = r.nextVolatileID
-			all = append(all, &rec)
+			accepted = append(accepted, &rec)
 		} else {
-			keep = append(keep, rec)
+			durable = append(durable, rec)
 		}
 	}
-	if err := r.sched.CheckCapacity(ask...); err != nil {
+	if err := r.sched.CheckCapacity(candidates...); err != nil {
 		return err
 	}
-	if len(keep) > 0 || timer != "" {
-		if err := r.store.Add(keep, timer, ran); err != nil {
+	if len(durable) > 0 || timer != "" {
+		if err := r.store.Add(durable, timer, ran); err != nil {
 			return err
 		}
 	}
-	for i := range keep {
-		all = append(all, &keep[i])
+	for i := range durable {
+		accepted = append(accepted, &durable[i])
 	}
-	r.accept(all)
+	r.accept(accepted)
 	return nil
 }
 
@@ -66,7 +66,7 @@
 	return rec
 }
 
-// accept submits jobs to the scheduler that are stored, or need not be.
+// accept submits jobs to the scheduler that are stored, or are volatile.
 func (r *Runner) accept(all []*store.Record) {
 	var events []work.Event
 	for _, rec := range all {
--- a/internal/work/run/timers.go
+++ b/internal/work/run/timers.go
@@ -22,7 +22,7 @@
 		}
 		if err := r.submit(jobs, 0, name, last); err != nil {
 			if !r.timerFailing {
-				r.log.Warn("a timer's jobs are not accepted", "kind", name, "err", err)
+				r.log.Warn("failed to submit a timer's jobs", "kind", name, "err", err)
 			}
 			r.timerFailing = true
 			r.dueTimes[name] = wall.Add(time.Second)
--- a/internal/work/store/store.go
+++ b/internal/work/store/store.go
@@ -1,10 +1,10 @@
 // Package store keeps the background jobs that must outlast the process, with their checkpoints, in one bbolt file:
 //
-//	meta    version (8 bytes), next (8: the next job's number), bytes (8: of all jobs)
-//	jobs    number (8 bytes) → Record, JSON
+//	meta    version (8 bytes), next (8: the next job's ID), bytes (8: of all jobs)
+//	jobs    ID (8 bytes) → Record, JSON
 //	timers  name of a schedule → when it ran last (8 bytes, Unix nanoseconds)
 //
-// What belongs together is one transaction: a slice's checkpoint and the jobs that it spawned. Store is safe for concurrent use.
+// A slice's checkpoint and the jobs that it spawned are written in one transaction. Store is safe for concurrent use.
 package store
 
 import (
@@ -49,17 +49,17 @@
 	keyBytes     = []byte("bytes")
 )
 
-// version is that of the file's layout.
+// version is the version of the file's layout.
 const version = 1
 
-// Errors that a caller tells apart.
+// Errors that callers distinguish.
 var (
-	// ErrNewerVersion is a file that a later version of the program wrote.
+	// ErrNewerVersion reports a file that a later version of the program wrote.
 	ErrNewerVersion = errors.New("the file was written by a newer version")
-	// ErrFull is jobs that would exceed the store's bytes.
-	ErrFull = errors.New("there is no room for more jobs")
-	// ErrNotFound is a job that is not in the store.
-	ErrNotFound = errors.New("there is no such job")
+	// ErrFull reports jobs that would exceed the store's maximum size.
+	ErrFull = errors.New("the job store is full")
+	// ErrNotFound reports a job that is not in the store.
+	ErrNotFound = errors.New("no such job")
 )
 
 // Store is an open file of jobs.
@@ -86,7 +86,7 @@
 		case v == 0:
 			return meta.Put(keyVersion, boltfile.Number(version))
 		case v > version:
-			return fmt.Errorf("%w: %d, and this one knows %d", ErrNewerVersion, v, version)
+			return fmt.Errorf("%w: file version %d, supported version %d", ErrNewerVersion, v, version)
 		}
 		return nil
 	})
@@ -113,7 +113,8 @@
 	return nil
 }
 
-// put writes a record in place of what is there, and keeps count of bytes; with enforceLimit it fails with ErrFull beyond maxBytes.
+// put writes a record, in place of any earlier one of the job, and updates the byte count; with enforceLimit it fails with ErrFull beyond
+// maxBytes.
 func (s *Store) put(tx *bolt.Tx, r *Record, enforceLimit bool) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
@@ -122,7 +123,7 @@
 	jobs, meta, key := tx.Bucket(bucketJobs), tx.Bucket(bucketMeta), boltfile.Number(int64(r.ID))
 	size := boltfile.Value(meta.Get(keyBytes)) + int64(len(raw)) - int64(len(jobs.Get(key)))
 	if enforceLimit && s.maxBytes > 0 && size > s.maxBytes {
-		return fmt.Errorf("%w: they have %d of %d bytes", ErrFull, boltfile.Value(meta.Get(keyBytes)), s.maxBytes)
+		return fmt.Errorf("%w: jobs take %d of %d bytes", ErrFull, boltfile.Value(meta.Get(keyBytes)), s.maxBytes)
 	}
 	if err := meta.Put(keyBytes, boltfile.Number(size)); err != nil {
 		return err
@@ -154,7 +155,7 @@
 	return jobs.Delete(key)
 }
 
-// add numbers new records and writes them.
+// add sets the IDs of new records and writes the records.
 func (s *Store) add(tx *bolt.Tx, records []Record) error {
 	meta := tx.Bucket(bucketMeta)
 	next := max(1, boltfile.Value(meta.Get(keyNext)))
@@ -168,7 +169,7 @@
 	return meta.Put(keyNext, boltfile.Number(next))
 }
 
-// Add writes new jobs, all or none, and sets their numbers. With the name of a timer it records in the same transaction when that ran.
+// Add writes new jobs, all or none, and sets their IDs. If timer is not empty, the same transaction records when that timer ran.
 func (s *Store) Add(records []Record, timer string, ran time.Time) error {
 	return s.update(func(tx *bolt.Tx) error {
 		if err := s.add(tx, records); err != nil {
@@ -202,12 +203,12 @@
 	return s.change(id, func(r *Record) { r.Intended = false })
 }
 
-// RecordFailure records how often a job has failed in a row, and why it is parked; empty: it is not.
-func (s *Store) RecordFailure(id work.ID, fails int, parked string) error {
-	return s.change(id, func(r *Record) { r.Failures, r.ParkedReason, r.Intended = fails, parked, false })
+// RecordFailure records the number of a job's consecutive failures, and why it is parked; empty: it is not.
+func (s *Store) RecordFailure(id work.ID, failures int, parked string) error {
+	return s.change(id, func(r *Record) { r.Failures, r.ParkedReason, r.Intended = failures, parked, false })
 }
 
-// Park records why a job is parked; empty: it is not. An intended slice stays so.
+// Park records why a job is parked; empty: it is not. It does not change whether a slice is intended.
 func (s *Store) Park(id work.ID, why string) error {
 	return s.change(id, func(r *Record) { r.ParkedReason = why })
 }
@@ -249,7 +250,7 @@
 	})
 }
 
-// Load calls f with all jobs, in the order of their numbers.
+// Load calls f with all jobs, in the order of their IDs.
 func (s *Store) Load(f func(Record) error) error {
 	return s.view(func(tx *bolt.Tx) error {
 		return tx.Bucket(bucketJobs).ForEach(func(k, raw []byte) error {
--- a/internal/work/store/store_test.go
+++ b/internal/work/store/store_test.go
@@ -13,7 +13,8 @@
 	"saffronyard.example/saffronyard/internal/boltfile"
 )
 
-// A file that is cut short anywhere, or was written by a newer version, is an error that names it; it ends nothing.
+// Open returns an error that names the file if the file is truncated at any point, and ErrNewerVersion if a newer version wrote it. It does
+// not panic.
 func TestOpen_DamagedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "work.db")
 	s, err := Open(path, 0)
@@ -30,13 +31,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused := 0
+	rejected := 0
 	for n := 1; n < len(whole); n += 1 + len(whole)/40 {
 		if err := os.WriteFile(path, whole[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		s, err := Open(path, 0)
-		if err == nil { // what was cut off was not in use: all that was kept is there
+		if err == nil { // the part cut off was not in use: all jobs must be there
 			jobs := 0
 			if err := s.Load(func(Record) error { jobs++; return nil }); err != nil || jobs != 50 {
 				t.Errorf("cut at %d of %d: opened, with %d jobs, %v", n, len(whole), jobs, err)
@@ -45,11 +46,11 @@
 		} else if !strings.Contains(err.Error(), path) {
 			t.Errorf("cut at %d of %d: %v", n, len(whole), err)
 		} else {
-			refused++
+			rejected++
 		}
 	}
-	if refused < 20 {
-		t.Errorf("%d files that were cut short are refused", refused)
+	if rejected < 20 {
+		t.Errorf("%d truncated files are rejected, want at least 20", rejected)
 	}
 	if err := os.WriteFile(path, whole, 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/work/store/stored_test.go
+++ b/internal/work/store/stored_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestStore_ReadsStoredFile opens a store that commit eea23b3 wrote and compares all that is in it with what that commit read
-// back: jobs that wait, have failed, are parked, intended or checkpointed, and when a schedule ran last.
+// TestStore_ReadsStoredFile opens a store that commit eea23b3 wrote and compares its content with the listing by that commit: jobs that
+// wait, have failed, are parked, intended or checkpointed, and when a schedule ran last.
 func TestStore_ReadsStoredFile(t *testing.T) {
 	want := readFixture(t, "v1.golden.txt")
 	path := filepath.Join(t.TempDir(), "work.db")
@@ -36,7 +36,7 @@
 	return raw
 }
 
-// goldenListing is all that a store answers: jobs, the schedules that ran, and the bytes.
+// goldenListing lists all that a store returns: jobs, when schedules ran, and the bytes.
 func goldenListing(t *testing.T, s *Store) string {
 	t.Helper()
 	var b strings.Builder
