--- a/internal/resend/kinds.go
+++ b/internal/resend/kinds.go
@@ -20,7 +20,7 @@
 func (e *Engine) Kinds() []*run.Kind {
 	e.pacers, e.scheduled, e.positions = map[uint32]*undelivered.Pacer{}, map[string]bool{}, map[string]position{}
 	return []*run.Kind{
-		// Volatile: the store tells what is to be done. Idempotent: what was marked is not marked again.
+		// Volatile: what is to be done is found in the store. Idempotent: entries that are marked as resending are not marked again.
 		{Name: FindMembersKind, Volatile: true, Idempotent: true, Slice: e.findMembers, Timer: &run.Timer{Schedule: work.Schedule{Every: time.Second, Missed: work.MissedOnce},
 			Job: run.JobSpec{Kind: FindMembersKind, Owner: "resends", Priority: work.Normal, Lock: FindMembersKind}}},
 		{Name: ResendKind, Volatile: true, Idempotent: true, Slice: e.resendMember},
@@ -43,11 +43,11 @@
 		return res, err
 	}
 	if !e.isReconciled() {
-		held, err := e.Sender.InFlight(ctx)
+		inFlight, err := e.Sender.InFlight(ctx)
 		if err != nil {
 			return res, err
 		}
-		n, err := s.Reconcile(held)
+		n, err := s.Reconcile(inFlight)
 		if err != nil {
 			return res, err
 		}
@@ -81,7 +81,7 @@
 	return e.reconciled
 }
 
-// expire drops old entries, a batch in a slice.
+// expire drops old entries, one batch in a slice.
 func (e *Engine) expire(context.Context, run.Task) (run.Result, error) {
 	s, err := e.Store()
 	if err != nil {
--- a/internal/resend/operate.go
+++ b/internal/resend/operate.go
@@ -4,7 +4,7 @@
 	"saffronyard.example/saffronyard/internal/undelivered"
 )
 
-// Plans returns what would become of entries if an operator requested their resend. It changes nothing.
+// Plans returns which entries would be resent if an operator requested it, and why not the others. It changes nothing.
 func (e *Engine) Plans(f undelivered.Filter) ([]undelivered.ResendPlan, error) {
 	s, err := e.Store()
 	if err != nil {
@@ -19,7 +19,7 @@
 	return plans, err
 }
 
-// RequestResend requests that entries are resent as far as they may be, or takes that back; n is how many that changed.
+// RequestResend requests the resend of entries, as far as it is permitted, or cancels that; n is how many entries that changed.
 func (e *Engine) RequestResend(f undelivered.Filter, want bool) (n int, err error) {
 	s, err := e.Store()
 	if err != nil {
--- a/internal/resend/resend.go
+++ b/internal/resend/resend.go
@@ -2,9 +2,9 @@
 // may be resent and when; the sender's decision module decides whether, where and when each attempt is made, as for any message.
 //
 // A resend is a sequence of durable steps: the store marks the entry as resending; the sender writes the message to its journal as its
-// next incarnation; the message ends there; the recorder gets that end, and the store records it. A process that is killed between any
-// two leaves the message in the journal, where it goes on, or marked in the store and in no journal, in which case Store.Reconcile
-// returns it to the stored entries. Engine persists nothing of its own, and is safe for concurrent use.
+// next incarnation; the message ends there; the recorder gets that end, and the store records it. After a kill between any two of these
+// steps the message is either in the journal, and its delivery continues, or marked in the store and not in the journal, in which case
+// Store.Reconcile returns it to the stored entries. Engine persists nothing of its own, and is safe for concurrent use.
 package resend
 
 import (
@@ -32,7 +32,7 @@
 	manualDeadline     = 28 * time.Second      // of messages resent on request
 	manualRateFraction = 0.5                   // of the receiver's rate, for messages resent on request
 	expireBatch        = 500                   // entries dropped in one slice
-	minRetryDelay      = 10 * time.Millisecond // before pacers that admit nothing are asked again
+	minRetryDelay      = 10 * time.Millisecond // before a pacer that admits nothing is called again
 	nextPageDelay      = 50 * time.Millisecond // after messages were handed over
 )
 
@@ -50,12 +50,12 @@
 	reconciled bool
 	pacers     map[uint32]*undelivered.Pacer
 	scheduled  map[string]bool // members that have a job
-	requested  []string        // members for whom the last findMembers made one
+	requested  []string        // members for which the last findMembers spawned one
 	positions  map[string]position
 	generation int // grows when a resent message ends, a resend is requested, or rules change: all entries are scanned again
 }
 
-// RecordResendEnd takes in how a resent message ended; it is LazyStore.OnResendEnd.
+// RecordResendEnd records how a resent message ended; it is set as LazyStore.OnResendEnd.
 func (e *Engine) RecordResendEnd(x *undelivered.Entry) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/resend/scan.go
+++ b/internal/resend/scan.go
@@ -22,17 +22,17 @@
 	rule *undelivered.Rule
 }
 
-// scan is a page of one member's entries as the rules decide on them.
+// scan has the rules' decisions on a page of one member's entries.
 type scan struct {
 	resend      map[uint32][]candidate // by destination
 	newestFirst bool
 	drop        []undelivered.Key
 	last        undelivered.Key
-	entries     int // looked at
+	entries     int // scanned
 }
 
-// startPosition returns where the scan of a member's entries goes on: at the beginning, if something has changed since the last scan or
-// that is long ago.
+// startPosition returns where the scan of a member's entries continues: at the beginning, if the generation has changed since the last scan
+// or recheckInterval has passed.
 func (e *Engine) startPosition(member string, now time.Duration) position {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,7 +66,7 @@
 	return page, err
 }
 
-// advance notes that no entry of a page may be resent: the next slice looks at the next page, or the member's job ends after the last.
+// advance records that no entry of a page may be resent now: the next slice scans the next page, or the member's job ends after the last.
 func (e *Engine) advance(member string, from position, page scan, now time.Duration) run.Result {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -79,7 +79,7 @@
 	return run.Result{}
 }
 
-// admit asks a destination's pacer how many messages may be resent now; if none, it returns after how long to ask again.
+// admit returns how many messages a destination's pacer admits now; if none, also after how long to call admit again.
 func (e *Engine) admit(destination uint32, now time.Duration, wall time.Time, rule *undelivered.Rule, r undelivered.Receiver) (n int, retryAfter time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,7 +92,7 @@
 	return n, retryAfter
 }
 
-// resendMember resends some of one member's messages. It looks at one page of entries, drops those that a rule drops, and hands those
+// resendMember resends some of one member's messages. It scans one page of entries, drops those that a rule drops, and hands those
 // that may be resent to the sender, as many for each destination as its pacer admits.
 func (e *Engine) resendMember(ctx context.Context, t run.Task) (run.Result, error) {
 	s, err := e.Store()
@@ -140,27 +140,27 @@
 }
 
 // handOver marks entries of one destination as resending, hands them to the sender, and unmarks those that it does not accept.
-func (e *Engine) handOver(ctx context.Context, s *undelivered.Store, pick []candidate) (sent int, err error) {
+func (e *Engine) handOver(ctx context.Context, s *undelivered.Store, picked []candidate) (sent int, err error) {
 	var keys []undelivered.Key
-	for _, c := range pick {
+	for _, c := range picked {
 		keys = append(keys, c.key)
 	}
 	begun, err := s.BeginResend(keys)
 	if err != nil {
 		return 0, err
 	}
-	var back []undelivered.Key
+	var rejected []undelivered.Key
 	for i := range begun {
 		x := begun[i]
-		if err := e.Sender.Resend(ctx, x, pick[0].rule.Deadline); err != nil {
-			e.Log.Debug("a message is not accepted for resend now", "message", x.Message, "why", err)
-			back = append(back, undelivered.KeyOf(x.Message, x.EndedAt))
+		if err := e.Sender.Resend(ctx, x, picked[0].rule.Deadline); err != nil {
+			e.Log.Debug("the sender did not accept a message for resend", "message", x.Message, "why", err)
+			rejected = append(rejected, undelivered.KeyOf(x.Message, x.EndedAt))
 			continue
 		}
 		sent++
 	}
-	if len(back) > 0 {
-		err = s.CancelResend(back)
+	if len(rejected) > 0 {
+		err = s.CancelResend(rejected)
 	}
 	return sent, err
 }
--- a/internal/undelivered/counts.go
+++ b/internal/undelivered/counts.go
@@ -31,11 +31,11 @@
 		t.Resent = boltfile.Value(tx.Bucket(bucketMeta).Get(keyResent))
 		at := map[[2]string]int{}
 		add := func(member, reason string) *Count {
-			who := [2]string{member, reason}
-			i, ok := at[who]
+			pair := [2]string{member, reason}
+			i, ok := at[pair]
 			if !ok {
 				i = len(t.Counts)
-				at[who] = i
+				at[pair] = i
 				t.Counts = append(t.Counts, Count{Member: member, Reason: Reason(reason)})
 			}
 			return &t.Counts[i]
@@ -43,7 +43,7 @@
 		split := func(k []byte) (member, reason string, err error) {
 			parts := bytes.SplitN(k, []byte{0}, 3)
 			if len(parts) < 3 {
-				return "", "", corrupt("the index holds %q", k)
+				return "", "", corrupt("invalid key %q in an index", k)
 			}
 			return string(parts[0]), string(parts[1]), nil
 		}
--- a/internal/undelivered/entry.go
+++ b/internal/undelivered/entry.go
@@ -7,7 +7,7 @@
 	"encoding/json"
 )
 
-// State is where an entry is on its way; the package comment has the transitions.
+// State is the state of an entry; the package comment has the transitions.
 type State string
 
 // States of an entry.
@@ -28,10 +28,10 @@
 	Destination     uint32          `json:"destination"`
 	Key             string          `json:"key,omitempty"`
 	Order           string          `json:"order,omitempty"`
-	Event           json.RawMessage `json:"event,omitempty"` // attributes, of one that came as an event
+	Event           json.RawMessage `json:"event,omitempty"` // attributes, if the message was submitted as an event
 	Body            []byte          `json:"body,omitempty"`
 	Ending          string          `json:"how"`
-	EndedInResponse bool            `json:"answered,omitempty"` // it ended in the response to its submission
+	EndedInResponse bool            `json:"answered,omitempty"` // the response to its submission reported its end
 	Reason          Reason          `json:"reason"`
 	AcceptedAt      int64           `json:"taken"`
 	EndedAt         int64           `json:"ended"`
@@ -40,14 +40,14 @@
 
 	State           State  `json:"state"`
 	Resends         int    `json:"lives,omitempty"` // how often it was resent
-	ResendRequested bool   `json:"hand,omitempty"`  // an operator wants it resent
-	FirstEndedAt    int64  `json:"began,omitempty"` // of a resent message: when it ended first; else 0
+	ResendRequested bool   `json:"hand,omitempty"`  // an operator requested a resend
+	FirstEndedAt    int64  `json:"began,omitempty"` // of a resent message: its first end; else 0
 	ResolvedBy      string `json:"by,omitempty"`    // who resolved it
 	Resolution      string `json:"why,omitempty"`   // why
 	ResolvedAt      int64  `json:"when,omitempty"`
 }
 
-// History returns what ReasonOf and MayResend decide by.
+// History returns the input of ReasonOf and MayResend.
 func (e *Entry) History() History {
 	return History{Ending: e.Ending, EndedInResponse: e.EndedInResponse, AcceptedAt: e.AcceptedAt, EndedAt: e.EndedAt, Deadline: e.Deadline, Effect: e.Effect, Ordered: e.Ordered, Key: e.Key, Attempts: e.Attempts}
 }
--- a/internal/undelivered/errors.go
+++ b/internal/undelivered/errors.go
@@ -6,39 +6,41 @@
 	"time"
 )
 
-// Errors that callers tell apart.
+// Errors that callers distinguish.
 var (
-	// ErrNewerVersion is a file that a later version of the program wrote.
+	// ErrNewerVersion reports a file that a later version of the program wrote.
 	ErrNewerVersion = errors.New("the file was written by a newer version")
-	// ErrNotAStore is a bbolt file that holds something else.
-	ErrNotAStore = errors.New("it is no store of undelivered messages")
-	// ErrNoResolution is a resolution without an author or a reason.
+	// ErrNotAStore reports a bbolt file with other content.
+	ErrNotAStore = errors.New("the file is not a store of undelivered messages")
+	// ErrNoResolution reports a resolution without an author or a reason.
 	ErrNoResolution = errors.New("undelivered: settling needs who does so and why")
 )
 
-// VersionError is a file whose layout has a version that never was.
+// VersionError reports a file whose layout has a version that does not exist.
 type VersionError struct{ Version int64 }
 
 // Error names the version.
-func (e *VersionError) Error() string { return fmt.Sprintf("it says version %d", e.Version) }
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("the file has the invalid version %d", e.Version)
+}
 
-// CorruptError is a store whose parts contradict each other.
+// CorruptError reports a store whose content is inconsistent.
 type CorruptError struct{ detail string }
 
 func corrupt(format string, args ...any) error {
 	return &CorruptError{detail: fmt.Sprintf(format, args...)}
 }
 
-// Error tells which parts do.
+// Error describes the inconsistency.
 func (e *CorruptError) Error() string { return e.detail }
 
-// NotFoundError is an entry that is not in the store.
+// NotFoundError reports an entry that is not in the store.
 type NotFoundError struct{ Key Key }
 
 // Error names the entry.
 func (e *NotFoundError) Error() string { return fmt.Sprintf("entry %s is not there", e.Key) }
 
-// StateError is an entry that can't be resolved in the state that it is in.
+// StateError reports an entry that can't be resolved in its current state.
 type StateError struct {
 	Key        Key
 	State      State  // Resending or Resolved
@@ -46,7 +48,7 @@
 	ResolvedAt int64  // Unix nanoseconds
 }
 
-// Error tells the state, and of a resolved entry by whom and when.
+// Error names the state, and for a resolved entry who resolved it and when.
 func (e *StateError) Error() string {
 	if e.State == Resending {
 		return fmt.Sprintf("entry %s is on its way", e.Key)
@@ -54,17 +56,17 @@
 	return fmt.Sprintf("entry %s was settled by %s at %s", e.Key, e.ResolvedBy, time.Unix(0, e.ResolvedAt).UTC().Format(time.RFC3339))
 }
 
-// ParseError is a text that names no entry and no reason.
+// ParseError reports a text that is not the name of an entry, or not that of a reason.
 type ParseError struct{ detail string }
 
 func parseError(format string, args ...any) error {
 	return &ParseError{detail: fmt.Sprintf(format, args...)}
 }
 
-// Error tells what was expected.
+// Error says what was expected.
 func (e *ParseError) Error() string { return e.detail }
 
-// RuleError is a rule that can't be as it is.
+// RuleError reports an invalid rule.
 type RuleError struct{ detail string }
 
 func ruleError(format string, args ...any) error {
@@ -74,8 +76,10 @@
 // Error names the rule and what is wrong with it.
 func (e *RuleError) Error() string { return e.detail }
 
-// RemoteError is a running sender's refusal.
+// RemoteError reports a request that a running sender rejected.
 type RemoteError struct{ Message string }
 
-// Error has the sender's own words.
-func (e *RemoteError) Error() string { return "undelivered: the sender says: " + e.Message }
+// Error includes the text of the sender's response.
+func (e *RemoteError) Error() string {
+	return "undelivered: the sender rejected the request: " + e.Message
+}
--- a/internal/undelivered/filter.go
+++ b/internal/undelivered/filter.go
@@ -14,8 +14,8 @@
 	Destination *uint32
 	Since       int64 // ended at or after; Unix nanoseconds
 	Until       int64 // ended before
-	After       Key   // entries behind this one, in the order of their ends
-	Limit       int   // so many; 0: all
+	After       Key   // only entries after this one, in the order of their ends
+	Limit       int   // maximum number of entries; 0: no limit
 }
 
 func (f *Filter) matches(e *Entry) bool {
--- a/internal/undelivered/index.go
+++ b/internal/undelivered/index.go
@@ -58,7 +58,7 @@
 	var e Entry
 	raw := tx.Bucket(bucketEntries).Get(key)
 	if raw == nil {
-		return e, corrupt("entry %x is not there", key)
+		return e, corrupt("entry %x is missing", key)
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return e, fmt.Errorf("entry %x: %w", key, err)
@@ -94,7 +94,7 @@
 	return totals.Put([]byte(member), append(boltfile.Number(entries+n), boltfile.Number(bytes+size)...))
 }
 
-// updateEntry changes fields of an entry that no index has. f reports whether the entry is to be written; ok is whether it was.
+// updateEntry changes fields of an entry that are not indexed. f reports whether the entry is to be written; ok is whether it was.
 func updateEntry(tx *bolt.Tx, key Key, f func(*Entry) bool) (e Entry, ok bool, err error) {
 	raw := tx.Bucket(bucketEntries).Get(key[:])
 	if raw == nil {
@@ -106,12 +106,12 @@
 	if !f(&e) {
 		return e, false, nil
 	}
-	is, err := json.Marshal(&e)
+	updated, err := json.Marshal(&e)
 	if err != nil {
 		return e, false, err
 	}
-	size := int64(len(is) - len(raw))
-	if err := tx.Bucket(bucketEntries).Put(key[:], is); err != nil {
+	size := int64(len(updated) - len(raw))
+	if err := tx.Bucket(bucketEntries).Put(key[:], updated); err != nil {
 		return e, false, err
 	}
 	return e, true, count(tx, e.Member, 0, size)
--- a/internal/undelivered/lazy_store.go
+++ b/internal/undelivered/lazy_store.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// LazyStore opens its Store with the first use. A file that can't be opened (no space left, damaged, of a newer version) is tried again
-// with each use, so that whoever repairs it need not restart the sender.
+// LazyStore opens its Store on first use. A file that can't be opened (no space left, damaged, of a newer version) is tried again
+// with each use, so that the sender need not be restarted once the file is repaired.
 type LazyStore struct {
 	folder string
 	limits Limits
@@ -17,21 +17,21 @@
 	// OnResendEnd is called with each resent message as its end is recorded; it may be nil. It is set before the first use.
 	OnResendEnd func(e *Entry)
 
-	resender Resender // nil: nothing is resent, and Record drops what is too old
+	resender Resender // nil: nothing is resent, and Record drops entries that are too old
 
 	mu    sync.Mutex
 	store *Store
 }
 
-// NewLazyStore returns a store for a folder, which is made with the first use.
+// NewLazyStore returns a store for a folder, which is created on first use.
 func NewLazyStore(folder string, limits Limits) *LazyStore {
 	return &LazyStore{folder: folder, limits: limits}
 }
 
-// SetResender has r resend messages and drop what is too old. It is called before the first use.
+// SetResender sets the Resender, which resends messages and drops entries that are too old. It must be called before the first use.
 func (l *LazyStore) SetResender(r Resender) { l.resender = r }
 
-// Store returns the store, which it opens if need be.
+// Store returns the store, and opens it if it is not open.
 func (l *LazyStore) Store() (*Store, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,7 +105,7 @@
 // FileName is the store's file in its folder.
 const FileName = "undelivered.db"
 
-// ResendPlan is what would become of an entry if an operator requested its resend.
+// ResendPlan says whether an entry would be resent if an operator requested that.
 type ResendPlan struct {
 	Name       string `json:"name"`
 	Member     string `json:"member"`
@@ -113,7 +113,7 @@
 	Why        string `json:"why,omitempty"`
 }
 
-// Resender resends entries as background work, which also drops what is too old.
+// Resender resends entries as background work, and drops entries that are too old.
 type Resender interface {
 	Plans(f Filter) ([]ResendPlan, error)
 	RequestResend(f Filter, want bool) (int, error)
--- a/internal/undelivered/query.go
+++ b/internal/undelivered/query.go
@@ -9,7 +9,7 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// List calls do with entries in the order of their ends, until it returns false.
+// List calls do with entries in the order of their ends, until do returns false.
 func (s *Store) List(f Filter, do func(Key, Entry) bool) error {
 	err := s.view(func(tx *bolt.Tx) error {
 		entries := tx.Bucket(bucketEntries)
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// Get returns an entry; ok is whether there is one.
+// Get returns an entry; ok is whether it exists.
 func (s *Store) Get(key Key) (e Entry, ok bool, err error) {
 	err = s.view(func(tx *bolt.Tx) error {
 		raw := tx.Bucket(bucketEntries).Get(key[:])
--- a/internal/undelivered/reason.go
+++ b/internal/undelivered/reason.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Effect is what a second delivery of a message does at its receiver, as the settings of its class have it.
+// Effect is the effect of a second delivery of a message at its receiver, as set for the message's class.
 type Effect string
 
 // Effects: idempotent, idempotent by the message's key, and not idempotent.
@@ -17,7 +17,7 @@
 // Outcome is how an attempt ended.
 type Outcome string
 
-// Outcomes. Unknown is that of an attempt whose end was never written down: it may have run.
+// Outcomes. Unknown is the outcome of an attempt whose end was never recorded: the attempt may have run.
 const (
 	Unknown       Outcome = "unknown"
 	Errored       Outcome = "errored"
@@ -59,16 +59,16 @@
 
 // Reasons, in the order in which ReasonOf tries them: the first that applies is the reason.
 const (
-	ReasonHandedBack    Reason = "handed-back"     // handed back to its client, who has not come again
-	ReasonNeverSent     Reason = "never-sent"      // failed at once, with no attempt: its client was told so
-	ReasonExpired       Reason = "out-of-time"     // its time was over before the first attempt
-	ReasonUnsafeRetry   Reason = "repeat-unlawful" // it had time left, and an attempt that may have run forbade another
+	ReasonHandedBack    Reason = "handed-back"     // handed back to its client, which has not submitted it again
+	ReasonNeverSent     Reason = "never-sent"      // failed before any attempt, with an error response to its client
+	ReasonExpired       Reason = "out-of-time"     // its deadline passed before the first attempt
+	ReasonUnsafeRetry   Reason = "repeat-unlawful" // its deadline had not passed, but an attempt that may have run forbade another
 	ReasonRejected      Reason = "refused"         // every attempt was rejected
-	ReasonConnectFailed Reason = "connect-failed"  // no attempt ran, the last for want of a connection
-	ReasonErrored       Reason = "errored"         // the last attempt that says anything was answered with an error
-	ReasonTimedOut      Reason = "timed-out"       // or was not answered in time
-	ReasonReset         Reason = "reset"           // or ended without an answer
-	ReasonUnknown       Reason = "unknown"         // or its end was never written down
+	ReasonConnectFailed Reason = "connect-failed"  // no attempt ran, and the last conclusive one could not connect
+	ReasonErrored       Reason = "errored"         // the last conclusive attempt was answered with an error
+	ReasonTimedOut      Reason = "timed-out"       // the last conclusive attempt was not answered in time
+	ReasonReset         Reason = "reset"           // the last conclusive attempt ended without a response
+	ReasonUnknown       Reason = "unknown"         // the end of the last conclusive attempt was never recorded
 )
 
 // Reasons returns all reasons, in the order in which ReasonOf tries them.
@@ -86,11 +86,11 @@
 	return "", parseError("there is no reason %q; there are %v", text, Reasons())
 }
 
-// History is what ReasonOf and MayResend decide by. Times are Unix nanoseconds.
+// History is the input of ReasonOf and MayResend. Times are Unix nanoseconds.
 type History struct {
 	Ending          string // GivenUp or HandedBack
-	EndedInResponse bool   // it ended in the answer to its hand-in
-	AcceptedAt      int64  // Unix nanoseconds
+	EndedInResponse bool   // the response to its submission reported its end
+	AcceptedAt      int64
 	EndedAt         int64
 	Deadline        int64
 	Effect          Effect
@@ -110,15 +110,15 @@
 		}
 		return ReasonNeverSent
 	}
-	ran, refused := false, true
+	ran, rejected := false, true
 	for _, a := range h.Attempts {
 		ran = ran || a.Outcome.MayHaveRun()
-		refused = refused && a.Outcome == Rejected
+		rejected = rejected && a.Outcome == Rejected
 	}
 	if ran && h.Effect != Safe && h.EndedAt < h.Deadline {
 		return ReasonUnsafeRetry
 	}
-	if refused {
+	if rejected {
 		return ReasonRejected
 	}
 	for i := len(h.Attempts) - 1; i >= 0; i-- {
@@ -135,9 +135,9 @@
 			}
 		case Unknown:
 			return ReasonUnknown
-		case Cancelled: // it was overdue
+		case Cancelled: // the attempt was overdue
 			return ReasonTimedOut
-		case Rejected, NotSent: // the attempt before says more
+		case Rejected, NotSent: // an earlier attempt decides
 		}
 	}
 	if ran {
@@ -151,20 +151,19 @@
 
 // Permissions.
 const (
-	Forbidden Permission = iota // neither by rule nor by hand; it can be read, exported and resolved
+	Forbidden Permission = iota // neither by a rule nor on request; it can be read, exported and resolved
 	Allowed                     // it may be resent now
 )
 
-// KeyExpiryMargin is how long before its key is forgotten a repeat has to be on its way: it still has to be decided on,
-// connected and written, as long as a call may take to begin.
+// KeyExpiryMargin is how long before the receiver forgets a message's key MayResend stops permitting a resend: the resend must still be
+// decided on, connected and written, and the margin is the time that a call may take to begin.
 const KeyExpiryMargin = 3 * time.Second
 
-// MayResend decides whether a message may be resent now, and tells why not. No other code decides that: rules choose among what it
-// permits. window is how long a receiver remembers a key after the first attempt
-// that may have run; now is Unix nanoseconds.
+// MayResend decides whether a message may be resent now, and returns why not. No other code decides that: rules choose among the messages
+// that it permits. window is how long a receiver remembers a key after the first attempt that may have run; now is Unix nanoseconds.
 //
-// A clock that was set back makes an attempt look younger than it is, never older: where the time since the first
-// attempt is below nothing, or the end lies before it, the key counts as forgotten.
+// A clock that was set back makes an attempt look younger than it is, never older. If now is before the first attempt that may have run, or
+// before the end of the message, the key therefore counts as forgotten.
 func MayResend(h History, window time.Duration, now int64) (Permission, string) {
 	first := int64(0)
 	ran := false
--- a/internal/undelivered/reason_test.go
+++ b/internal/undelivered/reason_test.go
@@ -25,8 +25,8 @@
 	all(nil)
 }
 
-// Every class, every history of up to three attempts, key windows and ages on both sides of them: held against the
-// rule's own words, written down another way.
+// Every effect, every history of up to three attempts, and ages on both sides of the key windows, compared with a second implementation of
+// the rule.
 func TestMayResend_Exhaustively(t *testing.T) {
 	const from = 1000 * second
 	seen := map[Permission]int{}
@@ -34,13 +34,13 @@
 		for _, ordered := range []bool{false, true} {
 			for _, key := range []string{"", "k"} {
 				for _, window := range []time.Duration{0, KeyExpiryMargin, 7500 * time.Millisecond, time.Hour} {
-					histories(from, func(tries []Attempt) {
+					histories(from, func(attempts []Attempt) {
 						for _, age := range []int64{-5 * second, -1, 0, second, 3 * second, 4*second + second/2 - 1, 4*second + second/2, 3600*second - int64(KeyExpiryMargin) - 1, 3600*second - int64(KeyExpiryMargin), 7200 * second} {
-							h := History{Ending: GivenUp, EndedAt: from, Effect: effect, Ordered: ordered, Key: key, Attempts: tries}
+							h := History{Ending: GivenUp, EndedAt: from, Effect: effect, Ordered: ordered, Key: key, Attempts: attempts}
 							got, why := MayResend(h, window, from+age)
 							seen[got]++
 							mayHaveRun, since := false, int64(0)
-							for i, a := range tries {
+							for i, a := range attempts {
 								if !strings.Contains("refused connect failed not sent", string(a.Outcome)) && !mayHaveRun {
 									mayHaveRun, since = true, age-int64(i)*second
 								}
@@ -56,7 +56,7 @@
 								want = Forbidden
 							}
 							if got != want || (why == "") != (got == Allowed) {
-								t.Fatalf("%s, ordered %v, key %q, window %v, age %v, %v: %d %q, want %d", effect, ordered, key, window, time.Duration(age), tries, got, why, want)
+								t.Fatalf("%s, ordered %v, key %q, window %v, age %v, %v: %d %q, want %d", effect, ordered, key, window, time.Duration(age), attempts, got, why, want)
 							}
 						}
 					})
@@ -69,14 +69,14 @@
 	}
 }
 
-// Each history has one reason, of the list, and each reason a history.
+// Each history has a reason that ParseReason accepts, and each reason has a history.
 func TestParseReason(t *testing.T) {
 	seen := map[Reason]bool{}
-	for _, how := range []string{GivenUp, HandedBack} {
+	for _, ending := range []string{GivenUp, HandedBack} {
 		for _, effect := range []Effect{Safe, Keyed, Unsafe} {
 			for _, ended := range []int64{5 * second, 30 * second} {
-				histories(0, func(tries []Attempt) {
-					r := ReasonOf(History{Ending: how, EndedAt: ended, Deadline: 28 * second, Effect: effect, Attempts: tries})
+				histories(0, func(attempts []Attempt) {
+					r := ReasonOf(History{Ending: ending, EndedAt: ended, Deadline: 28 * second, Effect: effect, Attempts: attempts})
 					if _, err := ParseReason(string(r)); err != nil {
 						t.Fatal(err)
 					}
@@ -87,7 +87,7 @@
 	}
 	for _, r := range Reasons() {
 		if !seen[r] {
-			t.Errorf("%s is the reason of nothing", r)
+			t.Errorf("no history has the reason %s", r)
 		}
 	}
 	if _, err := ParseReason("bored"); err == nil || !strings.Contains(err.Error(), "never-sent") {
@@ -96,7 +96,7 @@
 }
 
 func TestReasonOf(t *testing.T) {
-	tries := func(o ...Outcome) []Attempt {
+	attempts := func(o ...Outcome) []Attempt {
 		var all []Attempt
 		for _, x := range o {
 			all = append(all, Attempt{Outcome: x})
@@ -107,18 +107,18 @@
 		h    History
 		want Reason
 	}{
-		{History{Ending: HandedBack, Attempts: tries(Rejected)}, ReasonHandedBack},
+		{History{Ending: HandedBack, Attempts: attempts(Rejected)}, ReasonHandedBack},
 		{History{Ending: GivenUp, EndedAt: 1, Deadline: 5}, ReasonNeverSent},
 		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5}, ReasonExpired},
-		{History{Ending: GivenUp, EndedAt: 1, Deadline: 5, Effect: Unsafe, Attempts: tries(Reset)}, ReasonUnsafeRetry},
-		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Unsafe, Attempts: tries(Reset)}, ReasonReset},
-		{History{Ending: GivenUp, EndedAt: 1, Deadline: 5, Effect: Safe, Attempts: tries(Errored)}, ReasonErrored},
-		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Keyed, Attempts: tries(Rejected, Rejected)}, ReasonRejected},
-		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Keyed, Attempts: tries(Rejected, ConnectFailed)}, ReasonConnectFailed},
-		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Keyed, Attempts: tries(TimedOut, ConnectFailed)}, ReasonTimedOut},
-		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Keyed, Attempts: tries(Errored, Unknown)}, ReasonUnknown},
-		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Safe, Attempts: tries(Cancelled)}, ReasonTimedOut},
-		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Safe, Attempts: tries(NotSent)}, ReasonRejected},
+		{History{Ending: GivenUp, EndedAt: 1, Deadline: 5, Effect: Unsafe, Attempts: attempts(Reset)}, ReasonUnsafeRetry},
+		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Unsafe, Attempts: attempts(Reset)}, ReasonReset},
+		{History{Ending: GivenUp, EndedAt: 1, Deadline: 5, Effect: Safe, Attempts: attempts(Errored)}, ReasonErrored},
+		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Keyed, Attempts: attempts(Rejected, Rejected)}, ReasonRejected},
+		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Keyed, Attempts: attempts(Rejected, ConnectFailed)}, ReasonConnectFailed},
+		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Keyed, Attempts: attempts(TimedOut, ConnectFailed)}, ReasonTimedOut},
+		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Keyed, Attempts: attempts(Errored, Unknown)}, ReasonUnknown},
+		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Safe, Attempts: attempts(Cancelled)}, ReasonTimedOut},
+		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Safe, Attempts: attempts(NotSent)}, ReasonRejected},
 	} {
 		if got := ReasonOf(c.h); got != c.want {
 			t.Errorf("%+v: %s, want %s", c.h, got, c.want)
--- a/internal/undelivered/remote.go
+++ b/internal/undelivered/remote.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// Remote is the store of a running sender, reached by its Unix socket. A refusal is a *RemoteError.
+// Remote is the store of a running sender, reached by its Unix socket. A rejected request is a *RemoteError.
 type Remote struct{ client *http.Client }
 
-// Dial returns the store of the sender whose socket is in a folder; the connection is made with each request.
+// Dial returns the store of the sender whose socket is in a folder. It does not connect; requests do.
 func Dial(folder string) *Remote {
 	path := filepath.Join(folder, SocketName)
 	return &Remote{&http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{
@@ -40,27 +40,27 @@
 		return &RemoteError{Message: string(text)}
 	}
 	if err := json.NewDecoder(resp.Body).Decode(into); err != nil {
-		return fmt.Errorf("undelivered: the sender's answer: %w", err)
+		return fmt.Errorf("undelivered: decode the sender's response: %w", err)
 	}
 	return nil
 }
 
-// List calls do with entries in the order of their ends, until it returns false; they are fetched page by page.
+// List calls do with entries in the order of their ends, until do returns false. It fetches them page by page.
 func (r *Remote) List(f Filter, do func(Key, Entry) bool) error {
 	return pages(r, "/list", f, func(n Named) (string, func(Key) bool) {
 		return n.Name, func(k Key) bool { return do(k, n.Entry) }
 	})
 }
 
-// Plans calls do with what would become of entries if an operator requested their resend.
+// Plans calls do with the plan for each entry, as if an operator requested its resend.
 func (r *Remote) Plans(f Filter, do func(ResendPlan)) error {
 	return pages(r, "/plans", f, func(p ResendPlan) (string, func(Key) bool) {
 		return p.Name, func(Key) bool { do(p); return true }
 	})
 }
 
-// pages asks for what a filter chooses, page by page. each gives a line's name, and what is done with it; that says whether
-// to go on.
+// pages requests the items that a filter selects, page by page. each returns an item's name and the function to call with its key, which
+// reports whether to continue.
 func pages[T any](r *Remote, path string, f Filter, each func(T) (name string, do func(Key) bool)) error {
 	for left := f.Limit; ; {
 		page := f
@@ -71,8 +71,8 @@
 		if err := r.call(http.MethodGet, path, page.query(), &all); err != nil {
 			return err
 		}
-		for _, one := range all {
-			name, do := each(one)
+		for _, item := range all {
+			name, do := each(item)
 			key, err := ParseKey(name)
 			if err != nil {
 				return err
@@ -93,7 +93,7 @@
 	}
 }
 
-// RequestResend requests that entries are resent as far as they may be, or takes that back; n is how many that changed.
+// RequestResend requests the resend of entries, as far as it is permitted, or cancels that; n is how many entries that changed.
 func (r *Remote) RequestResend(f Filter, want bool) (n int, err error) {
 	q := f.query()
 	if !want {
@@ -102,7 +102,7 @@
 	return n, r.call(http.MethodPost, "/want", q, &n)
 }
 
-// Get returns an entry; ok is whether there is one.
+// Get returns an entry; ok is whether it exists.
 func (r *Remote) Get(key Key) (Entry, bool, error) {
 	var e *Entry
 	if err := r.call(http.MethodGet, "/get", url.Values{"name": {key.String()}}, &e); err != nil || e == nil {
@@ -120,7 +120,7 @@
 	return r.call(http.MethodPost, "/settle", url.Values{"name": {key.String()}, "by": {by}, "why": {why}}, &n)
 }
 
-// Drop removes entries; n is how many there were.
+// Drop removes entries; n is how many of them existed.
 func (r *Remote) Drop(keys []Key) (n int, err error) {
 	q := url.Values{}
 	for _, k := range keys {
--- a/internal/undelivered/resend.go
+++ b/internal/undelivered/resend.go
@@ -50,20 +50,20 @@
 // Reconcile returns entries to state stored that an earlier process marked as resending and that are not in the sender's journal;
 // inFlight has the ids of the messages that are. It is called once, before the first BeginResend of this process.
 func (s *Store) Reconcile(inFlight map[string]bool) (n int, err error) {
-	var back []Key
+	var interrupted []Key
 	err = s.List(Filter{}, func(k Key, e Entry) bool {
 		if e.State == Resending && !inFlight[e.Message] {
-			back = append(back, k)
+			interrupted = append(interrupted, k)
 		}
 		return true
 	})
 	if err != nil {
 		return 0, err
 	}
-	return len(back), s.CancelResend(back)
+	return len(interrupted), s.CancelResend(interrupted)
 }
 
-// RequestResend records that an operator wants entries resent, or no longer; n is how many entries that changed.
+// RequestResend records that an operator requests the resend of entries, or cancels that; n is how many entries that changed.
 func (s *Store) RequestResend(keys []Key, want bool) (n int, err error) {
 	err = s.update(func(tx *bolt.Tx) error {
 		n = 0
@@ -89,7 +89,7 @@
 	return n, nil
 }
 
-// setState changes an entry's state; ok is whether the entry was there in the expected state.
+// setState changes an entry's state; ok is whether the entry existed in state from.
 func (s *Store) setState(tx *bolt.Tx, key Key, from, to State) (e Entry, ok bool, err error) {
 	return updateEntry(tx, key, func(e *Entry) bool {
 		was := e.State
@@ -99,7 +99,7 @@
 }
 
 // recordResendEnd records how a resent message ended: a delivered one is removed, any other replaces its entry. An end that was recorded
-// before changes nothing.
+// before is ignored.
 func (s *Store) recordResendEnd(tx *bolt.Tx, key []byte, e *Entry) error {
 	var was Entry
 	if err := json.Unmarshal(tx.Bucket(bucketEntries).Get(key), &was); err != nil {
--- a/internal/undelivered/resolve.go
+++ b/internal/undelivered/resolve.go
@@ -8,27 +8,27 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Resolve records that an entry was dealt with by hand: by whom, why, and when, in Unix nanoseconds. It returns ErrNoResolution, a
+// Resolve records that an entry was resolved by hand: by whom, why, and when, in Unix nanoseconds. It returns ErrNoResolution, a
 // *NotFoundError, or a *StateError for an entry that is resending or resolved.
 func (s *Store) Resolve(key Key, by, why string, now int64) error {
 	if by == "" || why == "" {
 		return ErrNoResolution
 	}
 	err := s.update(func(tx *bolt.Tx) error {
-		var refused error
+		var stateErr error
 		_, ok, err := updateEntry(tx, key, func(e *Entry) bool {
 			switch e.State {
 			case Resending, Resolved:
-				refused = &StateError{Key: key, State: e.State, ResolvedBy: e.ResolvedBy, ResolvedAt: e.ResolvedAt}
+				stateErr = &StateError{Key: key, State: e.State, ResolvedBy: e.ResolvedBy, ResolvedAt: e.ResolvedAt}
 			case Stored:
 			}
 			e.State, e.ResolvedBy, e.Resolution, e.ResolvedAt = Resolved, by, why, now
-			return refused == nil
+			return stateErr == nil
 		})
-		if err == nil && refused == nil && !ok {
+		if err == nil && stateErr == nil && !ok {
 			return &NotFoundError{Key: key}
 		}
-		return errors.Join(err, refused)
+		return errors.Join(err, stateErr)
 	})
 	if err != nil {
 		return fmt.Errorf("undelivered: %w", err)
--- a/internal/undelivered/retention.go
+++ b/internal/undelivered/retention.go
@@ -36,8 +36,8 @@
 	return n, more, nil
 }
 
-// enforceLimits drops entries that are too old and, while there are too many bytes, the oldest of the member with the most bytes: one
-// member's flood costs only that member.
+// enforceLimits drops entries that are too old and, while there are too many bytes, the oldest of the member with the most bytes, so
+// that a member that floods the store loses only its own entries.
 func (s *Store) enforceLimits(tx *bolt.Tx, now int64) error {
 	if s.limits.MaxAge > 0 && !s.expiredByResender {
 		c := tx.Bucket(bucketEntries).Cursor()
@@ -62,7 +62,7 @@
 		prefix := indexKey(string(member))
 		k, _ := tx.Bucket(bucketMembers).Cursor().Seek(prefix)
 		if !bytes.HasPrefix(k, prefix) {
-			return corrupt("the totals name member %q, of whom there is nothing", member)
+			return corrupt("the totals include member %q, which has no entries", member)
 		}
 		if err := drop(tx, bytes.Clone(k[len(prefix):])); err != nil {
 			return err
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// Drop removes entries and counts them as dropped; n is how many of the keys there were.
+// Drop removes entries and counts them as dropped; n is how many of them existed.
 func (s *Store) Drop(keys []Key) (n int, err error) {
 	err = s.update(func(tx *bolt.Tx) error {
 		for _, k := range keys {
@@ -106,8 +106,8 @@
 		return nil
 	}
 	err := s.update(func(tx *bolt.Tx) error {
-		for who, n := range counts {
-			if err := countDropped(tx, who[0], Reason(who[1]), n); err != nil {
+		for pair, n := range counts {
+			if err := countDropped(tx, pair[0], Reason(pair[1]), n); err != nil {
 				return err
 			}
 		}
--- a/internal/undelivered/rules.go
+++ b/internal/undelivered/rules.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Rule is a policy of automatic resends: which messages, when, and how fast. Of two that match a message the first applies.
+// Rule is a policy of automatic resends: which messages, when, and how fast. If several match a message, the first applies.
 type Rule struct {
 	Name    string
-	Members []string // empty: all, as with the next two
+	Members []string // empty: all, as for Reasons and Classes
 	Reasons []Reason
 	Classes []string
 
-	// When: the receiver has been healthy for so long, it is this time of day, or only by hand.
+	// Conditions: the receiver has been healthy for HealthyFor, and it is a time of day from From to To; or only on an operator's request.
 	HealthyFor time.Duration
-	From       time.Duration // since midnight, with To; both 0: at any time
+	From       time.Duration // since midnight, as is To; both 0: at any time
 	To         time.Duration
 	ManualOnly bool
 
-	RateFraction  float64       // of the rate that the receiver takes now; above 0, up to 1
-	NewestFirst   bool          // else the oldest
-	MaxResends    int           // of one message; from 1
+	RateFraction  float64       // of the receiver's current rate; above 0, up to 1
+	NewestFirst   bool          // else the oldest first
+	MaxResends    int           // of one message; at least 1
 	MaxAge        time.Duration // since the message ended first; 0: no limit
 	Deadline      time.Duration // of a resent message, from its resend
-	DropExhausted bool          // what reached MaxResends or MaxAge is dropped; else it stays
+	DropExhausted bool          // messages that reached MaxResends or MaxAge are dropped; else they stay
 }
 
 // Matches reports whether a rule applies to a message.
@@ -43,19 +43,19 @@
 	return nil
 }
 
-// Choice is what the rules make of a message now.
+// Choice is the decision of the rules on a message.
 type Choice int
 
 // Choices.
 const (
 	ResendNow     Choice = iota
-	ResendLater          // it is being resent; look again
+	ResendLater          // it is being resent; decide again later
 	NeverResend          // it stays until an operator resolves or drops it
 	DropEntry            // its rule drops it
 	NoRuleApplies        // no rule matches, or its rule is manual only
 )
 
-// Choose decides on one message by the rules and by MayResend, and tells why it is not resent. window is how long the receiver remembers
+// Choose decides on one message by the rules and by MayResend, and returns why it is not resent. window is how long the receiver remembers
 // the keys of its class; now is Unix nanoseconds. manual is an operator's request, which overrides the rules' times and bounds but
 // never MayResend.
 func Choose(rules []Rule, e *Entry, window time.Duration, now int64, manual bool) (Choice, string) {
--- a/internal/undelivered/server.go
+++ b/internal/undelivered/server.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// SocketName is the Unix socket beside the store, by which the command line asks a sender that runs.
+// SocketName is the Unix socket in the store's folder on which a running sender serves the command line.
 const SocketName = "undelivered.sock"
 
 // Named is an entry with its key, as it is listed and exported.
@@ -23,7 +23,7 @@
 	Entry
 }
 
-// Source is a Store, or a Remote.
+// Source is what Store and Remote have in common.
 type Source interface {
 	List(f Filter, do func(Key, Entry) bool) error
 	Get(key Key) (Entry, bool, error)
@@ -32,13 +32,13 @@
 	Drop(keys []Key) (int, error)
 }
 
-// Serve answers the command line on a Unix socket in the store's folder, for nobody but its owner, until ctx ends.
+// Serve serves the command line on a Unix socket in the store's folder, which only its owner can access, until ctx ends.
 func (l *LazyStore) Serve(ctx context.Context) error {
 	path := filepath.Join(l.folder, SocketName)
 	if err := os.MkdirAll(l.folder, 0o700); err != nil {
 		return fmt.Errorf("undelivered: %w", err)
 	}
-	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) { // a process that was killed leaves its own
+	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) { // a process that was killed leaves its socket behind
 		return fmt.Errorf("undelivered: %w", err)
 	}
 	listener, err := net.Listen("unix", path)
@@ -58,8 +58,7 @@
 	return nil
 }
 
-// handler answers the requests of the command line. What is stored is asked of the store; what would be sent again, and that it is to
-// be, of the resender.
+// handler serves the requests of the command line. Requests on stored entries go to the store, and those on resends to the Resender.
 func (l *LazyStore) handler() http.Handler {
 	mux := http.NewServeMux()
 	for pattern, serve := range map[string]storeHandler{
@@ -112,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	// The answer is gathered first: a reader that takes its time is not to hold a transaction open.
+	// The response is collected first: a slow reader must not hold a transaction open.
 	var all []Named
 	f.Limit = min(max(1, f.Limit), maxPageEntries)
 	if err := s.List(f, func(k Key, e Entry) bool { all = append(all, Named{k.String(), e}); return true }); err != nil {
@@ -185,5 +184,5 @@
 	return writeJSON(w, n)
 }
 
-// maxPageEntries bounds the entries in one answer.
+// maxPageEntries bounds the entries in one response.
 const maxPageEntries = 200
--- a/internal/undelivered/store.go
+++ b/internal/undelivered/store.go
@@ -15,15 +15,15 @@
 // The store is one bbolt file. Buckets:
 //
 //	meta     version (8 bytes), bytes (8: of all entries' values)
-//	entries  key → value, JSON. The key is the entry's name: 8 bytes of the time it ended, 8 of its message's id hashed
+//	entries  key → Entry, JSON. The key is the entry's name: 8 bytes of the time it ended, 8 of its message id's hash
 //	messages id of a message → key
-//	members  member, 0, key → nothing; and by the same scheme reasons, classes, destinations, and, for the usual
-//	         question, pairs: member, 0, reason, 0, key
-//	keys     member, 0, idempotency key, 0, key → nothing
+//	members  member, 0, key → empty; and by the same scheme reasons, classes, destinations, and, for the most
+//	         frequent query, pairs: member, 0, reason, 0, key
+//	keys     member, 0, idempotency key, 0, key → empty
 //	totals   member → entries and bytes (8 each)
 //	dropped  member, 0, reason → how many were dropped (8)
 //
-// A transaction is all there or not at all after a kill, so the indexes never disagree with the entries.
+// Transactions are atomic, also if the process is killed, so the indexes never disagree with the entries.
 var (
 	bucketMeta         = []byte("meta")
 	bucketEntries      = []byte("entries")
@@ -42,7 +42,7 @@
 	keyResent  = []byte("resent")
 )
 
-// version is that of the file's layout.
+// version is the version of the file's layout.
 const version = 1
 
 // Limits bound a store; 0 is no limit.
@@ -55,7 +55,7 @@
 type Store struct {
 	db                *bolt.DB
 	limits            Limits
-	expiredByResender bool // Expire is called from time to time: Record need not look for old entries
+	expiredByResender bool // Expire is called periodically, so Record does not look for old entries
 }
 
 // Open opens a store's file, or creates it. A file that is damaged, of a newer version (ErrNewerVersion), no store (ErrNotAStore), or open
@@ -99,7 +99,7 @@
 		if err := checkVersion(tx); err != nil || tx.Bucket(bucketKeys) != nil {
 			return err
 		}
-		keys, err := tx.CreateBucket(bucketKeys) // a file from before there was this index
+		keys, err := tx.CreateBucket(bucketKeys) // the file was written before this index existed
 		if err != nil {
 			return err
 		}
@@ -120,7 +120,7 @@
 	}
 	switch v := boltfile.Value(meta.Get(keyVersion)); {
 	case v > version:
-		return fmt.Errorf("%w: %d, and this one knows %d", ErrNewerVersion, v, version)
+		return fmt.Errorf("%w: file version %d, supported version %d", ErrNewerVersion, v, version)
 	case v != version:
 		return &VersionError{Version: v}
 	}
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// update and view run a transaction; damage is an error.
+// update and view run a transaction; damage to the file is returned as an error.
 func (s *Store) update(f func(*bolt.Tx) error) error {
 	return boltfile.Guarded(func() error { return s.db.Update(f) })
 }
@@ -144,8 +144,8 @@
 	return boltfile.Guarded(func() error { return s.db.View(f) })
 }
 
-// Record writes entries in one transaction; one that is there already stays as it is. What exceeds the limits by then is dropped and
-// counted. now is Unix nanoseconds.
+// Record writes entries in one transaction; an entry that is already stored stays as it is. Entries that then exceed the limits are dropped
+// and counted. now is Unix nanoseconds.
 func (s *Store) Record(entries []Entry, now int64) error {
 	err := s.update(func(tx *bolt.Tx) error {
 		for i := range entries {
@@ -163,9 +163,9 @@
 
 func (s *Store) put(tx *bolt.Tx, e *Entry) error {
 	if was := tx.Bucket(bucketMessages).Get([]byte(e.Message)); was != nil {
-		return s.recordResendEnd(tx, bytes.Clone(was), e) // or offered again after a kill
+		return s.recordResendEnd(tx, bytes.Clone(was), e) // the end of a resend, or the entry recorded again after a kill
 	}
-	if e.Resends > 0 { // it went again, and was dropped or delivered meanwhile
+	if e.Resends > 0 { // it was resent, and its entry is gone: dropped, or delivered
 		return nil
 	}
 	if e.State == "" {
--- a/internal/undelivered/store_test.go
+++ b/internal/undelivered/store_test.go
@@ -46,7 +46,7 @@
 	return all
 }
 
-// Filters, alone and together, against a plain walk over the same entries.
+// List with filters, alone and combined, at once and in pages, compared with a plain loop over the same entries.
 func TestStore_List(t *testing.T) {
 	s, _ := newStore(t, Limits{})
 	var all []Entry
@@ -92,7 +92,7 @@
 							}
 						}
 						if !slices.Equal(paged, want) {
-							t.Fatalf("by pages, %+v: %v, want %v", f, paged, want)
+							t.Fatalf("in pages, %+v: %v, want %v", f, paged, want)
 						}
 					}
 				}
@@ -101,14 +101,14 @@
 	}
 }
 
-// Generated days of keeping, keeping again, settling and dropping, with retention by age and bytes: the file holds
-// together after each, each message is there once, and what went is counted.
+// Random operations: recording, recording again, dropping, resolving and restarting, with retention by age and bytes. After each the file
+// is consistent, each message is stored at most once, and dropped ones are counted.
 func TestStore_RandomOperations(t *testing.T) {
 	for seed := range uint64(12) {
 		r := rand.New(rand.NewPCG(seed, 10))
 		limits := Limits{MaxBytes: 4000 + r.Int64N(8000), MaxAge: time.Duration(20+r.IntN(60)) * time.Second}
 		s, path := newStore(t, limits)
-		now, n, kept := int64(1000)*second, 0, map[string]bool{}
+		now, n, recorded := int64(1000)*second, 0, map[string]bool{}
 		for range 60 {
 			now += r.Int64N(3) * second
 			switch r.IntN(5) {
@@ -116,11 +116,11 @@
 				var batch []Entry
 				for range 1 + r.IntN(5) {
 					batch = append(batch, entry(n, now+int64(n)))
-					kept[batch[len(batch)-1].Message] = true
+					recorded[batch[len(batch)-1].Message] = true
 					n++
 				}
 				if r.IntN(2) == 0 {
-					batch = append(batch, batch[0]) // offered twice
+					batch = append(batch, batch[0]) // twice in a batch
 				}
 				if err := s.Record(batch, now); err != nil {
 					t.Fatal(err)
@@ -157,19 +157,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			here, dropped := int64(0), int64(0)
+			stored, dropped := int64(0), int64(0)
 			for _, c := range totals.Counts {
-				here, dropped = here+c.Stored, dropped+c.Dropped
+				stored, dropped = stored+c.Stored, dropped+c.Dropped
 			}
-			if totals.Bytes > limits.MaxBytes+500 && len(list(t, s, Filter{})) > 0 || int(here) != len(list(t, s, Filter{})) || here+dropped != int64(len(kept)) {
-				t.Fatalf("seed %d: %d here, %d dropped of %d; %d bytes of %d", seed, here, dropped, len(kept), totals.Bytes, limits.MaxBytes)
+			if totals.Bytes > limits.MaxBytes+500 && len(list(t, s, Filter{})) > 0 || int(stored) != len(list(t, s, Filter{})) || stored+dropped != int64(len(recorded)) {
+				t.Fatalf("seed %d: %d stored, %d dropped of %d; %d bytes of %d", seed, stored, dropped, len(recorded), totals.Bytes, limits.MaxBytes)
 			}
 		}
 		s.Close()
 	}
 }
 
-// One member's flood costs that member, and nobody else's entries go.
+// A member that floods the store loses its own entries, and no other member's.
 func TestStore_FloodOfOneMember(t *testing.T) {
 	s, _ := newStore(t, Limits{MaxBytes: 20_000})
 	var few []Entry
@@ -204,8 +204,8 @@
 	}
 }
 
-// A transaction cut off anywhere leaves the store as it was before: each page that it wrote left out, or written half,
-// with the page that makes it count not written, left out, or torn.
+// A transaction that is interrupted at any point leaves the store as it was before: each page that it wrote is left out or half written,
+// with the meta page, which commits the transaction, not written or torn.
 func TestStore_TransactionTruncatedAnywhere(t *testing.T) {
 	s, path := newStore(t, Limits{})
 	var first, second []Entry
@@ -232,7 +232,7 @@
 	size := os.Getpagesize()
 	before = append(before, make([]byte, len(after)-len(before))...)
 	var changed []int
-	for p := 2; p*size < len(after); p++ { // the first two say which tree counts
+	for p := 2; p*size < len(after); p++ { // the first two are the meta pages
 		if !bytes.Equal(before[p*size:(p+1)*size], after[p*size:(p+1)*size]) {
 			changed = append(changed, p)
 		}
@@ -240,7 +240,7 @@
 	if len(changed) < 5 {
 		t.Fatalf("%d pages changed", len(changed))
 	}
-	try := func(name string, raw []byte, all bool) {
+	checkFile := func(name string, raw []byte, all bool) {
 		t.Helper()
 		at := filepath.Join(t.TempDir(), FileName)
 		if err := os.WriteFile(at, raw, 0o600); err != nil {
@@ -259,33 +259,33 @@
 		}
 	}
 	mixed := func(pages func(raw []byte)) []byte {
-		raw := slices.Concat(before[:2*size], after[2*size:]) // all but what makes it count
+		raw := slices.Concat(before[:2*size], after[2*size:]) // all pages but the meta pages
 		pages(raw)
 		return raw
 	}
-	try("all but the last page", mixed(func([]byte) {}), false)
+	checkFile("all but the meta page", mixed(func([]byte) {}), false)
 	for _, p := range changed {
 		at := p * size
-		try(fmt.Sprint("page left out ", p), mixed(func(raw []byte) { copy(raw[at:at+size], before[at:]) }), false)
-		try(fmt.Sprint("page cut short ", p), mixed(func(raw []byte) { copy(raw[at+size/2:at+size], before[at+size/2:]) }), false)
+		checkFile(fmt.Sprint("page left out ", p), mixed(func(raw []byte) { copy(raw[at:at+size], before[at:]) }), false)
+		checkFile(fmt.Sprint("page cut short ", p), mixed(func(raw []byte) { copy(raw[at+size/2:at+size], before[at+size/2:]) }), false)
 	}
 	for meta := range 2 {
 		if bytes.Equal(before[meta*size:(meta+1)*size], after[meta*size:(meta+1)*size]) {
 			continue
 		}
-		for cut := 16; cut < 80; cut++ { // the page's head stays, and the figures behind it come one by one
+		for cut := 16; cut < 80; cut++ { // the page's header stays; the fields after it are cut byte by byte
 			raw := bytes.Clone(after)
 			copy(raw[meta*size+cut:(meta+1)*size], before[meta*size+cut:])
 			if bytes.Equal(raw, after) {
 				break
 			}
-			try(fmt.Sprint("the last page cut at ", cut), raw, false)
+			checkFile(fmt.Sprint("meta page cut at ", cut), raw, false)
 		}
 	}
-	try("whole", after, true)
+	checkFile("whole", after, true)
 }
 
-// Files that are damaged, newer, held by another or no store at all are named and left as they are.
+// Open returns an error that names the file if it is damaged, open elsewhere, of a newer version or not a store.
 func TestOpen_UnusableFiles(t *testing.T) {
 	s, path := newStore(t, Limits{})
 	if err := s.Record([]Entry{entry(1, 1)}, 0); err != nil {
@@ -325,42 +325,42 @@
 	if _, err := OpenReadOnly(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("%v", err)
 	}
-	copied, err := OpenReadOnly(path)
+	readOnly, err := OpenReadOnly(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer copied.Close()
-	if got := list(t, copied, Filter{}); !slices.Equal(got, []string{"m1"}) {
+	defer readOnly.Close()
+	if got := list(t, readOnly, Filter{}); !slices.Equal(got, []string{"m1"}) {
 		t.Errorf("%v", got)
 	}
-	if err := copied.Record([]Entry{entry(2, 2)}, 0); err == nil {
-		t.Error("a copy to look at is written")
+	if err := readOnly.Record([]Entry{entry(2, 2)}, 0); err == nil {
+		t.Error("a read-only store is written")
 	}
 }
 
-// A keeper's file that can't be opened is opened once it can.
+// A LazyStore opens its file once the cause of an earlier failure is removed.
 func TestLazyStore_OpensWithFirstUse(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, FileName)
 	if err := os.WriteFile(path, []byte(strings.Repeat("noise", 10_000)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	k := NewLazyStore(dir, Limits{})
-	if err := k.Record([]Entry{entry(1, 1)}, 0); err == nil {
-		t.Fatal("it is kept")
+	lazy := NewLazyStore(dir, Limits{})
+	if err := lazy.Record([]Entry{entry(1, 1)}, 0); err == nil {
+		t.Fatal("an entry is recorded in a damaged file")
 	}
 	os.Remove(path)
-	if err := errors.Join(k.Record([]Entry{entry(1, 1)}, 0), k.RecordDropped(map[[2]string]int64{{"sound", "refused"}: 3})); err != nil {
+	if err := errors.Join(lazy.Record([]Entry{entry(1, 1)}, 0), lazy.RecordDropped(map[[2]string]int64{{"sound", "refused"}: 3})); err != nil {
 		t.Fatal(err)
 	}
-	s, err := k.Store()
+	s, err := lazy.Store()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if totals, err := s.Count(); err != nil || len(totals.Counts) != 2 {
 		t.Errorf("%+v %v", totals, err)
 	}
-	if err := k.Close(); err != nil {
+	if err := lazy.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -377,7 +377,7 @@
 	}
 	for _, bad := range [][2]string{{"", "why"}, {"ann", ""}} {
 		if s.Resolve(key, bad[0], bad[1], 7) == nil {
-			t.Errorf("settled by %q for %q", bad[0], bad[1])
+			t.Errorf("resolved by %q for %q", bad[0], bad[1])
 		}
 	}
 	if err := s.Resolve(key, "ann", "paid by hand", 7); err != nil {
@@ -390,14 +390,14 @@
 		t.Errorf("%v", err)
 	}
 	if err := s.Resolve(Key{1}, "ann", "why", 7); err == nil {
-		t.Error("settled what is not there")
+		t.Error("an entry that does not exist is resolved")
 	}
 	if err := s.Check(); err != nil {
 		t.Error(err)
 	}
 }
 
-// BenchmarkStore_Record keeps batches as the recorder gets them; the figure is for each entry.
+// BenchmarkStore_Record records batches of the recorder's size; the metrics are per entry.
 func BenchmarkStore_Record(b *testing.B) {
 	path := filepath.Join(b.TempDir(), FileName)
 	s, err := Open(path, Limits{})
@@ -426,10 +426,10 @@
 	b.ReportMetric(float64(info.Size())/float64(n)-400, "bytes/entry-beyond-body")
 }
 
-// BenchmarkStore_FirstPage asks a store of a million entries for the first page of one member and reason.
+// BenchmarkStore_FirstPage lists the first page of one member and reason in a store of a million entries.
 func BenchmarkStore_FirstPage(b *testing.B) {
 	if testing.Short() {
-		b.Skip("it fills a store first")
+		b.Skip("fills a store of a million entries first")
 	}
 	s, err := Open(filepath.Join(b.TempDir(), FileName), Limits{})
 	if err != nil {
--- a/internal/undelivered/stored_test.go
+++ b/internal/undelivered/stored_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestStore_ReadsStoredFile opens a store that commit eea23b3 wrote and compares all that is in it with what that commit read
-// back: entries kept, settled, resending and ended anew, and the counts of dropped and of delivered ones.
+// TestStore_ReadsStoredFile opens a store that commit eea23b3 wrote and compares its content with the listing by that commit: entries that
+// are stored, resolved, resending or ended again, and the counts of dropped and of delivered ones.
 func TestStore_ReadsStoredFile(t *testing.T) {
 	want := readFixture(t, "v1.golden.txt")
 	path := filepath.Join(t.TempDir(), FileName)
@@ -49,7 +49,7 @@
 	return raw
 }
 
-// goldenListing is all that a store answers: entries with their keys, members and totals.
+// goldenListing lists all that a store returns: entries with their keys, members and totals.
 func goldenListing(t *testing.T, s *Store) string {
 	t.Helper()
 	var b strings.Builder
