--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -1,5 +1,5 @@
-// Package boltfile opens bbolt files, and runs transactions on them, so that damage is an error. bbolt maps its file: damaged pages make
-// it panic, and a file that is truncated while it is mapped faults the process (SIGBUS).
+// Package boltfile opens bbolt files and runs transactions on them, and returns damage to a file as an error. bbolt maps its file into
+// memory: damaged pages make it panic, and a file that is truncated while it is mapped faults the process (SIGBUS).
 package boltfile
 
 import (
@@ -14,9 +14,9 @@
 	berrors "go.etcd.io/bbolt/errors"
 )
 
-// DamagedError is a file, or pages of it, that bbolt can't read.
+// DamagedError reports a file, or pages of it, that bbolt can't read.
 type DamagedError struct {
-	Path   string // empty: the file that the transaction was on
+	Path   string // empty: the file of the transaction
 	Detail string // what bbolt panicked with
 }
 
@@ -28,27 +28,27 @@
 	return e.Path + " is damaged: " + e.Detail
 }
 
-// LockedError is a file that another process has open.
+// LockedError reports a file that another process has open.
 type LockedError struct{ Path string }
 
 // Error names the file.
 func (e *LockedError) Error() string {
-	return e.Path + " is held by another process: a sender that runs"
+	return e.Path + " is held by another process, such as a running sender"
 }
 
-// TruncatedError is a file that is shorter than its first pages say.
+// TruncatedError reports a file that is shorter than its meta pages say.
 type TruncatedError struct {
-	Pages    int64 // that it says it has; 0: it is too short to say
+	Pages    int64 // according to its meta pages; 0: the file is too short to have both
 	PageSize int64 // bytes
 	Size     int64 // bytes
 }
 
-// Error tells the sizes.
+// Error names the sizes.
 func (e *TruncatedError) Error() string {
 	if e.PageSize == 0 {
 		return fmt.Sprintf("it is cut short: %d bytes", e.Size)
 	}
-	return fmt.Sprintf("it is cut short: it says %d pages of %d bytes, and has %d bytes", e.Pages, e.PageSize, e.Size)
+	return fmt.Sprintf("it is cut short: its header says %d pages of %d bytes, but it has %d bytes", e.Pages, e.PageSize, e.Size)
 }
 
 // lockTimeout is how long to wait for a file that another process has open.
@@ -57,7 +57,7 @@
 // Open opens a file, or creates it unless it is read only. A file that is damaged, or open in another process (*LockedError), is an error
 // that names it, and is left as it is.
 func Open(path string, readOnly bool) (db *bolt.DB, err error) {
-	defer func() { // bbolt panics at some damage
+	defer func() { // bbolt panics on some kinds of damage
 		if p := recover(); p != nil {
 			db, err = nil, &DamagedError{Path: path, Detail: fmt.Sprint(p)}
 		}
@@ -71,12 +71,12 @@
 	case errors.Is(err, berrors.ErrTimeout):
 		return nil, &LockedError{Path: path}
 	case errors.Is(err, berrors.ErrInvalid), errors.Is(err, berrors.ErrChecksum), errors.Is(err, berrors.ErrVersionMismatch):
-		return nil, fmt.Errorf("%s is damaged, or no store: %w", path, err)
+		return nil, fmt.Errorf("%s is damaged, or not a bbolt file: %w", path, err)
 	}
 	return db, err
 }
 
-// Guarded runs a transaction. One that meets damage returns a *DamagedError and has no effect.
+// Guarded runs a transaction. If the transaction meets damage, Guarded returns a *DamagedError and the transaction has no effect.
 func Guarded(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -87,7 +87,7 @@
 	return f()
 }
 
-// checkLength returns a *TruncatedError for a file that has fewer pages than it says: bbolt would read behind its end.
+// checkLength returns a *TruncatedError for a file with fewer pages than its meta pages say: bbolt would read past its end.
 func checkLength(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -101,7 +101,7 @@
 	if err != nil || info.Size() == 0 {
 		return err
 	}
-	// Each of the first two pages: 16 bytes of head, then magic, version, page size, flags (4 each), root (16), free
+	// Each of the first two pages, the meta pages, has a header of 16 bytes, then magic, version, page size, flags (4 each), root (16), free
 	// list, page count, transaction, checksum (8 each), in the machine's order.
 	const magic = 0xED0CDAED
 	size := int64(os.Getpagesize())
@@ -113,7 +113,7 @@
 		}
 		m := b[16:]
 		if binary.NativeEndian.Uint32(m) != magic {
-			continue // bbolt says what it thinks of that
+			continue // bbolt reports the invalid page itself
 		}
 		if n := int64(binary.NativeEndian.Uint64(m[40:])); n >= 0 && n < 1<<40 {
 			pages = max(pages, n)
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// Number encodes a number as files have it: eight bytes, big endian.
+// Number encodes a number as files store it: eight bytes, big endian.
 func Number(v int64) []byte { return binary.BigEndian.AppendUint64(nil, uint64(v)) }
 
 // Value decodes a Number; anything else is 0.
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -11,10 +11,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// SpanError is a text that is no Span.
+// SpanError reports a text that is not a Span.
 type SpanError struct {
 	Text     string
-	Negative bool // it is a duration below 0
+	Negative bool // the text is a duration below 0
 }
 
 // Error names the text.
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%q is no time such as \"400ms\", \"2.5s\" or \"5m\"", e.Text)
 }
 
-// SyntaxError is a file that is no TOML, has a key that nothing reads, or a value of another type.
+// SyntaxError reports a file that is not TOML, has an unknown key, or has a value of the wrong type.
 type SyntaxError struct {
 	Path   string
 	Line   int // from 1
@@ -57,7 +57,7 @@
 // D returns the span as a duration.
 func (s Span) D() time.Duration { return time.Duration(s) }
 
-// Decode decodes a file's text into a struct. A key that the struct has not is an error; errors in the text are *SyntaxError. path is the
+// Decode decodes a file's text into a struct. A key that the struct lacks is an error; errors in the text are *SyntaxError. path is the
 // file's name for errors.
 func Decode(path string, raw []byte, into any) error {
 	err := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(into)
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -12,7 +12,7 @@
 	for _, row := range []struct {
 		name, text string
 		want       time.Duration
-		problem    string // of the error; "": none
+		problem    string // text of the error; "": no error
 	}{
 		{"milliseconds", "400ms", 400 * time.Millisecond, ""},
 		{"fraction", "2.5s", 2500 * time.Millisecond, ""},
--- a/internal/worker/group.go
+++ b/internal/worker/group.go
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// PanicPolicy is what a panic in a worker ends.
+// PanicPolicy says what a panic in a worker terminates.
 type PanicPolicy uint8
 
 // The panic policies.
 const (
-	PropagatePanic PanicPolicy = iota // the process: state that others rely on may be half made
-	StopWorker                        // the worker alone; the group logs it, and the others go on
+	PropagatePanic PanicPolicy = iota // the process: state that other code relies on may be inconsistent
+	StopWorker                        // the worker alone; the group logs the panic, and the other workers go on
 )
 
-// PanicError is the reason why a worker under StopWorker ended.
+// PanicError reports that a worker under StopWorker panicked.
 type PanicError struct {
 	Value any
 	Stack []byte
 }
 
-// Error is the text that users and logs see.
+// Error returns the panic value and the stack of the goroutine.
 func (e *PanicError) Error() string { return fmt.Sprintf("panic: %v\n%s", e.Value, e.Stack) }
 
 // StopTimeoutError reports that a worker did not end in time. It is left running.
@@ -34,17 +34,17 @@
 	Timeout time.Duration
 }
 
-// Error is the text that users and logs see.
+// Error names the worker and the time-out.
 func (e *StopTimeoutError) Error() string {
 	return fmt.Sprintf("worker %s has not ended after %v", e.Worker, e.Timeout)
 }
 
-// Group runs workers: it owns their goroutines and the watchdog's, and Stop waits for the workers' end. Log and Clock are needed.
+// Group runs workers: it owns their goroutines and the watchdog's, and Stop waits for the workers' end. Log and Clock must be set.
 type Group struct {
 	Log            *slog.Logger
 	Clock          func() time.Duration         // monotonic
-	StallThreshold time.Duration                // a step that lasts longer is logged; 0: none is
-	OnExit         func(name string, err error) // called, in the worker's goroutine, when one has ended by itself; may be nil
+	StallThreshold time.Duration                // a step that lasts at least this long is logged; 0: no step is
+	OnExit         func(name string, err error) // called, in the worker's goroutine, after a worker has failed; may be nil
 
 	mu           sync.Mutex
 	workers      []*runningWorker   // in the order of starting
@@ -63,7 +63,7 @@
 	stallLogged bool          // for the current step
 	steps       uint64
 	longest     time.Duration
-	exitReason  string // "" while it runs, or was stopped
+	exitReason  string // "" while the worker runs, or if it was stopped
 }
 
 // Report is a worker as commands show it.
@@ -76,7 +76,8 @@
 	Inbox         Stats  `json:"inbox"`
 }
 
-// Start runs a worker until the group stops or it fails. Workers that others need are started first: Stop goes in reverse.
+// Start runs a worker until the group stops or it fails. Workers that others depend on must be started first:
+// Stop stops them in reverse order.
 func (g *Group) Start(w Runner, onPanic PanicPolicy) {
 	ctx, stop := context.WithCancel(context.Background())
 	r := &runningWorker{Runner: w, onPanic: onPanic, stop: stop, done: make(chan struct{}), stepStart: Never}
@@ -94,7 +95,7 @@
 			r.mu.Lock()
 			r.exitReason = err.Error()
 			r.mu.Unlock()
-			g.Log.Error("a worker ended by itself", "worker", w.name(), "err", err)
+			g.Log.Error("a worker failed", "worker", w.name(), "err", err)
 			if g.OnExit != nil {
 				g.OnExit(w.name(), err)
 			}
@@ -102,7 +103,7 @@
 	}()
 }
 
-// watchdog logs workers that stall, once a step.
+// watchdog logs steps that last at least StallThreshold, each once.
 func (g *Group) watchdog(done <-chan struct{}) {
 	tick := time.NewTicker(max(time.Millisecond, g.StallThreshold/4))
 	defer tick.Stop()
@@ -130,7 +131,7 @@
 	return slices.Clone(g.workers)
 }
 
-// Reports shows each worker, in the order of starting.
+// Reports returns a report on each worker, in the order of starting.
 func (g *Group) Reports() []Report {
 	now := g.Clock()
 	var all []Report
@@ -154,13 +155,13 @@
 		g.stopWatchdog()
 	}
 	g.mu.Unlock()
-	over := time.NewTimer(timeout)
-	defer over.Stop()
+	deadline := time.NewTimer(timeout)
+	defer deadline.Stop()
 	for _, r := range slices.Backward(g.snapshot()) {
 		r.stop()
 		select {
 		case <-r.done:
-		case <-over.C:
+		case <-deadline.C:
 			return &StopTimeoutError{Worker: r.name(), Timeout: timeout}
 		}
 	}
--- a/internal/worker/ring_buffer.go
+++ b/internal/worker/ring_buffer.go
@@ -17,13 +17,13 @@
 	MergeByKey                       // an entry replaces the one with its key; for a new key the oldest entry is dropped and counted
 )
 
-// String is the policy as commands show it.
+// String returns the policy as commands show it.
 func (r OverflowPolicy) String() string {
 	return [...]string{"wait", "drop the oldest", "merge by key"}[r]
 }
 
-// ErrClosed reports that a ring buffer takes no entries any more.
-var ErrClosed = errors.New("the ring is closed")
+// ErrClosed reports that a ring buffer is closed and accepts no more entries.
+var ErrClosed = errors.New("the ring buffer is closed")
 
 // RingBuffer is a bounded queue. It is safe for concurrent use; only Put blocks.
 type RingBuffer[T any] struct {
@@ -35,12 +35,12 @@
 	mu           sync.Mutex
 	queue        []T // the entries from head on
 	head         int
-	positions    map[string]int // of an entry by key, counted from the first entry ever; MergeByKey only
-	headPosition int            // of queue[head]
+	positions    map[string]int // position of each key's entry, counted from the first entry ever put in; MergeByKey only
+	headPosition int            // position of queue[head]
 	closed       bool
 	stats        Stats
 	ready        chan struct{} // holds a token while there may be entries
-	spaceFreed   chan struct{} // closed when entries were taken; nil: nobody waits
+	spaceFreed   chan struct{} // closed when entries are taken; nil: no Put waits
 }
 
 // Stats is a ring buffer as commands show it.
@@ -50,8 +50,8 @@
 	Policy        string `json:"rule"`
 	Length        int    `json:"held"`
 	HighWatermark int    `json:"high"`
-	Accepted      uint64 `json:"taken"`   // entries put in, whatever became of them
-	Dropped       uint64 `json:"dropped"` // under DropOldest, or for want of space for a new key
+	Accepted      uint64 `json:"taken"`   // entries put in, including those dropped or merged
+	Dropped       uint64 `json:"dropped"` // under DropOldest, or under MergeByKey to free space for a new key
 	Merged        uint64 `json:"merged"`
 	Blocked       uint64 `json:"waited"` // Puts that waited for space, and Offers that returned false
 }
@@ -59,7 +59,7 @@
 // NewRingBuffer makes a ring buffer for at least one entry. key is given for MergeByKey and no other policy.
 func NewRingBuffer[T any](name string, capacity int, policy OverflowPolicy, key func(T) string) *RingBuffer[T] {
 	if capacity < 1 || (policy == MergeByKey) != (key != nil) {
-		panic(fmt.Sprintf("worker: ring buffer %s: capacity %d, rule %s", name, capacity, policy))
+		panic(fmt.Sprintf("worker: ring buffer %s: capacity %d is below 1, or policy %s does not match the key function", name, capacity, policy))
 	}
 	r := &RingBuffer[T]{name: name, capacity: capacity, policy: policy, key: key, ready: make(chan struct{}, 1)}
 	if policy == MergeByKey {
@@ -68,8 +68,8 @@
 	return r
 }
 
-// Offer puts an entry in unless it would have to wait, and reports whether it did. Policies other than Block take each entry while the
-// ring buffer is open.
+// Offer puts an entry in without waiting, and reports whether that was possible. Policies other than Block accept each entry while the ring
+// buffer is open.
 func (r *RingBuffer[T]) Offer(v T) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +106,7 @@
 		select {
 		case <-space:
 		case <-ctx.Done():
-			return fmt.Errorf("ring %s is full: %w", r.name, ctx.Err())
+			return fmt.Errorf("ring buffer %s is full: %w", r.name, ctx.Err())
 		}
 	}
 }
@@ -114,14 +114,14 @@
 // put puts an entry in with mu held; false if there is no space and the policy is Block.
 func (r *RingBuffer[T]) put(v T) bool {
 	if r.policy == MergeByKey {
-		if place, ok := r.positions[r.key(v)]; ok {
-			r.queue[r.head+place-r.headPosition] = v
+		if position, ok := r.positions[r.key(v)]; ok {
+			r.queue[r.head+position-r.headPosition] = v
 			r.stats.Merged++
 			r.stats.Accepted++
 			return true
 		}
 	}
-	if held := len(r.queue) - r.head; held >= r.capacity {
+	if length := len(r.queue) - r.head; length >= r.capacity {
 		if r.policy == Block {
 			return false
 		}
@@ -145,17 +145,17 @@
 	}
 }
 
-// pop takes the oldest entry out; there is one.
+// pop removes and returns the oldest entry. The ring buffer must not be empty.
 func (r *RingBuffer[T]) pop() T {
 	v := r.queue[r.head]
-	var none T
-	r.queue[r.head] = none
+	var zero T
+	r.queue[r.head] = zero
 	r.head++
 	r.headPosition++
 	if r.policy == MergeByKey {
 		delete(r.positions, r.key(v))
 	}
-	if r.head >= r.capacity { // the space in front is reclaimed now and then, so that each entry moves once at most
+	if r.head >= r.capacity { // the space before head is reclaimed only now, so that each entry moves at most once
 		r.queue = append(r.queue[:0], r.queue[r.head:]...)
 		clear(r.queue[len(r.queue):cap(r.queue)])
 		r.head = 0
@@ -188,7 +188,7 @@
 // Ready receives a token when there may be entries to take.
 func (r *RingBuffer[T]) Ready() <-chan struct{} { return r.ready }
 
-// Close has the ring buffer take no more entries; those that it holds can still be taken.
+// Close makes the ring buffer reject further entries; the entries in it can still be taken.
 func (r *RingBuffer[T]) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -199,7 +199,7 @@
 	}
 }
 
-// Stats is the ring buffer as it is now.
+// Stats returns the current statistics of the ring buffer.
 func (r *RingBuffer[T]) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/worker/ring_buffer_test.go
+++ b/internal/worker/ring_buffer_test.go
@@ -12,18 +12,18 @@
 	"pgregory.net/rapid"
 )
 
-// A ring behaves as a plain list under its rule does, in any order of putting and taking.
+// A ring buffer behaves like a plain list under its overflow policy, for any order of Offer and Take.
 func TestRingBuffer_AgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(1, 5).Draw(t, "most")
-		rule := OverflowPolicy(rapid.IntRange(0, 2).Draw(t, "rule"))
+		capacity := rapid.IntRange(1, 5).Draw(t, "most")
+		policy := OverflowPolicy(rapid.IntRange(0, 2).Draw(t, "rule"))
 		type entry struct{ key, value int }
 		key := func(e entry) string { return fmt.Sprint(e.key) }
-		var of func(entry) string
-		if rule == MergeByKey {
-			of = key
+		var keyFunc func(entry) string
+		if policy == MergeByKey {
+			keyFunc = key
 		}
-		r := NewRingBuffer("r", most, rule, of)
+		r := NewRingBuffer("r", capacity, policy, keyFunc)
 		var list []entry
 		high, dropped, merged, waited := 0, 0, 0, 0
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -38,24 +38,24 @@
 			}
 			e := entry{rapid.IntRange(0, 6).Draw(t, "key"), i}
 			at := slices.IndexFunc(list, func(o entry) bool { return o.key == e.key })
-			took := true
+			accepted := true
 			switch {
-			case rule == MergeByKey && at >= 0:
+			case policy == MergeByKey && at >= 0:
 				list = slices.Clone(list)
 				list[at] = e
 				merged++
-			case len(list) < most:
+			case len(list) < capacity:
 				list = append(slices.Clone(list), e)
-			case rule == Block:
-				took = false
+			case policy == Block:
+				accepted = false
 				waited++
 			default:
 				list = append(slices.Clone(list[1:]), e)
 				dropped++
 			}
 			high = max(high, len(list))
-			if got := r.Offer(e); got != took {
-				t.Fatalf("offer %v: %v, want %v", e, got, took)
+			if got := r.Offer(e); got != accepted {
+				t.Fatalf("offer %v: %v, want %v", e, got, accepted)
 			}
 		}
 		s := r.Stats()
@@ -65,7 +65,7 @@
 	})
 }
 
-// Who puts into a full ring waits until something is taken, its time is over, or the ring is closed.
+// Put into a full ring buffer waits until an entry is taken, its context ends, or the ring buffer is closed.
 func TestRingBuffer_PutBlocksWhenFull(t *testing.T) {
 	r := NewRingBuffer[int]("full", 1, Block, nil)
 	if err := r.Put(context.Background(), 1); err != nil {
@@ -94,6 +94,6 @@
 		t.Errorf("%v", err)
 	}
 	if got := r.Take(9); !slices.Equal(got, []int{3}) || r.Offer(5) {
-		t.Errorf("a closed ring gives %v", got)
+		t.Errorf("the closed ring buffer has %v, want 3, or it accepts an entry", got)
 	}
 }
--- a/internal/worker/scheduler.go
+++ b/internal/worker/scheduler.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Scheduler runs workers step by step in virtual time: a seed draws which of those that have something to do is next, and time moves
-// on when none has. One seed gives the same run. It is for tests.
+// Scheduler runs workers step by step in virtual time, for tests. A seeded random generator chooses the next worker among those that have
+// something to do, and time advances when none has. The same seed gives the same run.
 type Scheduler struct {
 	rng     *rand.Rand
 	now     time.Duration
 	workers []Runner
 }
 
-// NewScheduler makes a scheduler of these workers, at time 0.
+// NewScheduler returns a scheduler of these workers, at time 0.
 func NewScheduler(seed uint64, workers ...Runner) *Scheduler {
 	return &Scheduler{rng: rand.New(rand.NewPCG(seed, 0)), workers: workers}
 }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (s *Scheduler) Now() time.Duration { return s.now }
 
-// Run takes steps until done returns true; it returns false if before that nothing is left to do, or time would pass until. The error is a
-// worker's.
+// Run takes steps until done returns true. It returns false if before that no worker has anything left to do, or time would exceed until.
+// The error is a worker's.
 func (s *Scheduler) Run(ctx context.Context, until time.Duration, done func() bool) (bool, error) {
 	for !done() {
 		order := s.rng.Perm(len(s.workers))
--- a/internal/worker/scheduler_test.go
+++ b/internal/worker/scheduler_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// counter adds up its events, returns each sum, and wants to be called every second.
+// counter adds up its events, returns the sum in each step, and sets its alarm to a second later.
 type counter struct {
 	sum   int
 	calls []time.Duration
@@ -23,7 +23,7 @@
 	return []int{c.sum}, now + time.Second
 }
 
-// One seed gives the same run of several workers; time moves on only when none has anything to do.
+// The same seed gives the same run of several workers. Time advances only when no worker has anything to do.
 func TestScheduler_SeedRepeatsRun(t *testing.T) {
 	run := func(seed uint64) string {
 		var log strings.Builder
@@ -53,10 +53,10 @@
 		return log.String()
 	}
 	if a, b := run(1), run(1); a != b {
-		t.Errorf("one seed, two runs:\n%s\n%s", a, b)
+		t.Errorf("the same seed gives two different runs:\n%s\n%s", a, b)
 	}
 	if run(1) == run(2) {
-		t.Error("two seeds, one run")
+		t.Error("two seeds give the same run")
 	}
 	idle := &Worker[int, int]{Name: "idle", Inbox: NewRingBuffer[int]("idle", 1, Block, nil), Stepper: idler{}, Execute: func(context.Context, int) error { return nil }}
 	if done, err := NewScheduler(1, idle).Run(context.Background(), time.Hour, func() bool { return false }); done || err != nil {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// Never is the time of an alarm that does not ring.
+// Never is the alarm of a worker that waits for events only.
 const Never = time.Duration(math.MaxInt64)
 
-// maxEventsPerStep bounds one step, however many events wait.
+// maxEventsPerStep bounds the events of one step, however many wait.
 const maxEventsPerStep = 256
 
-// Stepper is what a worker does, without I/O or clocks.
+// Stepper is the state machine of a worker, without I/O or clocks.
 type Stepper[E, A any] interface {
-	// Step takes events in and returns what is to be done, in that order, and when it wants to be called again at the latest.
+	// Step processes events and returns the actions to execute, in order, and the time at which it must be called again at the latest.
 	Step(now time.Duration, events []E) (actions []A, alarm time.Duration)
 }
 
-// Worker is an actor: a Stepper with its inbox and what executes its actions. Its fields are set before it starts.
+// Worker is an actor: a Stepper with its inbox and the function that executes its actions. Its fields are set before it starts.
 type Worker[E, A any] struct {
 	Name  string // as logs and commands show it
 	Inbox *RingBuffer[E]
 	Stepper[E, A]
-	// Execute executes one action. It may block, on a disk say: only this worker's events wait meanwhile. An error stops the worker.
+	// Execute executes one action. It may block, for example on a disk: only this worker's events wait meanwhile. An error stops the worker.
 	Execute func(ctx context.Context, action A) error
 
-	wakeAt time.Duration // when it is called at the latest; 0: at once
+	wakeAt time.Duration // when the next step is due at the latest; 0: at once
 }
 
 // Runner is a worker of any types, as a Group or a Scheduler runs it.
 type Runner interface {
 	name() string
-	// runOnce takes one step; worked is whether there was anything to do. The clock is read after the events are taken: a process may stand
-	// still anywhere, and an event that came after it went on must not be judged by the time from before.
+	// runOnce takes one step; worked is whether there was anything to do. The clock is read after the events are taken: the process may be
+	// suspended anywhere, and an event that arrives after it resumes must not be processed with a time from before the suspension.
 	runOnce(ctx context.Context, clock func() time.Duration) (worked bool, err error)
 	ready() <-chan struct{}
 	wakeTime() time.Duration
