--- a/internal/zone/access.go
+++ b/internal/zone/access.go
@@ -8,8 +8,8 @@
 	"github.com/miekg/dns"
 )
 
-// Grant is what one key may change: names, each exact or, with "*." before it, all below the rest; and types, none
-// meaning all.
+// Grant lists the names and types that one key may change. A name is exact, or, with the prefix "*.", stands for all names below the
+// rest. No types mean all types.
 type Grant struct {
 	Names []string
 	Types []uint16
@@ -44,24 +44,24 @@
 		}
 		for _, s := range z.node(name) {
 			if !g.kind(s.kind()) {
-				return refuse(dns.RcodeRefused, "the key may not change %s of %s, and deletes all there", dns.Type(s.kind()), name)
+				return refuse(dns.RcodeRefused, "the key may not change %s of %s, and the update deletes all types there", dns.Type(s.kind()), name)
 			}
 		}
 	}
 	return nil
 }
 
-// Replays remembers the signatures of accepted messages for as long as a replay would be in time (RFC 8945 5.2.3: within its fudge of now).
-// It is for one goroutine.
+// Replays remembers the signatures of accepted messages for as long as a replay would pass the time check (RFC 8945 5.2.3: the time of
+// signing is within the fudge of now). It is not safe for concurrent use.
 type Replays struct {
 	MaxEntries int
 
 	until map[string]time.Duration
-	next  time.Duration // nothing lapses before
+	next  time.Duration // no entry expires before
 }
 
-// Seen records a message by its key and signature, valid until a time of the same clock as now, and reports whether it is a replay. full
-// reports that it can't be remembered, so that it must not be accepted.
+// Seen records a message by its key and signature until a time on the same clock as now. repeat reports that the message is a replay;
+// full reports that there is no room to record it, so that it must not be accepted.
 func (r *Replays) Seen(key, mac string, now, until time.Duration) (repeat, full bool) {
 	if r.until == nil {
 		r.until = map[string]time.Duration{}
--- a/internal/zone/answer.go
+++ b/internal/zone/answer.go
@@ -9,17 +9,17 @@
 // Reply is a zone's answer to a question.
 type Reply struct {
 	Rcode      int
-	Authority  bool     // it is the zone's own word; false for a referral
+	Authority  bool     // the answer is authoritative; false for a referral
 	Answer     []dns.RR // with the chain of CNAMEs within the zone
 	Ns         []dns.RR // the SOA of a negative answer, or a referral's NS
-	Additional []dns.RR // addresses of what is referred to (glue)
-	Next       string   // a CNAME leads out of the zone, to this name
+	Additional []dns.RR // addresses of a referral's name servers (glue)
+	Next       string   // the target of a CNAME that leads out of the zone
 }
 
-// maxCNAMEChain is how long a chain of CNAMEs within a zone is followed.
+// maxCNAMEChain bounds how many CNAMEs within a zone are followed.
 const maxCNAMEChain = 16
 
-// Answer answers a question: RFC 1034 4.3.2, step 3, with negative answers (RFC 2308) and wildcards (RFC 4592).
+// Answer answers a question (RFC 1034 4.3.2, step 3), with negative answers (RFC 2308) and wildcards (RFC 4592).
 func (z *Zone) Answer(name string, rrtype uint16) Reply {
 	r := Reply{Authority: true}
 	name = Name(name)
@@ -29,7 +29,7 @@
 			r.Next = name
 			return r
 		}
-		if seen[name] { // a loop: what there is of it
+		if seen[name] { // a CNAME loop: the answer is the chain so far
 			return r
 		}
 		seen[name] = true
@@ -50,7 +50,7 @@
 			wild = true
 		}
 		if c := n.of(dns.TypeCNAME); c != nil && rrtype != dns.TypeCNAME && rrtype != dns.TypeANY {
-			r.Answer = append(r.Answer, at(c, name, wild)...)
+			r.Answer = append(r.Answer, withOwner(c, name, wild)...)
 			target, ok := c[0].(*dns.CNAME)
 			if !ok {
 				return r
@@ -59,7 +59,7 @@
 			continue
 		}
 		if set := n.answering(rrtype); set != nil {
-			r.Answer = append(r.Answer, at(set, name, wild)...)
+			r.Answer = append(r.Answer, withOwner(set, name, wild)...)
 		} else {
 			r.Ns = z.negative()
 		}
@@ -68,7 +68,7 @@
 	return r
 }
 
-// refer makes an answer a referral to the name servers of a delegation, with those of their addresses that the zone has (glue).
+// refer makes an answer a referral to the name servers of a delegation, with their addresses that are in the zone (glue).
 func (z *Zone) refer(r *Reply, ns rrset) {
 	r.Authority = len(r.Answer) > 0
 	r.Ns = ns
@@ -80,8 +80,8 @@
 	}
 }
 
-// answering returns the set that answers a question for a type; nil if there is none. For ANY it is the first: one set is enough
-// (RFC 8482 4.1).
+// answering returns the set that answers a question for a type; nil if there is none. For ANY it returns the first set, as one set is
+// enough (RFC 8482 4.1).
 func (n node) answering(rrtype uint16) rrset {
 	for _, s := range n {
 		if s.kind() == rrtype || rrtype == dns.TypeANY {
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// at is a set as records of a name; those of a wildcard take the name that was asked for (RFC 4592 3.3.1).
-func at(s rrset, name string, wild bool) []dns.RR {
+// withOwner returns the records of a set with a name as their owner: the records of a wildcard get the queried name (RFC 4592 3.3.1).
+func withOwner(s rrset, name string, wild bool) []dns.RR {
 	if !wild {
 		return s
 	}
@@ -105,7 +105,7 @@
 	return out
 }
 
-// exists reports whether a name is there or has something below it.
+// exists reports whether a name has records or is an empty non-terminal.
 func (z *Zone) exists(name string) bool {
 	it := z.tree.Root().Iterator()
 	it.SeekPrefix(key(name))
@@ -113,7 +113,7 @@
 	return ok
 }
 
-// delegation is the NS records of the delegation that a name is at or below, nil if the zone itself speaks for it.
+// delegation returns the NS records of the delegation that a name is at or below; nil if the zone is authoritative for the name.
 func (z *Zone) delegation(name string) rrset {
 	if name == z.origin {
 		return nil
@@ -122,7 +122,7 @@
 	for n := name; n != z.origin && Within(z.origin, n); n = parent(n) {
 		above = append(above, n)
 	}
-	for i := len(above) - 1; i >= 0; i-- { // the highest one counts
+	for i := len(above) - 1; i >= 0; i-- { // the delegation closest to the apex applies
 		if ns := z.set(above[i], dns.TypeNS); ns != nil {
 			return ns
 		}
@@ -130,12 +130,12 @@
 	return nil
 }
 
-// wildcard is the node of the wildcard that speaks for a name that is not there (RFC 4592 3.3): that of its closest
-// encloser, if it has one.
+// wildcard returns the node of the wildcard that applies to a name that does not exist (RFC 4592 3.3), which is the wildcard at the
+// name's closest encloser; nil if there is none.
 func (z *Zone) wildcard(name string) node {
 	for n := parent(name); Within(z.origin, n); n = parent(n) {
 		if z.exists(n) {
-			return z.node(below("*", n))
+			return z.node(prependLabel("*", n))
 		}
 		if n == z.origin || n == "." {
 			return nil
@@ -144,14 +144,14 @@
 	return nil
 }
 
-func below(label, name string) string {
+func prependLabel(label, name string) string {
 	if name == "." {
 		return label + "."
 	}
 	return label + "." + name
 }
 
-// parent is the name one label up; of the root it is the root.
+// parent returns the name one label up; the root's parent is the root.
 func parent(name string) string {
 	off, end := dns.NextLabel(name, 0)
 	if end || off >= len(name) {
@@ -160,7 +160,7 @@
 	return name[off:]
 }
 
-// negative is the SOA with the time to live of a negative answer (RFC 2308 3).
+// negative returns the SOA with the time to live of a negative answer (RFC 2308 3).
 func (z *Zone) negative() []dns.RR {
 	soa := z.SOA()
 	if soa == nil {
@@ -174,8 +174,7 @@
 	return []dns.RR{c}
 }
 
-// IsName reports whether a name is one that may be written in a file or a setting: absolute or not, each label of 63 octets
-// at most.
+// IsName reports whether a text from a file or a setting is a domain name: absolute or relative, each label of 63 octets at most.
 func IsName(name string) bool {
 	_, ok := dns.IsDomainName(name)
 	return ok && name != "" && !strings.ContainsAny(name, " \t")
--- a/internal/zone/codec.go
+++ b/internal/zone/codec.go
@@ -9,11 +9,11 @@
 	"github.com/miekg/dns"
 )
 
-// A difference as the journal holds it:
+// The encoding of a difference in the journal:
 //
 //	length of the payload, 4 octets; its CRC-32C, 4; the payload:
-//	serial before, 4; serial after, 4; how many records go, 4; how many come, 4;
-//	each record: its length, 4, and the record as on the wire, uncompressed
+//	serial before, 4; serial after, 4; number of removed records, 4; number of added records, 4;
+//	each record: its length, 4, and the record in wire format, uncompressed
 //
 // All numbers are big endian.
 const (
@@ -21,8 +21,8 @@
 	maxDeltaBytes   = 1 << 30
 )
 
-// ErrTruncated is bytes that are no complete difference: writing it was interrupted, or it was damaged.
-var ErrTruncated = errors.New("no whole difference")
+// ErrTruncated reports bytes that are not a complete difference: the write was interrupted, or the bytes are damaged.
+var ErrTruncated = errors.New("incomplete or damaged difference")
 
 func castagnoli() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) }
 
@@ -44,14 +44,14 @@
 	}
 	payload := b[head+deltaHeaderSize:]
 	if len(payload) > maxDeltaBytes {
-		return b[:head], dataError("a difference of %d bytes", len(payload))
+		return b[:head], dataError("a difference of %d bytes is too long", len(payload))
 	}
 	binary.BigEndian.PutUint32(b[head:], uint32(len(payload)))
 	binary.BigEndian.PutUint32(b[head+4:], crc32.Checksum(payload, castagnoli()))
 	return b, nil
 }
 
-// ReadDelta decodes the difference that b begins with, and returns its length in bytes; ErrTruncated if there is no complete one.
+// ReadDelta decodes the difference at the start of b and returns its length in bytes; ErrTruncated if it is incomplete or damaged.
 func ReadDelta(b []byte) (*Delta, int, error) {
 	if len(b) < deltaHeaderSize {
 		return nil, 0, ErrTruncated
@@ -85,7 +85,7 @@
 		}
 	}
 	if len(rest) > 0 {
-		return nil, 0, fmt.Errorf("%w: more behind its records", ErrTruncated)
+		return nil, 0, fmt.Errorf("%w: trailing bytes after its records", ErrTruncated)
 	}
 	return d, deltaHeaderSize + n, nil
 }
--- a/internal/zone/delta.go
+++ b/internal/zone/delta.go
@@ -8,20 +8,20 @@
 	"github.com/miekg/dns"
 )
 
-// Delta is the difference between two versions of a zone, as RFC 1995 sends it: first what goes, then what comes, the SOA
-// of each version among them.
+// Delta is the difference between two versions of a zone, as in RFC 1995: the removed and the added records, which include the old and
+// the new SOA.
 type Delta struct {
 	From, To       uint32
 	Removed, Added []dns.RR
 }
 
-// Records is how many records it names.
+// Records returns the number of removed and added records.
 func (d *Delta) Records() int { return len(d.Removed) + len(d.Added) }
 
-// ErrOther says that a difference was made from another version, or does not fit what the zone holds.
-var ErrOther = errors.New("the difference does not fit this version")
+// ErrOther reports that a difference was made from another version, or does not match the records of the zone.
+var ErrOther = errors.New("the difference does not apply to this version")
 
-// Apply gives the zone after a difference. All that it removes must be there and all that it adds must not, or it is
+// Apply returns the zone after a difference. All records that it removes must exist and all that it adds must not, else the error is
 // ErrOther.
 func (z *Zone) Apply(d *Delta) (*Zone, error) {
 	if z.Serial() != d.From {
@@ -30,7 +30,7 @@
 	e := z.edit()
 	for _, rr := range d.Removed {
 		if !e.remove(rr) {
-			return nil, fmt.Errorf("%s: %w: it removes what is not there: %s", z.origin, ErrOther, rr)
+			return nil, fmt.Errorf("%s: %w: it removes a record that does not exist: %s", z.origin, ErrOther, rr)
 		}
 	}
 	for _, rr := range d.Added {
@@ -39,7 +39,7 @@
 		}
 		before := e.records
 		if e.add(rr, true); e.records == before {
-			return nil, fmt.Errorf("%s: %w: it adds what is there: %s", z.origin, ErrOther, rr)
+			return nil, fmt.Errorf("%s: %w: it adds a record that exists: %s", z.origin, ErrOther, rr)
 		}
 	}
 	after := e.zone()
@@ -47,12 +47,13 @@
 		return nil, err
 	}
 	if after.Serial() != d.To {
-		return nil, fmt.Errorf("%s: %w: to serial %d, it gives %d", z.origin, ErrOther, d.To, after.Serial())
+		return nil, fmt.Errorf("%s: %w: to serial %d, the result has %d", z.origin, ErrOther, d.To, after.Serial())
 	}
 	return after, nil
 }
 
-// Diff is what makes b of a: two walks side by side. Where a time to live differs the set's records go and come.
+// Diff returns the difference from a to b by a merge of two ordered walks. Where a time to live differs, the set's records are removed
+// and added again.
 func Diff(a, b *Zone) *Delta {
 	d := &Delta{From: a.Serial(), To: b.Serial()}
 	x, y := a.tree.Root().Iterator(), b.tree.Root().Iterator()
@@ -75,7 +76,7 @@
 	return d
 }
 
-// DiffNames is Diff where only some names can differ: its cost goes by them, not by the zone.
+// DiffNames is Diff where only the given names can differ. Its cost depends on their number, not on the size of the zone.
 func DiffNames(a, b *Zone, names []string) *Delta {
 	d := &Delta{From: a.Serial(), To: b.Serial()}
 	done := map[string]bool{}
@@ -122,28 +123,28 @@
 	return false
 }
 
-// Rebase puts what was done to base by hand, which gave edited, onto the zone as it is now: for each set that the hand
-// touched, the hand wins; all else is as it is now. The serial is the edited one if that is newer than now, else the
-// next; changed is false where the hand changed nothing but the serial, backwards.
+// Rebase applies the manual edits from base to edited to the current version now. Each record set that was edited is taken from
+// edited, all other sets from now. The serial is that of edited if it is newer than now's, else the next serial after now's. changed
+// is false, and after is now, if no record was edited and the serial of edited is not newer.
 func Rebase(base, edited, now *Zone) (after *Zone, changed bool, err error) {
-	type place struct {
+	type setID struct {
 		name string
 		kind uint16
 	}
-	touched := map[place]bool{}
+	touched := map[setID]bool{}
 	d := Diff(base, edited)
 	for _, rr := range append(append([]dns.RR{}, d.Removed...), d.Added...) {
-		touched[place{Name(rr.Header().Name), rr.Header().Rrtype}] = true
+		touched[setID{Name(rr.Header().Name), rr.Header().Rrtype}] = true
 	}
 	e := now.edit()
 	for p := range touched {
 		if p.kind != dns.TypeSOA {
-			e.swap(p.name, p.kind, edited.set(p.name, p.kind))
+			e.replaceSet(p.name, p.kind, edited.set(p.name, p.kind))
 		}
 	}
 	serial := now.Serial()
-	if soa := edited.set(edited.origin, dns.TypeSOA); len(soa) == 1 && touched[place{edited.origin, dns.TypeSOA}] {
-		e.swap(edited.origin, dns.TypeSOA, soa)
+	if soa := edited.set(edited.origin, dns.TypeSOA); len(soa) == 1 && touched[setID{edited.origin, dns.TypeSOA}] {
+		e.replaceSet(edited.origin, dns.TypeSOA, soa)
 	}
 	after = e.zone()
 	changed = Diff(now.WithSerial(0), after.WithSerial(0)).Records() > 0 || NewerSerial(edited.Serial(), serial)
@@ -158,7 +159,8 @@
 	return after, true, after.check()
 }
 
-// History is the last differences of a zone, each from where the one before it ended. It is not for several goroutines.
+// History holds the latest differences of a zone; each starts at the serial at which the previous one ends. It is not safe for
+// concurrent use.
 type History struct {
 	MaxVersions, MaxRecords int
 
@@ -166,7 +168,7 @@
 	records int
 }
 
-// Add adds a difference. One that does not continue the last one starts the history anew.
+// Add adds a difference. A difference that does not continue the last one clears the history first.
 func (h *History) Add(d *Delta) {
 	if n := len(h.deltas); n > 0 && h.deltas[n-1].To != d.From {
 		h.deltas, h.records = nil, 0
@@ -180,7 +182,7 @@
 	}
 }
 
-// Since is the differences from a serial to the last; false if it is not held.
+// Since returns the differences from a serial to the last one; false if the history does not contain the serial.
 func (h *History) Since(serial uint32) ([]*Delta, bool) {
 	for i := len(h.deltas) - 1; i >= 0; i-- {
 		if h.deltas[i].From == serial {
@@ -190,8 +192,8 @@
 	return nil, false
 }
 
-// Incremental is the records of an answer to IXFR (RFC 1995 4): the SOA now, for each difference the old SOA with what
-// goes and the new SOA with what comes, and the SOA now.
+// Incremental returns the records of an answer to IXFR (RFC 1995 4): the current SOA; for each difference the old SOA with the removed
+// records and the new SOA with the added records; and the current SOA again.
 func Incremental(now *Zone, deltas []*Delta) []dns.RR {
 	rrs := []dns.RR{now.SOA()}
 	for _, d := range deltas {
@@ -211,42 +213,42 @@
 	return append(rrs, now.SOA())
 }
 
-// ErrTransfer says that a transfer is not one: cut short, without its SOAs, or with more behind its end.
-var ErrTransfer = errors.New("the transfer is not whole")
+// ErrTransfer reports a malformed transfer: truncated, without its SOAs, or with records after its end.
+var ErrTransfer = errors.New("the transfer is malformed")
 
-// FromTransfer makes the next version of the records of an answer to AXFR (RFC 5936 2.2) or IXFR (RFC 1995 4): whole, or by
-// differences from before, which may be nil. Where the answer says that before is the newest, it is given back. deltas is
-// empty for a whole zone.
+// FromTransfer builds the next version from the records of an answer to AXFR (RFC 5936 2.2) or IXFR (RFC 1995 4). The answer is a full
+// zone, or differences from before, which may be nil. It returns before itself if the answer says that before is current. deltas is
+// empty for a full zone.
 func FromTransfer(origin string, before *Zone, rrs []dns.RR) (after *Zone, deltas []*Delta, err error) {
 	if len(rrs) == 0 {
-		return nil, nil, fmt.Errorf("%s: %w: no record", origin, ErrTransfer)
+		return nil, nil, fmt.Errorf("%s: %w: it has no record", origin, ErrTransfer)
 	}
 	last, ok := rrs[0].(*dns.SOA)
 	if !ok || Name(last.Hdr.Name) != Name(origin) {
-		return nil, nil, fmt.Errorf("%s: %w: it begins with no SOA of the zone", origin, ErrTransfer)
+		return nil, nil, fmt.Errorf("%s: %w: it does not begin with the zone's SOA", origin, ErrTransfer)
 	}
 	if len(rrs) == 1 {
 		if before != nil && before.Serial() == last.Serial {
 			return before, nil, nil
 		}
-		return nil, nil, fmt.Errorf("%s: %w: a SOA alone, serial %d", origin, ErrTransfer, last.Serial)
+		return nil, nil, fmt.Errorf("%s: %w: a single SOA, serial %d", origin, ErrTransfer, last.Serial)
 	}
 	end, ok := rrs[len(rrs)-1].(*dns.SOA)
 	if !ok || end.Serial != last.Serial {
-		return nil, nil, fmt.Errorf("%s: %w: it does not end with the SOA it began with", origin, ErrTransfer)
+		return nil, nil, fmt.Errorf("%s: %w: it does not end with the SOA that it begins with", origin, ErrTransfer)
 	}
 	body := rrs[1 : len(rrs)-1]
 	if len(body) == 0 || body[0].Header().Rrtype != dns.TypeSOA {
 		for _, rr := range body {
 			if rr.Header().Rrtype == dns.TypeSOA {
-				return nil, nil, fmt.Errorf("%s: %w: more behind its end", origin, ErrTransfer)
+				return nil, nil, fmt.Errorf("%s: %w: records after its end", origin, ErrTransfer)
 			}
 		}
 		after, err = New(origin, rrs[:len(rrs)-1])
 		return after, nil, err
 	}
 	if before == nil {
-		return nil, nil, fmt.Errorf("%s: %w: differences, and no version is held", origin, ErrTransfer)
+		return nil, nil, fmt.Errorf("%s: %w: it has differences, and there is no version to apply them to", origin, ErrTransfer)
 	}
 	after = before
 	for at := 0; at < len(body); {
@@ -259,7 +261,7 @@
 			d.Removed = append(d.Removed, body[at])
 		}
 		if at == len(body) {
-			return nil, nil, fmt.Errorf("%s: %w: a difference from %d without its end", origin, ErrTransfer, d.From)
+			return nil, nil, fmt.Errorf("%s: %w: a difference from serial %d without its second SOA", origin, ErrTransfer, d.From)
 		}
 		to, _ := body[at].(*dns.SOA)
 		d.To, d.Added = to.Serial, []dns.RR{to}
@@ -272,7 +274,7 @@
 		deltas = append(deltas, d)
 	}
 	if after.Serial() != last.Serial {
-		return nil, nil, fmt.Errorf("%s: %w: the differences end at %d, not at %d", origin, ErrTransfer, after.Serial(), last.Serial)
+		return nil, nil, fmt.Errorf("%s: %w: the differences end at serial %d, not at %d", origin, ErrTransfer, after.Serial(), last.Serial)
 	}
 	return after, deltas, nil
 }
--- a/internal/zone/load.go
+++ b/internal/zone/load.go
@@ -9,8 +9,8 @@
 	"github.com/miekg/dns"
 )
 
-// Parse parses a zone file (RFC 1035 5, RFC 2308 4 for $TTL; $GENERATE as BIND has it). $INCLUDE opens files of files
-// only; nil allows none. An error names the file and, if it is one of syntax, the line. maxRecords bounds the records.
+// Parse parses a zone file (RFC 1035 5, RFC 2308 4 for $TTL; $GENERATE as in BIND). $INCLUDE opens files in the file system files
+// only; without it $INCLUDE is an error. An error names the file and, for a syntax error, the line. maxRecords bounds the records.
 func Parse(r io.Reader, origin, file string, files fs.FS, maxRecords int) (*Zone, error) {
 	p := dns.NewZoneParser(r, Name(origin), file)
 	if files != nil {
@@ -43,10 +43,10 @@
 	return z, nil
 }
 
-// errNotRegular is a name in $INCLUDE that is a folder or a device.
-var errNotRegular = errors.New("no regular file")
+// errNotRegular reports that $INCLUDE names a folder or a device.
+var errNotRegular = errors.New("not a regular file")
 
-// confined opens what a valid path names and nothing that a link leads out to: files that are regular.
+// confined opens only regular files. The file system itself must refuse paths and links that lead out of it, as that of an os.Root does.
 type confined struct{ fs.FS }
 
 // Open opens a regular file.
@@ -65,7 +65,7 @@
 	return f, nil
 }
 
-// Write writes a zone as a file that Parse reads: the SOA first, then names in canonical order.
+// Write writes a zone as a file that Parse can read: the SOA first, then by name in canonical order.
 func (z *Zone) Write(w io.Writer) error {
 	var err error
 	if _, err = fmt.Fprintf(w, "; %s, %d records, written by saffronyard\n", z.origin, z.records); err != nil {
@@ -84,19 +84,18 @@
 // File changes.
 const (
 	Same         FileChange = iota
-	Newer                   // and its serial says so
-	SerialReused            // the data are others, the serial is the same: it is taken, as the next serial
-	Backwards               // the serial went back: not taken
+	Newer                   // the serial is newer
+	SerialReused            // the data differ and the serial is the same: accepted, under the next serial
+	Backwards               // the serial is not newer: rejected
 )
 
-// NextVersion decides on a file that was read while there is a current version. next is the version to serve from then on; nil where
-// nothing changes.
-func NextVersion(held, read *Zone) (next *Zone, what FileChange) {
-	switch d := Diff(held, read); {
+// NextVersion compares a newly read file with the current version. next is the version to serve from now on; nil if nothing changes.
+func NextVersion(current, read *Zone) (next *Zone, what FileChange) {
+	switch d := Diff(current, read); {
 	case d.From == d.To && d.Records() == 0:
 		return nil, Same
 	case d.From == d.To:
-		return read.WithSerial(NextSerial(held.Serial())), SerialReused
+		return read.WithSerial(NextSerial(current.Serial())), SerialReused
 	case !NewerSerial(d.To, d.From):
 		return nil, Backwards
 	}
--- a/internal/zone/secondary.go
+++ b/internal/zone/secondary.go
@@ -6,31 +6,31 @@
 	"github.com/miekg/dns"
 )
 
-// Secondary is the state machine of a secondary zone: when its primary is asked for what, by refresh, retry and expire (RFC 1034 4.3.5) and
-// NOTIFY (RFC 1996). One request is under way at a time. Times are of a clock that does not go back.
+// Secondary is the state machine of a secondary zone: it decides when to send which request to the primary, by refresh, retry and expire
+// (RFC 1034 4.3.5) and NOTIFY (RFC 1996). At most one request is in flight. Times are of a monotonic clock.
 type Secondary struct {
 	Bounds Bounds
 
-	hasVersion        bool // a version is held
+	hasVersion        bool // there is a version, possibly expired
 	serial            uint32
 	times             times
 	request           request
 	notifiedMeanwhile bool // a NOTIFY came during the request
-	fullTransfer      bool // the next transfer is a full one: a difference did not fit
+	fullTransfer      bool // the next transfer is a full one, as a difference did not apply
 	next              time.Duration
 	expires           time.Duration
 	expired           bool
 	failures          int
 }
 
-// Bounds limit the timers that an SOA asks for.
+// Bounds limit the timers of an SOA.
 type Bounds struct {
 	MinRefresh, MaxRefresh time.Duration
 	MinRetry, MaxRetry     time.Duration
 	MinExpire              time.Duration
 }
 
-// DefaultBounds returns bounds with which a change whose NOTIFY is lost is noticed within ten minutes.
+// DefaultBounds returns bounds with which a change is noticed within ten minutes even if its NOTIFY is lost.
 func DefaultBounds() Bounds {
 	return Bounds{MinRefresh: time.Second, MaxRefresh: 10 * time.Minute, MinRetry: time.Second, MaxRetry: time.Minute, MinExpire: time.Minute}
 }
@@ -50,29 +50,29 @@
 	Serial        *uint32  // the primary's SOA has this serial
 	Version       *dns.SOA // a transfer was complete, and gave this version
 	Failed        bool     // the request failed, or was refused
-	DeltaRejected bool     // a difference did not fit: the primary's history is not ours
+	DeltaRejected bool     // a difference did not apply: the primary's history differs from ours
 	Notified      *uint32  // the primary notified of a change; 0 if it named no serial
 }
 
-// SecondaryAction is what is to be done now.
+// SecondaryAction is an action that Step requests.
 type SecondaryAction int
 
 // The actions.
 const (
-	QuerySerial         SecondaryAction = iota // ask for the SOA
-	TransferIncremental                        // IXFR from the version held
+	QuerySerial         SecondaryAction = iota // query the SOA
+	TransferIncremental                        // IXFR from the current version
 	TransferFull                               // AXFR
 	Expire                                     // stop answering until a transfer is complete
 )
 
-// Resume sets the version that an earlier process stored, and how long ago the primary confirmed it last.
+// Resume sets the version that an earlier process stored, and its age since the primary last confirmed it.
 func (s *Secondary) Resume(now time.Duration, soa *dns.SOA, age time.Duration) {
 	s.adoptVersion(now, soa)
 	s.expires = now - age + s.times.expire
 	s.next = now
 }
 
-// Next returns when Step is to be called at the latest.
+// Next returns the latest time at which Step must be called.
 func (s *Secondary) Next() time.Duration {
 	n := s.next
 	if s.request != idle {
@@ -87,10 +87,10 @@
 // Expired reports whether the zone has expired.
 func (s *Secondary) Expired() bool { return s.expired }
 
-// Failures returns how many times in a row the primary failed.
+// Failures returns the number of consecutive failed requests.
 func (s *Secondary) Failures() int { return s.failures }
 
-// Step takes in an event and returns the actions to do.
+// Step processes an event and returns the resulting actions.
 func (s *Secondary) Step(now time.Duration, e SecondaryEvent) []SecondaryAction {
 	var acts []SecondaryAction
 	switch {
@@ -145,7 +145,8 @@
 	return TransferFull
 }
 
-// confirmed notes that the primary has this version. A primary whose serial went back confirms nothing, and makes nothing expire sooner.
+// confirmed records a successful request and schedules the next refresh. Only the serial of the current version renews the expire timer:
+// an older serial confirms nothing, and does not make the zone expire sooner either.
 func (s *Secondary) confirmed(now time.Duration, serial uint32) {
 	s.failures = 0
 	s.next = now + s.times.refresh
@@ -160,13 +161,13 @@
 	b := s.Bounds
 	s.times = times{refresh: min(max(sec(soa.Refresh), b.MinRefresh), b.MaxRefresh),
 		retry: min(max(sec(soa.Retry), b.MinRetry), b.MaxRetry)}
-	// Expire is at least a refresh and a retry (RFC 1912 2.2), or the zone would go on and off.
+	// Expire must exceed a refresh plus a retry (RFC 1912 2.2), or the zone would expire and come back repeatedly.
 	s.times.expire = max(sec(soa.Expire), b.MinExpire, s.times.refresh+2*s.times.retry)
 	s.hasVersion, s.serial = true, soa.Serial
 	s.confirmed(now, soa.Serial)
 }
 
-// retryDelay is the backoff after a failure: the SOA's retry, or before there is a version MinRetry, doubling to MaxRetry.
+// retryDelay returns the backoff after a failure: the SOA's retry, or, before there is a version, MinRetry, which doubles up to MaxRetry.
 func (s *Secondary) retryDelay() time.Duration {
 	if s.hasVersion {
 		return s.times.retry
--- a/internal/zone/update.go
+++ b/internal/zone/update.go
@@ -19,10 +19,10 @@
 	return &Refusal{rcode, fmt.Sprintf(format, args...)}
 }
 
-// Update applies an update message as RFC 2136 section 3 has it, completely or not at all: it returns the zone after it, or a *Refusal and
-// no zone. The message was read from the wire: a record's Rdlength tells whether it has data. changed is whether the zone's data changed;
-// only then after is another version, with a newer serial (3.6). allowed is asked (3.3) with what would be changed, once the
-// prerequisites hold and the update is well formed.
+// Update applies an update message (RFC 2136 section 3) completely or not at all: it returns the zone after the update, or a *Refusal and
+// no zone. The message must have been unpacked from wire format, as Rdlength shows whether a record has data. changed reports whether the
+// zone's data changed; only then is after another version, with a newer serial (3.6). allowed checks the permission (3.3) and is called
+// with the update section once the prerequisites hold and the update is well formed.
 func (z *Zone) Update(m *dns.Msg, allowed func(z *Zone, updates []dns.RR) error) (after *Zone, changed bool, err error) {
 	// 3.1 Process Zone Section
 	if len(m.Question) != 1 || m.Question[0].Qtype != dns.TypeSOA {
@@ -51,7 +51,7 @@
 	if after.same(z, m.Ns) {
 		return z, false, nil
 	}
-	// 3.6: a change of the data that did not change the serial changes it.
+	// 3.6: if the data changed and the update did not set the serial, the serial is incremented.
 	if after.Serial() == z.Serial() {
 		e = after.edit()
 		e.serial(NextSerial(z.Serial()))
@@ -67,18 +67,18 @@
 	}
 	if soa, ok := dns.Copy(n[0]).(*dns.SOA); ok {
 		soa.Serial = s
-		e.swap(e.z.origin, dns.TypeSOA, rrset{soa})
+		e.replaceSet(e.z.origin, dns.TypeSOA, rrset{soa})
 	}
 }
 
-// WithSerial is the zone under another serial.
+// WithSerial returns the zone with another serial.
 func (z *Zone) WithSerial(s uint32) *Zone {
 	e := z.edit()
 	e.serial(s)
 	return e.zone()
 }
 
-// same reports whether what an update named is as before.
+// same reports whether the names of the given records have the same data as before.
 func (z *Zone) same(before *Zone, named []dns.RR) bool {
 	if z.records != before.records {
 		return false
@@ -123,9 +123,9 @@
 	rrtype uint16
 }
 
-// prerequisites is RFC 2136 3.2.
+// prerequisites checks the prerequisite section (RFC 2136 3.2).
 func (z *Zone) prerequisites(rrs []dns.RR) error {
-	expected := map[rrsetKey]*edit{} // 3.2.3: sets that must exist as they are named, collected first
+	expected := map[rrsetKey]*edit{} // 3.2.3: sets that must exist with exactly these data, collected first
 	var order []rrsetKey
 	for _, rr := range rrs {
 		h := rr.Header()
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// existence is a prerequisite of class ANY (a name or set is in use, 2.4.1 and 2.4.4) or NONE (it is not, 2.4.3 and 2.4.5).
+// existence checks a prerequisite of class ANY (a name or set exists, 2.4.1 and 2.4.4) or NONE (it does not exist, 2.4.3 and 2.4.5).
 func (z *Zone) existence(name string, h *dns.RR_Header) error {
 	inUse := h.Class == dns.ClassANY
 	if h.Rdlength != 0 {
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// equalData is a prerequisite that a set exists with the data named (2.4.2). Times to live are not compared.
+// equalData checks the prerequisite that a set exists with exactly the given data (2.4.2). Times to live are not compared.
 func (z *Zone) equalData(k rrsetKey, expected rrset) error {
 	present := z.set(k.name, k.rrtype)
 	equal := len(present) == len(expected)
@@ -195,12 +195,12 @@
 		equal = dns.IsDuplicate(present[i], expected[i])
 	}
 	if !equal {
-		return refuse(dns.RcodeNXRrset, "%s %s is not as named (2.4.2)", k.name, dns.Type(k.rrtype))
+		return refuse(dns.RcodeNXRrset, "%s %s has other data than the prerequisite (2.4.2)", k.name, dns.Type(k.rrtype))
 	}
 	return nil
 }
 
-// prescan is RFC 2136 3.4.1: nothing is changed unless all of it is well formed.
+// prescan checks the update section (RFC 2136 3.4.1): nothing is changed unless all records are well formed.
 func (z *Zone) prescan(rrs []dns.RR) error {
 	for _, rr := range rrs {
 		h := rr.Header()
@@ -211,7 +211,7 @@
 		switch h.Class {
 		case dns.ClassINET:
 			if meta(h.Rrtype) {
-				return refuse(dns.RcodeFormatError, "%s: no record of type %s is added (3.4.1.3)", name, dns.Type(h.Rrtype))
+				return refuse(dns.RcodeFormatError, "%s: a record of type %s can't be added (3.4.1.3)", name, dns.Type(h.Rrtype))
 			}
 			if h.Rdlength == 0 && !mayBeEmpty(h.Rrtype) {
 				return refuse(dns.RcodeFormatError, "%s: a record of type %s without data is added (3.4.1.3)", name, dns.Type(h.Rrtype))
@@ -231,13 +231,13 @@
 	return nil
 }
 
-// mayBeEmpty reports whether data of a type may be no octet long.
+// mayBeEmpty reports whether records of a type may have empty data.
 func mayBeEmpty(t uint16) bool {
 	_, known := dns.TypeToRR[t]
 	return !known || t == dns.TypeNULL || t == dns.TypeAPL
 }
 
-// update is RFC 2136 3.4.2 for one record.
+// update applies one record of the update section (RFC 2136 3.4.2).
 func (e *edit) update(rr dns.RR) {
 	h := rr.Header()
 	name, kind, apex := Name(h.Name), h.Rrtype, Name(h.Name) == e.z.origin
@@ -250,7 +250,7 @@
 					return
 				}
 			}
-			e.swap(name, kind, nil) // a CNAME replaces another one
+			e.replaceSet(name, kind, nil) // a CNAME replaces another one
 		} else if !besideCNAME(kind) && n.of(dns.TypeCNAME) != nil {
 			return
 		}
@@ -260,21 +260,21 @@
 			if !ok || !apex || len(old) == 0 {
 				return
 			}
-			if was, ok := old[0].(*dns.SOA); !ok || !NewerSerial(soa.Serial, was.Serial) {
+			if current, ok := old[0].(*dns.SOA); !ok || !NewerSerial(soa.Serial, current.Serial) {
 				return
 			}
-			e.swap(name, kind, nil)
+			e.replaceSet(name, kind, nil)
 		}
 		e.add(rr, true)
 	case dns.ClassANY: // 3.4.2.3: delete a set, or all of a name
 		if kind == dns.TypeANY {
 			for _, s := range n {
 				if k := s.kind(); !apex || k != dns.TypeSOA && k != dns.TypeNS {
-					e.swap(name, k, nil)
+					e.replaceSet(name, k, nil)
 				}
 			}
 		} else if !apex || kind != dns.TypeSOA && kind != dns.TypeNS {
-			e.swap(name, kind, nil)
+			e.replaceSet(name, kind, nil)
 		}
 	case dns.ClassNONE: // 3.4.2.4: delete one record
 		if kind == dns.TypeSOA || apex && kind == dns.TypeNS && len(n.of(dns.TypeNS)) <= 1 {
--- a/internal/zone/update_test.go
+++ b/internal/zone/update_test.go
@@ -35,7 +35,7 @@
 	return z
 }
 
-// rr reads a record; "name class type" alone has no data, as updates have it.
+// rr parses a record; "name class type" gives a record without data, as in an update message.
 func rr(t testing.TB, text string) dns.RR {
 	t.Helper()
 	f := strings.Fields(text)
@@ -63,7 +63,7 @@
 	return got
 }
 
-// message is an update as it comes from the wire.
+// message returns an update message as unpacked from wire format.
 func message(t testing.TB, origin string, prerequisites, updates []string) *dns.Msg {
 	t.Helper()
 	m := new(dns.Msg).SetUpdate(origin)
@@ -73,10 +73,10 @@
 	for _, u := range updates {
 		m.Ns = append(m.Ns, rr(t, u))
 	}
-	return wired(t, m)
+	return repack(t, m)
 }
 
-func wired(t testing.TB, m *dns.Msg) *dns.Msg {
+func repack(t testing.TB, m *dns.Msg) *dns.Msg {
 	t.Helper()
 	raw, err := m.Pack()
 	if err != nil {
@@ -96,8 +96,8 @@
 		section string
 		pre, up []string
 		rcode   int
-		adds    []string // records of the zone after it, beyond the serial
-		takes   []string
+		adds    []string // added records, without the SOA
+		takes   []string // removed records, without the SOA
 	}{
 		{"2.4.1 RRset exists, any data: it does", []string{"www ANY A"}, []string{"n 60 IN A 192.0.2.9"}, ok, []string{"n.example. 60 IN A 192.0.2.9"}, nil},
 		{"2.4.1 it does not", []string{"www ANY AAAA"}, []string{"n 60 IN A 192.0.2.9"}, dns.RcodeNXRrset, nil, nil},
@@ -166,9 +166,9 @@
 				return
 			}
 			d := Diff(z, after)
-			adds, takes := texts(d.Added), texts(d.Removed)
-			if !slices.Equal(adds, sortedTexts(c.adds)) || !slices.Equal(takes, sortedTexts(c.takes)) {
-				t.Errorf("adds %q, want %q; takes %q, want %q", adds, c.adds, takes, c.takes)
+			added, removed := texts(d.Added), texts(d.Removed)
+			if !slices.Equal(added, sortedTexts(c.adds)) || !slices.Equal(removed, sortedTexts(c.takes)) {
+				t.Errorf("added %q, want %q; removed %q, want %q", added, c.adds, removed, c.takes)
 			}
 			if want := len(c.adds)+len(c.takes) > 0; changed != want || (after.Serial() == 11) != want || !want && after != z {
 				t.Errorf("changed %v, serial %d", changed, after.Serial())
@@ -177,7 +177,7 @@
 	}
 	t.Run("3.1 zone section", func(t *testing.T) {
 		z := parse(t, base)
-		for rcode, m := range map[int]*dns.Msg{dns.RcodeNotAuth: message(t, "other.", nil, nil), dns.RcodeFormatError: wired(t, &dns.Msg{})} {
+		for rcode, m := range map[int]*dns.Msg{dns.RcodeNotAuth: message(t, "other.", nil, nil), dns.RcodeFormatError: repack(t, &dns.Msg{})} {
 			var r *Refusal
 			if _, _, err := z.Update(m, nil); !errors.As(err, &r) || r.Rcode != rcode {
 				t.Errorf("%v, want %d", err, rcode)
@@ -191,7 +191,7 @@
 			t.Error(after.Serial(), changed, err)
 		}
 	})
-	t.Run("3.3 what is not permitted", func(t *testing.T) {
+	t.Run("3.3 permissions", func(t *testing.T) {
 		z := parse(t, base)
 		g := Grant{Names: []string{"www.example.", "*.wild.example."}, Types: []uint16{dns.TypeA, dns.TypeAAAA}}
 		for up, want := range map[string]bool{"www 300 IN A 192.0.2.9": true, "WWW 300 IN A 192.0.2.9": true, "x.wild 300 IN A 192.0.2.9": true,
@@ -205,7 +205,7 @@
 	})
 }
 
-// texts is records as words, without the SOA, sorted.
+// texts returns the records as sorted texts, without the SOA.
 func texts(rrs []dns.RR) []string {
 	var out []string
 	for _, rr := range rrs {
@@ -225,11 +225,11 @@
 	return out
 }
 
-// ---- A slow reference, written straight from the pseudocode of 3.2.6, 3.4.1.4 and 3.4.2.7 over a plain list of records
+// ---- A slow reference implementation of the pseudocode in RFC 2136 3.2.6, 3.4.1.4 and 3.4.2.7 over a plain list of records
 
-type plain []dns.RR
+type referenceZone []dns.RR
 
-func (p plain) at(name string, f func(dns.RR) bool) (out plain) {
+func (p referenceZone) at(name string, f func(dns.RR) bool) (out referenceZone) {
 	for _, r := range p {
 		if strings.EqualFold(r.Header().Name, name) && f(r) {
 			out = append(out, r)
@@ -238,7 +238,7 @@
 	return out
 }
 
-func (p plain) without(f func(dns.RR) bool) plain {
+func (p referenceZone) without(f func(dns.RR) bool) referenceZone {
 	return slices.DeleteFunc(slices.Clone(p), f)
 }
 
@@ -250,9 +250,9 @@
 	return dns.IsDuplicate(x, y)
 }
 
-func (p plain) update(m *dns.Msg) (plain, int) {
+func (p referenceZone) update(m *dns.Msg) (referenceZone, int) {
 	const zname = "example."
-	temp := map[string]plain{}
+	temp := map[string]referenceZone{}
 	is := func(kind uint16) func(dns.RR) bool { return func(r dns.RR) bool { return r.Header().Rrtype == kind } }
 	any := func(dns.RR) bool { return true }
 	for _, rr := range m.Answer {
@@ -361,8 +361,8 @@
 	return z, dns.RcodeSuccess
 }
 
-// drawn is a record of an update, from few names and data so that they meet.
-func drawn(t *rapid.T, prerequisite bool) dns.RR {
+// drawRecord draws a record of an update from few names and data, so that records of an update concern the same sets.
+func drawRecord(t *rapid.T, prerequisite bool) dns.RR {
 	name := rapid.SampledFrom([]string{"example.", "a.example.", "B.example.", "b.example.", "c.a.example."}).Draw(t, "name")
 	kind := rapid.SampledFrom([]uint16{dns.TypeA, dns.TypeA, dns.TypeTXT, dns.TypeCNAME, dns.TypeNS, dns.TypeSOA}).Draw(t, "type")
 	class := rapid.SampledFrom([]uint16{dns.ClassINET, dns.ClassINET, dns.ClassANY, dns.ClassNONE}).Draw(t, "class")
@@ -390,23 +390,23 @@
 	return &dns.SOA{Hdr: h, Ns: "ns.example.", Mbox: "h.example.", Serial: uint32(n) * 5, Refresh: 1, Retry: 1, Expire: 1, Minttl: 1}
 }
 
-// Generated sequences of updates against the reference; and each step's difference goes there and back, through the
-// journal's form and through a transfer's.
+// Random sequences of updates give the same zones as the reference implementation. The difference of each step gives the same zone
+// through the journal's encoding and through a transfer, and its inverse gives the zone before the step.
 func TestUpdatesAgainstReference(t *testing.T) {
 	start := "@ 1 IN SOA ns.example. h.example. 1 1 1 1 1\n@ 1 IN NS n1.example.\na 1 IN A 192.0.2.1\n"
 	first := parse(t, start)
 	rapid.Check(t, func(t *rapid.T) {
-		z, ref := first, plain(first.List())
+		z, ref := first, referenceZone(first.List())
 		var deltas []*Delta
 		for range rapid.IntRange(1, 12).Draw(t, "updates") {
 			m := new(dns.Msg).SetUpdate("example.")
 			for range rapid.IntRange(0, 2).Draw(t, "prerequisites") {
 				if rapid.IntRange(0, 3).Draw(t, "now") == 0 {
-					m.Answer = append(m.Answer, drawn(t, true))
+					m.Answer = append(m.Answer, drawRecord(t, true))
 				}
 			}
 			for range rapid.IntRange(1, 5).Draw(t, "records") {
-				m.Ns = append(m.Ns, drawn(t, false))
+				m.Ns = append(m.Ns, drawRecord(t, false))
 			}
 			raw, err := m.Pack()
 			if err != nil {
@@ -434,7 +434,7 @@
 				t.Fatalf("serial %d, want %d", after.Serial(), want)
 			}
 			if after.Records() != len(after.List()) {
-				t.Fatalf("%d records are counted, %d are there", after.Records(), len(after.List()))
+				t.Fatalf("Records returns %d, the zone has %d", after.Records(), len(after.List()))
 			}
 			if err := after.check(); err != nil {
 				t.Fatal(err)
@@ -446,7 +446,7 @@
 				}
 				d, byNames := Diff(z, after), DiffNames(z, after, names)
 				if !slices.Equal(texts(d.Added), texts(byNames.Added)) || !slices.Equal(texts(d.Removed), texts(byNames.Removed)) {
-					t.Fatalf("by names %v, by walk %v", byNames, d)
+					t.Fatalf("DiffNames gives %v, Diff %v", byNames, d)
 				}
 				raw, err := byNames.Append(nil)
 				if err != nil {
@@ -461,24 +461,24 @@
 					t.Fatal(err)
 				}
 				if left := Diff(after, again); left.Records() > 0 {
-					t.Fatalf("by the journal it is another zone: %v", left)
+					t.Fatalf("the encoded difference gives another zone: %v", left)
 				}
 				back, err := after.Apply(&Delta{From: d.To, To: d.From, Removed: d.Added, Added: d.Removed})
 				if err != nil || Diff(z, back).Records() > 0 {
-					t.Fatalf("not back: %v", err)
+					t.Fatalf("the inverse difference does not give the zone before: %v", err)
 				}
 				deltas = append(deltas, read)
 			}
 			z, ref = after, refAfter
 		}
 		if len(deltas) > 0 {
-			whole, _, err := FromTransfer("example.", nil, append(z.List(), z.SOA()))
-			if err != nil || Diff(whole, z).Records() > 0 {
-				t.Fatalf("a whole transfer is another zone: %v", err)
+			full, _, err := FromTransfer("example.", nil, append(z.List(), z.SOA()))
+			if err != nil || Diff(full, z).Records() > 0 {
+				t.Fatalf("a full transfer gives another zone: %v", err)
 			}
 			got, ds, err := FromTransfer("example.", first, Incremental(z, deltas))
 			if err != nil || Diff(got, z).Records() > 0 || len(ds) != len(deltas) {
-				t.Fatalf("a transfer by differences is another zone: %v", err)
+				t.Fatalf("an incremental transfer gives another zone: %v", err)
 			}
 		}
 	})
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -1,8 +1,8 @@
-// Package zone is the data of a DNS zone and the decisions on it, free of I/O and clocks: updates (RFC 2136), differences (RFC 1995),
-// answers (RFC 1034, 2308, 4592), which key may change what, and when a secondary asks its primary (RFC 1034, 1996).
+// Package zone holds the data of a DNS zone and the logic on it, free of I/O and clocks: updates (RFC 2136), differences (RFC 1995),
+// answers (RFC 1034, 2308, 4592), which key may change what, and when a secondary queries its primary (RFC 1034, 1996).
 //
-// A Zone is an immutable version of a zone, for any number of goroutines: a change returns another Zone, which shares what is the same.
-// Secondary, History and Replays are for one goroutine each.
+// A Zone is an immutable version of a zone and safe for concurrent use: a change returns another Zone, which shares the unchanged nodes.
+// Secondary, History and Replays are not safe for concurrent use.
 package zone
 
 import (
@@ -32,15 +32,15 @@
 
 func (s rrset) kind() uint16 { return s[0].Header().Rrtype }
 
-// Name returns a name as zones have it: absolute, in lower case.
+// Name returns the canonical form of a name, which zones use: absolute, in lower case.
 func Name(s string) string { return dns.CanonicalName(s) }
 
-// Within reports whether a name is a zone's origin or below it. Both are as Name returns them.
+// Within reports whether a name is a zone's origin or below it. Both must be canonical (see Name).
 func Within(origin, name string) bool {
 	return name == origin || origin == "." || strings.HasSuffix(name, "."+origin) && !escapedAt(name, len(name)-len(origin)-1)
 }
 
-// escapedAt reports whether the dot at a place belongs to a label.
+// escapedAt reports whether the dot at an index is escaped and so belongs to a label.
 func escapedAt(name string, at int) bool {
 	n := 0
 	for at--; at >= 0 && name[at] == '\\'; at-- {
@@ -49,16 +49,16 @@
 	return n%2 == 1
 }
 
-// key is a name's key in the tree: its labels as octets from the root down, each ended by a zero octet; a zero or one
-// within a label becomes two octets. The order of keys is the canonical order of names (RFC 4034 6.1), and the names
-// below one are those whose keys it begins.
+// key returns a name's key in the tree: its labels as octets from the root down, each terminated by a zero octet. An octet 0 or 1
+// within a label is escaped by a preceding octet 1. The order of keys is the canonical order of names (RFC 4034 6.1), and a name is
+// below another if the other's key is a prefix of its key.
 func key(name string) []byte {
 	if name == "." {
 		return nil
 	}
 	wire := make([]byte, 256)
 	n, err := dns.PackDomainName(name, wire, 0, nil, false)
-	if err != nil { // no name that was read from a message or a file: it stands for itself
+	if err != nil { // not a valid name, so not from a message or a file: its text is the key
 		return []byte(name)
 	}
 	var starts [128]int
@@ -84,7 +84,7 @@
 	return k
 }
 
-// DataError is a record, or a set of them, that can't be in a zone.
+// DataError is a record, or a set of records, that a zone can't contain.
 type DataError struct{ detail string }
 
 func dataError(format string, args ...any) error {
@@ -94,14 +94,14 @@
 // Error names the record.
 func (e *DataError) Error() string { return e.detail }
 
-// Errors of records that are no zone.
+// Errors of records that do not form a zone.
 var (
 	ErrNoSOA = errors.New("the zone has no SOA at its apex")
 	ErrNoNS  = errors.New("the zone has no NS at its apex")
 )
 
-// New returns a zone with records. A record of another class or outside of the origin is a *DataError; equal records are one (RFC 2181 5),
-// and a set's time to live is its lowest (5.2).
+// New returns a zone with records. A record of another class or outside of the origin is a *DataError. Duplicates are merged (RFC 2181 5),
+// and a set gets the lowest time to live of its records (5.2).
 func New(origin string, rrs []dns.RR) (*Zone, error) {
 	z := &Zone{origin: Name(origin), tree: emptyTree()}
 	e := z.edit()
@@ -121,23 +121,23 @@
 	case h.Class != dns.ClassINET:
 		return dataError("%s %s: class %s is not IN", h.Name, dns.Type(h.Rrtype), dns.Class(h.Class))
 	case !Within(z.origin, Name(h.Name)):
-		return dataError("%s %s: it is not within %s", h.Name, dns.Type(h.Rrtype), z.origin)
+		return dataError("%s %s: the name is not within %s", h.Name, dns.Type(h.Rrtype), z.origin)
 	case meta(h.Rrtype):
-		return dataError("%s %s: no record of a zone has this type", h.Name, dns.Type(h.Rrtype))
+		return dataError("%s %s: a zone can't contain records of this type", h.Name, dns.Type(h.Rrtype))
 	case h.Rrtype == dns.TypeSOA && Name(h.Name) != z.origin:
-		return dataError("%s SOA: it stands at the apex, %s, only", h.Name, z.origin)
+		return dataError("%s SOA: an SOA is allowed only at the apex, %s", h.Name, z.origin)
 	}
 	return nil
 }
 
-// check returns why the data is no zone.
+// check returns an error if the data does not form a zone.
 func (z *Zone) check() error {
 	switch soa := z.set(z.origin, dns.TypeSOA); len(soa) {
 	case 1:
 	case 0:
 		return fmt.Errorf("%s: %w", z.origin, ErrNoSOA)
 	default:
-		return dataError("%s: %d SOA records; there is one", z.origin, len(soa))
+		return dataError("%s: %d SOA records; a zone has exactly one", z.origin, len(soa))
 	}
 	if len(z.set(z.origin, dns.TypeNS)) == 0 {
 		return fmt.Errorf("%s: %w", z.origin, ErrNoNS)
@@ -149,7 +149,7 @@
 			return false
 		}
 		if len(c) > 1 {
-			err = dataError("%s: %d CNAME records; there is one (RFC 2181 10.1)", c[0].Header().Name, len(c))
+			err = dataError("%s: %d CNAME records; a name has at most one (RFC 2181 10.1)", c[0].Header().Name, len(c))
 		}
 		for _, s := range n {
 			if !besideCNAME(s.kind()) {
@@ -166,7 +166,7 @@
 	return t == dns.TypeCNAME || t == dns.TypeRRSIG || t == dns.TypeNSEC
 }
 
-// meta reports whether a type is no type of data, but of questions or messages, or a withdrawn one.
+// meta reports whether a type is not a data type: a query type, a meta type of messages, or a withdrawn type.
 func meta(t uint16) bool {
 	return t == 0 || t >= 128 && t <= 255 || t == dns.TypeOPT
 }
@@ -174,10 +174,10 @@
 // Origin returns the zone's name.
 func (z *Zone) Origin() string { return z.origin }
 
-// Records is how many there are.
+// Records returns the number of records.
 func (z *Zone) Records() int { return z.records }
 
-// SOA is the zone's start of authority.
+// SOA returns the zone's start of authority.
 func (z *Zone) SOA() *dns.SOA {
 	if s := z.set(z.origin, dns.TypeSOA); len(s) > 0 {
 		if soa, ok := s[0].(*dns.SOA); ok {
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// Serial is its version.
+// Serial returns the zone's serial, 0 without an SOA.
 func (z *Zone) Serial() uint32 {
 	if soa := z.SOA(); soa != nil {
 		return soa.Serial
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// CopyRecords is records as they may be put into a message: packing one writes into it.
+// CopyRecords returns copies of records that may be put into a message: packing a message writes into its records.
 func CopyRecords(rrs []dns.RR) []dns.RR {
 	out := make([]dns.RR, len(rrs))
 	for i, rr := range rrs {
@@ -220,10 +220,10 @@
 	return out
 }
 
-// Set is the records of one name and type; they must not be changed, nor put into a message (see CopyRecords).
+// Set returns the records of one name and type. They must not be changed, nor put into a message (see CopyRecords).
 func (z *Zone) Set(name string, kind uint16) []dns.RR { return z.set(Name(name), kind) }
 
-// All calls f with each record, names in canonical order, the SOA first; until f says stop.
+// All calls f with each record until f returns true: the SOA first, then by name in canonical order.
 func (z *Zone) All(f func(dns.RR) (stop bool)) {
 	soa := z.SOA()
 	if soa != nil && f(soa) {
@@ -241,7 +241,7 @@
 	})
 }
 
-// List is all records, in the order of All.
+// List returns all records, in the order of All.
 func (z *Zone) List() []dns.RR {
 	rrs := make([]dns.RR, 0, z.records)
 	z.All(func(rr dns.RR) bool {
@@ -251,14 +251,14 @@
 	return rrs
 }
 
-// NewerSerial reports whether serial a is newer than b in the arithmetic of RFC 1982. Two that are half of the space
-// apart are neither newer than the other.
+// NewerSerial reports whether serial a is newer than b in the arithmetic of RFC 1982. Of two serials that are half of the
+// number space apart, neither is newer.
 func NewerSerial(a, b uint32) bool {
 	d := a - b
 	return d != 0 && d < 1<<31
 }
 
-// NextSerial is the serial after one: never 0, which some take as none.
+// NextSerial returns the serial after s. It skips 0, which some implementations take as no serial.
 func NextSerial(s uint32) uint32 {
 	if s++; s == 0 {
 		s++
@@ -268,7 +268,7 @@
 
 // ---- Changes
 
-// edit is a change to a zone under way, and what it did.
+// edit is an uncommitted change to a zone.
 type edit struct {
 	z       *Zone
 	txn     *iradix.Txn[node]
@@ -294,8 +294,8 @@
 	}
 }
 
-// swap sets the records of a name and type; none takes them away.
-func (e *edit) swap(name string, kind uint16, s rrset) {
+// replaceSet sets the records of a name and type; an empty set removes them.
+func (e *edit) replaceSet(name string, kind uint16, s rrset) {
 	old := e.node(name)
 	n := make(node, 0, len(old)+1)
 	for _, o := range old {
@@ -313,16 +313,16 @@
 	e.put(name, n)
 }
 
-// add adds a record, in place of an equal one. The set's time to live is the record's if it wins, else the least.
-func (e *edit) add(rr dns.RR, wins bool) {
-	rr = owned(rr)
+// add adds a record or replaces its duplicate. The set's time to live becomes the record's if overrideTTL is set, else the lower of the two.
+func (e *edit) add(rr dns.RR, overrideTTL bool) {
+	rr = normalized(rr)
 	h := rr.Header()
 	old := e.node(h.Name).of(h.Rrtype)
 	ttl := h.Ttl
-	if !wins && len(old) > 0 {
+	if !overrideTTL && len(old) > 0 {
 		ttl = min(ttl, old[0].Header().Ttl)
 	}
-	at, found := slices.BinarySearchFunc(old, rr, byData)
+	at, found := slices.BinarySearchFunc(old, rr, compareData)
 	s := make(rrset, 0, len(old)+1)
 	s = append(append(s, old[:at]...), rr)
 	if found {
@@ -335,40 +335,40 @@
 			s[i].Header().Ttl = ttl
 		}
 	}
-	e.swap(h.Name, h.Rrtype, s)
+	e.replaceSet(h.Name, h.Rrtype, s)
 }
 
-// remove takes away the record with this one's name, type and data; it reports whether it was there.
+// remove removes the record with the name, type and data of rr, and reports whether there was one.
 func (e *edit) remove(rr dns.RR) bool {
-	rr = owned(rr)
+	rr = normalized(rr)
 	h := rr.Header()
 	old := e.node(h.Name).of(h.Rrtype)
-	at, found := slices.BinarySearchFunc(old, rr, byData)
+	at, found := slices.BinarySearchFunc(old, rr, compareData)
 	if found {
-		e.swap(h.Name, h.Rrtype, slices.Delete(slices.Clone(old), at, at+1))
+		e.replaceSet(h.Name, h.Rrtype, slices.Delete(slices.Clone(old), at, at+1))
 	}
 	return found
 }
 
-// owned is a copy of a record as a zone holds it: its name in lower case, its class IN.
-func owned(rr dns.RR) dns.RR {
+// normalized returns a copy of a record in the form that a zone stores: the name in lower case, the class IN.
+func normalized(rr dns.RR) dns.RR {
 	rr = dns.Copy(rr)
 	h := rr.Header()
 	h.Name, h.Class, h.Rdlength = Name(h.Name), dns.ClassINET, 0
 	return rr
 }
 
-// byData is the order of records of one name and type by their data (RFC 4034 6.3), in the canonical form of 6.2 as far
-// as names within are compared without case.
-func byData(a, b dns.RR) int {
+// compareData compares records of one name and type by their data (RFC 4034 6.3). Of the canonical form (6.2) only the lower case of names
+// in the data is applied.
+func compareData(a, b dns.RR) int {
 	if dns.IsDuplicate(a, b) {
 		return 0
 	}
-	return bytes.Compare(data(a), data(b))
+	return bytes.Compare(canonicalData(a), canonicalData(b))
 }
 
-// data is a record's data on the wire, names in it uncompressed and in lower case.
-func data(rr dns.RR) []byte {
+// canonicalData returns a record's data in wire format, names in it uncompressed and in lower case.
+func canonicalData(rr dns.RR) []byte {
 	b, err := packRR(rr)
 	if err != nil {
 		return []byte(rr.String())
@@ -398,7 +398,7 @@
 	}
 }
 
-// nameLen is how many octets a name takes on the wire.
+// nameLen returns the length of a name in wire format, in octets.
 func nameLen(name string) int {
 	var wire [256]byte
 	n, err := dns.PackDomainName(name, wire[:], 0, nil, false)
@@ -408,8 +408,8 @@
 	return n
 }
 
-// packRR is a record on the wire, uncompressed. The library notes the length of its data in the record that it packs, so
-// that what others read at the same time must not be it.
+// packRR returns a record in wire format, uncompressed. It packs a copy: the library writes the length of the data into the record that
+// it packs, which is a data race if other goroutines read that record.
 func packRR(rr dns.RR) ([]byte, error) {
 	rr = dns.Copy(rr)
 	b := make([]byte, dns.Len(rr)+16)
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 )
 
-// RFC 1982 3.2, with 32 bits, and its section 5's examples scaled.
+// Serial arithmetic of RFC 1982 3.2 with 32 bits, and the examples of its section 5 scaled to 32 bits.
 func TestSerials(t *testing.T) {
 	for _, c := range []struct {
 		a, b uint32
@@ -27,11 +27,11 @@
 		}
 	}
 	if NextSerial(1<<32-1) != 1 {
-		t.Error("0 is none")
+		t.Error("the serial after 4294967295 is not 1: 0 must be skipped")
 	}
 }
 
-// RFC 4034 6.1's own example, and labels with octets that keys are made with.
+// The example of RFC 4034 6.1, and labels that contain the octets 0 and 1, which keys use as terminator and escape.
 func TestCanonicalOrder(t *testing.T) {
 	names := []string{"example.", "a.example.", "yljkjljk.a.example.", `Z.a.example.`, "zABC.a.EXAMPLE.", "z.example.", `\001.z.example.`, "*.z.example.", `\200.z.example.`}
 	for i := 1; i < len(names); i++ {
@@ -41,7 +41,7 @@
 	}
 	for _, pair := range [][2]string{{`\000.example.`, `\001.example.`}, {`a\000.example.`, `a.example.`}, {`a\.b.example.`, "a.b.example."}} {
 		if a, b := key(pair[0]), key(pair[1]); bytes.HasPrefix(a, b) || bytes.HasPrefix(b, a) {
-			t.Errorf("%s and %s: one would be at or below the other", pair[0], pair[1])
+			t.Errorf("%s and %s: the key of one is a prefix of the other's", pair[0], pair[1])
 		}
 	}
 	for name, want := range map[string]bool{"example.": true, "a.example.": true, "aexample.": false, `a\.example.`: false, `a\\.example.`: true, ".": false} {
@@ -73,12 +73,12 @@
 		{"out", dns.TypeA, 0, "CNAME", "", "x.other."},
 		{"any.wild", dns.TypeA, 0, "A", "", ""},
 		{"deep.any.wild", dns.TypeA, 0, "A", "", ""},
-		{"x.wild", dns.TypeA, 0, "", "SOA", ""},                    // it exists: no wildcard
-		{"y.x.wild", dns.TypeA, dns.RcodeNameError, "", "SOA", ""}, // its closest encloser has none
+		{"x.wild", dns.TypeA, 0, "", "SOA", ""},                    // the name exists, so the wildcard does not apply
+		{"y.x.wild", dns.TypeA, dns.RcodeNameError, "", "SOA", ""}, // the closest encloser has no wildcard
 		{"q.cw", dns.TypeA, 0, "CNAME A A", "", ""},                // a wildcard's CNAME
 		{"sub", dns.TypeA, 0, "", "NS", ""},                        // a referral
-		{"h.sub", dns.TypeA, 0, "", "NS", ""},                      // below it
-		{"sub", dns.TypeDS, 0, "", "SOA", ""},                      // RFC 4035 3.1.4.1: the parent's
+		{"h.sub", dns.TypeA, 0, "", "NS", ""},                      // below the delegation
+		{"sub", dns.TypeDS, 0, "", "SOA", ""},                      // RFC 4035 3.1.4.1: the parent zone answers for DS
 		{"@", dns.TypeNS, 0, "NS", "", ""},
 		{"www", dns.TypeANY, 0, "A A", "", ""},
 	} {
@@ -102,12 +102,12 @@
 		}
 		for _, rr := range r.Answer {
 			if c.name == "any.wild" && rr.Header().Name != "any.wild.example." {
-				t.Error("a wildcard's record under its own name")
+				t.Error("the answer has the wildcard's name, not the queried name")
 			}
 		}
 	}
 	if soa := z.Answer("nope.example.", dns.TypeA).Ns[0]; soa.Header().Ttl != 60 {
-		t.Errorf("a negative answer lives %d s (RFC 2308 3)", soa.Header().Ttl)
+		t.Errorf("the time to live of a negative answer is %d s, want 60 (RFC 2308 3)", soa.Header().Ttl)
 	}
 }
 
@@ -128,7 +128,7 @@
 		{soa + "$INCLUDE ../secret\n", "secret"},
 		{soa + "$INCLUDE /etc/passwd\n", "passwd"},
 		{soa + "$INCLUDE loop.zone\n", "deep"},
-		{soa + "$INCLUDE folder\n", "no regular file"},
+		{soa + "$INCLUDE folder\n", "not a regular file"},
 		{soa + "$GENERATE 1-70000 h$ A 192.0.2.1\n", "members.zone"},
 		{soa + strings.Repeat("x 300 IN A 192.0.2.1\ny 300 IN A 192.0.2.1\n", 1) + "$GENERATE 1-30 h$ A 192.0.2.1\n", "more than 20"},
 	} {
@@ -152,9 +152,9 @@
 	}
 	again, err := Parse(&text, "example.", "written", nil, 100)
 	if err != nil || Diff(z, again).Records() > 0 {
-		t.Errorf("what is written is another zone: %v", err)
+		t.Errorf("the written file does not parse to the same zone: %v", err)
 	}
-	// A link that leads out of the folder is what os.Root refuses; the loader is given such a folder.
+	// os.Root refuses a link that leads out of its folder; the name server parses with the file system of an os.Root.
 	dir := t.TempDir()
 	if err := os.Symlink("/etc/passwd", filepath.Join(dir, "link.zone")); err != nil {
 		t.Fatal(err)
@@ -185,7 +185,7 @@
 	}
 }
 
-// A hand edit is put on what has changed meanwhile: both are there, the hand wins where both touched, and the serial is newer.
+// A manual edit is merged with concurrent updates: both are applied, the edit wins for sets that both changed, and the serial is newer.
 func TestRebase(t *testing.T) {
 	b := parse(t, base)
 	up := func(z *Zone, updates ...string) *Zone {
@@ -196,7 +196,7 @@
 		return after
 	}
 	now := up(b, "n1 60 IN A 192.0.2.31", "www ANY TXT", "a.b ANY A")
-	edited := up(up(b, "n2 60 IN A 192.0.2.32"), "a.b 300 IN A 192.0.2.40", "ns 300 IN A 192.0.2.41").WithSerial(10) // its serial forgotten
+	edited := up(up(b, "n2 60 IN A 192.0.2.32"), "a.b 300 IN A 192.0.2.40", "ns 300 IN A 192.0.2.41").WithSerial(10) // edited without a new serial
 	got, changed, err := Rebase(b, edited, now)
 	if err != nil || !changed {
 		t.Fatal(changed, err)
@@ -206,10 +206,10 @@
 		t.Errorf("%d %q", got.Serial(), texts(got.List()))
 	}
 	if got, changed, err := Rebase(b, b, now); got != now || changed || err != nil {
-		t.Error("no edit is a change", err)
+		t.Error("a file without edits counts as a change", err)
 	}
 	if got, _, _ := Rebase(b, b.WithSerial(500), now); got.Serial() != 500 {
-		t.Error("the hand's newer serial is lost")
+		t.Error("the newer serial of the edited file is not used")
 	}
 	if _, _, err := Rebase(b, up(b, "alias ANY ANY", "alias 300 IN A 192.0.2.50"), now); err != nil {
 		t.Error(err)
@@ -222,22 +222,22 @@
 		h.Add(&Delta{From: s, To: s + 1, Added: make([]dns.RR, 2)})
 	}
 	if _, ok := h.Since(2); ok {
-		t.Error("more than three versions are held")
+		t.Error("the history has more than MaxVersions differences")
 	}
 	if d, ok := h.Since(3); !ok || len(d) != 3 {
 		t.Error(d, ok)
 	}
 	h.Add(&Delta{From: 6, To: 7, Added: make([]dns.RR, 99)})
 	if d, ok := h.Since(5); ok || len(h.deltas) != 1 {
-		t.Error("more records than allowed are held", len(d))
+		t.Error("the history has more than MaxRecords records", len(d))
 	}
 	h.Add(&Delta{From: 50, To: 51})
 	if _, ok := h.Since(6); ok {
-		t.Error("a gap is bridged")
+		t.Error("the history has differences from before a gap")
 	}
 }
 
-// A difference that is cut at any byte, or has any bit turned, is none.
+// A difference that is truncated at any byte, or has a flipped bit in any byte, is rejected.
 func TestTornDelta(t *testing.T) {
 	z := parse(t, base)
 	after, _, err := z.Update(message(t, "example.", nil, []string{"n 60 IN A 192.0.2.9", "www ANY ANY"}), nil)
@@ -251,12 +251,12 @@
 	raw = raw[2:]
 	for i := range raw {
 		if _, _, err := ReadDelta(raw[:i]); !errors.Is(err, ErrTruncated) {
-			t.Fatalf("cut at %d: %v", i, err)
+			t.Fatalf("truncated at %d: %v", i, err)
 		}
 		bad := bytes.Clone(raw)
 		bad[i] ^= 0x10
 		if d, _, err := ReadDelta(bad); err == nil {
-			t.Fatalf("turned at %d: %v", i, d)
+			t.Fatalf("bit flipped at %d: %v", i, d)
 		}
 	}
 }
@@ -298,7 +298,7 @@
 			t.Fatal(err)
 		}
 		if changed != (after != z) {
-			t.Fatal("changed and the same")
+			t.Fatal("changed does not match whether Update returned another version")
 		}
 		for _, q := range m.Ns {
 			after.Answer(q.Header().Name, q.Header().Rrtype)
@@ -306,45 +306,45 @@
 	})
 }
 
-// Each transfer that is cut, or has something too much, is none.
+// A transfer that is truncated at any record, or has surplus records, is rejected.
 func TestTransfers(t *testing.T) {
 	z := parse(t, base)
 	next, _, err := z.Update(message(t, "example.", nil, []string{"www ANY A", "n 60 IN A 192.0.2.9"}), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := append(next.List(), next.SOA())
-	parts := Incremental(next, []*Delta{Diff(z, next)})
-	for i := range whole {
-		if _, _, err := FromTransfer("example.", z, whole[:i]); err == nil && i != 1 {
-			t.Errorf("whole, cut at %d: taken", i)
+	full := append(next.List(), next.SOA())
+	incremental := Incremental(next, []*Delta{Diff(z, next)})
+	for i := range full {
+		if _, _, err := FromTransfer("example.", z, full[:i]); err == nil && i != 1 {
+			t.Errorf("full transfer truncated at %d: accepted", i)
 		}
 	}
-	for i := range parts {
-		if _, _, err := FromTransfer("example.", z, parts[:i]); err == nil {
-			t.Errorf("parts, cut at %d: taken", i)
+	for i := range incremental {
+		if _, _, err := FromTransfer("example.", z, incremental[:i]); err == nil {
+			t.Errorf("incremental transfer truncated at %d: accepted", i)
 		}
 	}
 	if got, _, err := FromTransfer("example.", z, []dns.RR{z.SOA()}); got != z || err != nil {
-		t.Error("our own serial alone", err)
+		t.Error("an answer with only the SOA of the current version is rejected", err)
 	}
-	for name, rrs := range map[string][]dns.RR{"more behind its end": append(slices.Clone(whole), next.List()...), "another zone's SOA": {rr(t, "x.other. 1 IN SOA a. b. 1 1 1 1 1")},
-		"a newer serial alone": {next.SOA()}, "no SOA first": whole[1:]} {
+	for name, rrs := range map[string][]dns.RR{"records after its end": append(slices.Clone(full), next.List()...), "another zone's SOA": {rr(t, "x.other. 1 IN SOA a. b. 1 1 1 1 1")},
+		"a newer serial alone": {next.SOA()}, "no SOA first": full[1:]} {
 		if _, _, err := FromTransfer("example.", z, rrs); !errors.Is(err, ErrTransfer) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	for what, d := range map[string]*Delta{"removes what is not there": {From: 10, To: 11, Removed: []dns.RR{z.SOA(), rr(t, "gone 1 IN A 192.0.2.1")}, Added: []dns.RR{next.SOA()}},
-		"adds what is there": {From: 10, To: 11, Removed: []dns.RR{z.SOA()}, Added: []dns.RR{next.SOA(), z.Set("ns.example.", dns.TypeA)[0]}}} {
+	for what, d := range map[string]*Delta{"removes a missing record": {From: 10, To: 11, Removed: []dns.RR{z.SOA(), rr(t, "gone 1 IN A 192.0.2.1")}, Added: []dns.RR{next.SOA()}},
+		"adds an existing record": {From: 10, To: 11, Removed: []dns.RR{z.SOA()}, Added: []dns.RR{next.SOA(), z.Set("ns.example.", dns.TypeA)[0]}}} {
 		if got, err := z.Apply(d); !errors.Is(err, ErrOther) {
 			t.Errorf("a difference that %s: %v, %v", what, got, err)
 		}
 	}
-	if _, _, err := FromTransfer("example.", next, parts); !errors.Is(err, ErrOther) {
+	if _, _, err := FromTransfer("example.", next, incremental); !errors.Is(err, ErrOther) {
 		t.Errorf("differences from another version: %v", err)
 	}
-	if _, _, err := FromTransfer("example.", nil, parts); !errors.Is(err, ErrTransfer) {
-		t.Errorf("differences from none: %v", err)
+	if _, _, err := FromTransfer("example.", nil, incremental); !errors.Is(err, ErrTransfer) {
+		t.Errorf("differences without a current version: %v", err)
 	}
 }
 
@@ -360,16 +360,16 @@
 	see("a", 0, false, false)
 	see("a", 10*s, true, false)
 	see("b", 5*s, false, false)
-	see("c", 6*s, false, true) // full: not taken, and not remembered
+	see("c", 6*s, false, true) // full: rejected and not recorded
 	see("c", 7*s, false, true)
-	see("c", 11*s, false, false) // "a" has lapsed
+	see("c", 11*s, false, false) // "a" has expired
 	see("b", 11*s, true, false)
 	if repeat, _ := r.Seen("k.", "b", 11*s, 0); !repeat {
-		t.Error("a key's name has no case")
+		t.Error("key names must be compared without case")
 	}
 }
 
-// The secondary's ways, as scripts: what happens, and what it does then.
+// Scripts of a secondary: each step is an event, the actions that must follow, and the time of the next step.
 func TestSecondary(t *testing.T) {
 	soa := func(serial uint32) *dns.SOA { return &dns.SOA{Serial: serial, Refresh: 60, Retry: 10, Expire: 300} }
 	serial := func(n uint32) SecondaryEvent { return SecondaryEvent{Serial: &n} }
@@ -380,24 +380,24 @@
 		at    int // seconds
 		event SecondaryEvent
 		does  []SecondaryAction
-		next  int // -1: only by an event
+		next  int // seconds; -1: no timer is set
 	}
 	do := func(a ...SecondaryAction) []SecondaryAction { return a }
 	for name, steps := range map[string][]step{
-		"first all, then by the SOA": {{0, tick, do(TransferFull), -1}, {1, version(5), nil, 61}, {60, tick, nil, 61}, {61, tick, do(QuerySerial), 301}, {61, serial(5), nil, 121},
+		"a full transfer, then SOA queries": {{0, tick, do(TransferFull), -1}, {1, version(5), nil, 61}, {60, tick, nil, 61}, {61, tick, do(QuerySerial), 301}, {61, serial(5), nil, 121},
 			{121, tick, do(QuerySerial), 361}, {121, serial(6), do(TransferIncremental), 361}, {122, version(6), nil, 182}},
-		"failures before any version double":       {{0, tick, do(TransferFull), -1}, {0, failed, nil, 1}, {1, tick, do(TransferFull), -1}, {1, failed, nil, 3}, {3, tick, do(TransferFull), -1}, {3, failed, nil, 7}},
-		"a NOTIFY asks at once":                    {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {10, notify(6), do(QuerySerial), 300}, {10, serial(6), do(TransferIncremental), 300}},
-		"a NOTIFY of what is held does nothing":    {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {10, notify(5), nil, 60}},
-		"a NOTIFY without a serial asks":           {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {10, notify(0), do(QuerySerial), 300}},
-		"a thousand NOTIFYs while it asks are one": {{0, tick, do(TransferFull), -1}, {0, notify(9), nil, -1}, {0, notify(10), nil, -1}, {1, version(9), do(QuerySerial), 301}, {1, serial(9), nil, 61}},
-		"a difference that does not fit: whole":    {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {60, tick, do(QuerySerial), 300}, {60, serial(7), do(TransferIncremental), 300}, {60, misfit, do(TransferFull), 300}, {61, version(7), nil, 121}},
-		"a serial that goes back is no news":       {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {60, tick, do(QuerySerial), 300}, {60, serial(4), nil, 120}},
-		"a primary that is gone: expired, and back": {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {60, tick, do(QuerySerial), 300}, {65, failed, nil, 75}, {75, tick, do(QuerySerial), 300}, {80, failed, nil, 90},
+		"the backoff doubles before any version":      {{0, tick, do(TransferFull), -1}, {0, failed, nil, 1}, {1, tick, do(TransferFull), -1}, {1, failed, nil, 3}, {3, tick, do(TransferFull), -1}, {3, failed, nil, 7}},
+		"a NOTIFY queries the SOA at once":            {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {10, notify(6), do(QuerySerial), 300}, {10, serial(6), do(TransferIncremental), 300}},
+		"a NOTIFY of the current serial does nothing": {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {10, notify(5), nil, 60}},
+		"a NOTIFY without a serial queries the SOA":   {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {10, notify(0), do(QuerySerial), 300}},
+		"NOTIFYs during a request are coalesced":      {{0, tick, do(TransferFull), -1}, {0, notify(9), nil, -1}, {0, notify(10), nil, -1}, {1, version(9), do(QuerySerial), 301}, {1, serial(9), nil, 61}},
+		"a full transfer after a rejected difference": {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {60, tick, do(QuerySerial), 300}, {60, serial(7), do(TransferIncremental), 300}, {60, misfit, do(TransferFull), 300}, {61, version(7), nil, 121}},
+		"an older serial is ignored":                  {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {60, tick, do(QuerySerial), 300}, {60, serial(4), nil, 120}},
+		"an unreachable primary: expired, and back": {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {60, tick, do(QuerySerial), 300}, {65, failed, nil, 75}, {75, tick, do(QuerySerial), 300}, {80, failed, nil, 90},
 			{300, tick, do(Expire, QuerySerial), -1}, {301, failed, nil, 311}, {311, tick, do(QuerySerial), -1}, {311, serial(5), nil, 371}},
-		"expired, and its serial went back: taken": {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {300, tick, do(Expire, QuerySerial), -1}, {301, serial(2), do(TransferIncremental), -1}},
+		"an older serial is accepted once expired": {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {300, tick, do(Expire, QuerySerial), -1}, {301, serial(2), do(TransferIncremental), -1}},
 		"it expires while a transfer hangs":        {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {60, tick, do(QuerySerial), 300}, {60, serial(6), do(TransferIncremental), 300}, {300, tick, do(Expire), -1}, {310, version(6), nil, 370}},
-		"an answer that was not asked for is none": {{0, serial(9), do(TransferFull), -1}, {0, version(5), nil, 60}, {1, version(9), nil, 60}, {1, failed, nil, 60}},
+		"an unsolicited answer is ignored":         {{0, serial(9), do(TransferFull), -1}, {0, version(5), nil, 60}, {1, version(9), nil, 60}, {1, failed, nil, 60}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := Secondary{Bounds: DefaultBounds()}
@@ -423,8 +423,9 @@
 	}
 }
 
-// Whatever happens: one thing is asked at a time, time alone always leads on, and it serves nothing older than it may.
-func TestSecondaryLaws(t *testing.T) {
+// Invariants under random events: at most one request is in flight, a timer or a request is always pending, and a version is served for
+// no longer than its expire time after the last confirmation.
+func TestSecondary_Invariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Secondary{Bounds: DefaultBounds()}
 		now, confirmed, out := time.Duration(0), time.Duration(-1), 0
@@ -437,7 +438,7 @@
 			if asking == transferring && e.Version != nil || asking == askingSerial && s.hasVersion && e.Serial != nil && n == before {
 				confirmed = now
 				if s.expired {
-					t.Fatal("the primary says that it is good, and it has expired still")
+					t.Fatal("the zone is still expired although the primary confirmed its version")
 				}
 			}
 			if ended := asking == askingSerial && (e.Serial != nil || e.Failed) || asking == transferring && (e.Version != nil || e.Failed || e.DeltaRejected); ended {
@@ -449,10 +450,10 @@
 				}
 			}
 			if out < 0 || out > 1 || (out == 1) != (s.request != idle) {
-				t.Fatalf("%d asked at once", out)
+				t.Fatalf("%d requests in flight", out)
 			}
 			if s.request == idle && s.Next() == time.Duration(1<<63-1) {
-				t.Fatal("nothing would ever happen")
+				t.Fatal("neither a request nor a timer is pending")
 			}
 			if s.hasVersion && !s.expired && confirmed >= 0 && now >= confirmed+300*time.Second {
 				t.Fatalf("served at %v, confirmed last at %v", now, confirmed)
