--- a/internal/nameserver/secondary.go
+++ b/internal/nameserver/secondary.go
@@ -115,7 +115,7 @@
 	if err == nil {
 		next, deltas, err = zone.FromTransfer(s.zone.config.Name, before, rrs)
 	}
-	if err != nil && a == zone.TransferIncremental && ctx.Err() == nil && (errors.Is(err, zone.ErrOther) || errors.Is(err, zone.ErrTransfer) || errors.Is(err, errNoIXFR)) {
+	if err != nil && a == zone.TransferIncremental && ctx.Err() == nil && (errors.Is(err, zone.ErrDeltaMismatch) || errors.Is(err, zone.ErrTransfer) || errors.Is(err, errNoIXFR)) {
 		s.zone.log.Warn("the primary's differences do not fit: a full transfer is requested", "primary", s.zone.config.Primary, "err", err)
 		return zone.SecondaryEvent{DeltaRejected: true}
 	}
--- a/internal/zone/delta.go
+++ b/internal/zone/delta.go
@@ -18,19 +18,19 @@
 // Records returns the number of removed and added records.
 func (d *Delta) Records() int { return len(d.Removed) + len(d.Added) }
 
-// ErrOther reports that a difference was made from another version, or does not match the records of the zone.
-var ErrOther = errors.New("the difference does not apply to this version")
+// ErrDeltaMismatch reports that a difference was made from another version, or does not match the records of the zone.
+var ErrDeltaMismatch = errors.New("the difference does not apply to this version")
 
 // Apply returns the zone after a difference. All records that it removes must exist and all that it adds must not, else the error is
-// ErrOther.
+// ErrDeltaMismatch.
 func (z *Zone) Apply(d *Delta) (*Zone, error) {
 	if z.Serial() != d.From {
-		return nil, fmt.Errorf("%s: %w: from serial %d, the zone has %d", z.origin, ErrOther, d.From, z.Serial())
+		return nil, fmt.Errorf("%s: %w: from serial %d, the zone has %d", z.origin, ErrDeltaMismatch, d.From, z.Serial())
 	}
 	e := z.edit()
 	for _, rr := range d.Removed {
 		if !e.remove(rr) {
-			return nil, fmt.Errorf("%s: %w: it removes a record that does not exist: %s", z.origin, ErrOther, rr)
+			return nil, fmt.Errorf("%s: %w: it removes a record that does not exist: %s", z.origin, ErrDeltaMismatch, rr)
 		}
 	}
 	for _, rr := range d.Added {
@@ -39,7 +39,7 @@
 		}
 		before := e.records
 		if e.add(rr, true); e.records == before {
-			return nil, fmt.Errorf("%s: %w: it adds a record that exists: %s", z.origin, ErrOther, rr)
+			return nil, fmt.Errorf("%s: %w: it adds a record that exists: %s", z.origin, ErrDeltaMismatch, rr)
 		}
 	}
 	after := e.zone()
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	if after.Serial() != d.To {
-		return nil, fmt.Errorf("%s: %w: to serial %d, the result has %d", z.origin, ErrOther, d.To, after.Serial())
+		return nil, fmt.Errorf("%s: %w: to serial %d, the result has %d", z.origin, ErrDeltaMismatch, d.To, after.Serial())
 	}
 	return after, nil
 }
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -336,11 +336,11 @@
 	}
 	for what, d := range map[string]*Delta{"removes a missing record": {From: 10, To: 11, Removed: []dns.RR{z.SOA(), rr(t, "gone 1 IN A 192.0.2.1")}, Added: []dns.RR{next.SOA()}},
 		"adds an existing record": {From: 10, To: 11, Removed: []dns.RR{z.SOA()}, Added: []dns.RR{next.SOA(), z.Set("ns.example.", dns.TypeA)[0]}}} {
-		if got, err := z.Apply(d); !errors.Is(err, ErrOther) {
+		if got, err := z.Apply(d); !errors.Is(err, ErrDeltaMismatch) {
 			t.Errorf("a difference that %s: %v, %v", what, got, err)
 		}
 	}
-	if _, _, err := FromTransfer("example.", next, incremental); !errors.Is(err, ErrOther) {
+	if _, _, err := FromTransfer("example.", next, incremental); !errors.Is(err, ErrDeltaMismatch) {
 		t.Errorf("differences from another version: %v", err)
 	}
 	if _, _, err := FromTransfer("example.", nil, incremental); !errors.Is(err, ErrTransfer) {
