--- a/internal/nameserver/config.go
+++ b/internal/nameserver/config.go
@@ -10,8 +10,8 @@
 
 // Config is the configuration of a Service.
 type Config struct {
-	Listen     string // address:port of the server, UDP and TCP; empty: none
-	Folder     string // of the stores
+	Listen     string // address:port of the server, UDP and TCP; empty: no server
+	Folder     string // folder of the stores
 	Keys       []Key
 	Zones      []ZoneConfig
 	Members    []membership.Member
@@ -24,24 +24,24 @@
 	Name         string // absolute, lower case
 	File         string
 	Primary      string   // address:port
-	Key          string   // signs the questions to the primary; empty: unsigned
-	TransferKeys []string // that may transfer it
+	Key          string   // signs the requests to the primary; empty: unsigned
+	TransferKeys []string // keys that may transfer the zone
 	Notify       []string // address:port of secondaries that are notified of changes
 	NotifyKey    string
 	Updates      []Update
-	Bounds       *zone.Bounds // of the timers in the primary's SOA; nil: zone.DefaultBounds
+	Bounds       *zone.Bounds // bounds of the timers in the primary's SOA; nil: zone.DefaultBounds
 }
 
-// Update grants a key what it may change.
+// Update is the grant of a key: the names and types that updates signed with it may change.
 type Update struct {
 	Key string
 	zone.Grant
 }
 
-// DefaultMaxRecords bounds the records of a zone where Config.MaxRecords is 0.
+// DefaultMaxRecords bounds the records of a zone if Config.MaxRecords is 0.
 const DefaultMaxRecords = 1_000_000
 
-// Check returns a *ConfigError for the first zone or member that can't be as it is.
+// Check returns an error for the first invalid zone or member: a *ConfigError, or that of net.SplitHostPort for an address.
 func (c *Config) Check() error {
 	keys := NewKeyring(c.Keys)
 	seen := map[string]bool{}
@@ -54,36 +54,36 @@
 	}
 	for _, m := range c.Members {
 		if !zone.IsName(m.Name) || m.Name != zone.Name(m.Name) {
-			return configError("member %d: %q is no absolute name", m.Destination, m.Name)
+			return configError("member %d: %q is not an absolute lower-case name", m.Destination, m.Name)
 		}
 		if !m.SRV && m.Port == 0 {
-			return configError("member %d: %s: without SRV a port is named", m.Destination, m.Name)
+			return configError("member %d: %s: a port is required without SRV", m.Destination, m.Name)
 		}
 	}
 	return nil
 }
 
-// check checks a zone by itself; duplicate is whether another has its name.
+// check checks one zone; duplicate is whether an earlier zone has its name.
 func (z *ZoneConfig) check(keys *Keyring, duplicate bool) error {
 	switch {
 	case z.Name == "" || !zone.IsName(z.Name) || z.Name != zone.Name(z.Name):
-		return configError("it is no zone's name")
+		return configError("the name is not an absolute lower-case name")
 	case duplicate:
-		return configError("it is there twice")
+		return configError("the zone is configured twice")
 	case (z.File == "") == (z.Primary == ""):
-		return configError("it comes from a file or from a primary: one of them is named")
+		return configError("exactly one of a file and a primary is required")
 	case z.Primary != "" && len(z.Updates) > 0:
-		return configError("what comes from a primary is updated there")
+		return configError("a secondary zone can't be updated here, only at its primary")
 	}
 	used := append(append([]string{}, z.TransferKeys...), z.Key, z.NotifyKey)
 	for _, u := range z.Updates {
 		used = append(used, u.Key)
 		if len(u.Names) == 0 {
-			return configError("key %s may change no name", u.Key)
+			return configError("key %s: the grant has no names", u.Key)
 		}
 		for _, n := range u.Names {
 			if !zone.IsName(n) || !zone.Within(z.Name, zone.Name(n)) {
-				return configError("key %s: %q is no name within it", u.Key, n)
+				return configError("key %s: %q is not a name within the zone", u.Key, n)
 			}
 		}
 	}
@@ -94,11 +94,11 @@
 	}
 	for _, a := range append(append([]string{}, z.Notify...), z.Primary) {
 		if _, _, err := net.SplitHostPort(a); a != "" && err != nil {
-			return fmt.Errorf("%q is no address:port: %w", a, err)
+			return fmt.Errorf("%q is not an address:port: %w", a, err)
 		}
 	}
 	return nil
 }
 
-// isStored reports whether a zone has a state of its own that is stored: updates, or a primary's versions.
+// isStored reports whether a zone has a store: it is changed by updates, or is a secondary.
 func (z *ZoneConfig) isStored() bool { return z.Primary != "" || len(z.Updates) > 0 }
--- a/internal/nameserver/disk.go
+++ b/internal/nameserver/disk.go
@@ -9,13 +9,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// disk is the part of a file system that the store and the zone files use. Tests replace it by one that fails and crashes.
+// disk is the part of a file system that the store and the zone files use. Tests replace it by one that simulates faults and crashes.
 type disk interface {
 	ReadFile(name string) ([]byte, error)
-	Create(name string) (file, error)                   // new, or emptied
-	Append(name string) (f file, size int64, err error) // what is there
+	Create(name string) (file, error)                   // an existing file is truncated
+	Append(name string) (f file, size int64, err error) // the file must exist
 	Rename(from, to string) error
-	Exchange(a, b string) error // of two files that are there, in one step
+	Exchange(a, b string) error // swaps two existing files atomically
 	SyncDir(name string) error
 	ModTime(name string) (time.Time, error)
 	Touch(name string, t time.Time) error
@@ -52,10 +52,10 @@
 	return f, info.Size(), nil
 }
 
-// Rename renames a file, in place of what has the name.
+// Rename renames a file and replaces an existing file of the new name.
 func (osDisk) Rename(from, to string) error { return os.Rename(from, to) }
 
-// Exchange exchanges two existing files in one step.
+// Exchange swaps two existing files atomically.
 func (osDisk) Exchange(a, b string) error {
 	if err := unix.Renameat2(unix.AT_FDCWD, a, unix.AT_FDCWD, b, unix.RENAME_EXCHANGE); err != nil {
 		return &os.LinkError{Op: "exchange", Old: a, New: b, Err: err}
@@ -72,7 +72,7 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// ModTime returns when a file was changed.
+// ModTime returns a file's modification time.
 func (osDisk) ModTime(name string) (time.Time, error) {
 	info, err := os.Stat(name)
 	if err != nil {
@@ -81,10 +81,10 @@
 	return info.ModTime(), nil
 }
 
-// Touch sets when a file was changed.
+// Touch sets a file's modification time.
 func (osDisk) Touch(name string, t time.Time) error { return os.Chtimes(name, t, t) }
 
-// writeAtomically writes a file so that after a crash it has either its former content or all of the new.
+// writeAtomically replaces a file so that after a crash it has either its old content or its complete new content.
 func writeAtomically(d disk, dir, name string, content []byte) error {
 	tmp := name + ".new"
 	f, err := d.Create(tmp)
--- a/internal/nameserver/file_watcher.go
+++ b/internal/nameserver/file_watcher.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	quietPeriod       = 200 * time.Millisecond  // a file counts as written when it has not changed for so long
-	maxQuietWait      = 1500 * time.Millisecond // it is read then, even while it changes: it has to be served within two seconds
+	quietPeriod       = 200 * time.Millisecond  // a file that has not changed for this time counts as completely written
+	maxQuietWait      = 1500 * time.Millisecond // a file that keeps changing is read after this time: changes must be served within two seconds
 	writeBackInterval = 2 * time.Second         // between two writes of updates into the zones' files
-	pollInterval      = 10 * time.Second        // files are polled so often: a mounted folder may give no notification
+	pollInterval      = 10 * time.Second        // between two polls of the files: a mounted folder may give no notifications
 )
 
-// fileWatcher follows the files of zones, by notification and by polling.
+// fileWatcher watches the files of zones, by notifications and by polling.
 type fileWatcher struct {
 	watcher *fsnotify.Watcher
 	zones   []*managedZone
 	log     *slog.Logger
-	rescan  chan struct{} // all files are read now
+	rescan  chan struct{} // requests to read all files now
 }
 
 func newFileWatcher(zones []*managedZone, log *slog.Logger) (*fileWatcher, error) {
@@ -33,7 +33,7 @@
 	f := &fileWatcher{watcher: w, zones: zones, log: log, rescan: make(chan struct{}, 1)}
 	seen := map[string]bool{}
 	for _, z := range zones {
-		// The folder, not the file: editors replace files, and what $INCLUDE names stands beside it.
+		// The folder is watched, not the file: editors replace files, and the files of $INCLUDE are in the same folder.
 		if dir := filepath.Dir(z.config.File); !seen[dir] {
 			seen[dir] = true
 			if err := w.Add(dir); err != nil {
@@ -44,7 +44,7 @@
 	return f, nil
 }
 
-// fileStamp tells whether a file has changed.
+// fileStamp is the size and modification time of a file, by which changes are detected.
 type fileStamp struct {
 	size int64
 	time time.Time
@@ -58,13 +58,14 @@
 	return fileStamp{info.Size(), info.ModTime()}
 }
 
-// pendingFile is a file that has changed, and may still be changing.
+// pendingFile is a file that has changed and may still be changing.
 type pendingFile struct {
 	firstChange, lastChange time.Time
 	stamp                   fileStamp
 }
 
-// run follows the files until ctx ends: as they change, by polling, and by rescan. A file is loaded once it has stood still.
+// run loads changed files until ctx ends. Changes are detected by notifications and polling; a file is loaded once it has been unchanged
+// for quietPeriod, and immediately on a rescan.
 func (f *fileWatcher) run(ctx context.Context) {
 	defer f.watcher.Close()
 	timer := time.NewTimer(0)
@@ -92,7 +93,7 @@
 			if !ok {
 				return
 			}
-			f.log.Warn("notifications of zone files may be missed: all files are checked", "err", err) // as a rule its queue was full
+			f.log.Warn("notifications of zone files may be missed: all files are checked", "err", err) // usually the queue of notifications was full
 			for _, z := range f.zones {
 				p.add(z)
 			}
@@ -113,14 +114,14 @@
 	}
 }
 
-// pendingFiles are the files that have changed and are not loaded yet. It is for the watcher's goroutine.
+// pendingFiles are the files that have changed and are not loaded yet. Only the watcher's goroutine may use it.
 type pendingFiles struct {
 	files  map[*managedZone]*pendingFile
-	loaded map[*managedZone]fileStamp // as they were when they were loaded last
-	timer  *time.Timer                // fires when files are to be looked at again
+	loaded map[*managedZone]fileStamp // the files' stamps when they were last loaded
+	timer  *time.Timer                // fires when pending files must be checked again
 }
 
-// add notes that a zone's file has changed just now.
+// add records that a zone's file has changed now.
 func (p *pendingFiles) add(z *managedZone) {
 	now := time.Now()
 	if f := p.files[z]; f != nil {
@@ -131,7 +132,7 @@
 	p.timer.Reset(quietPeriod / 4)
 }
 
-// loadQuiet loads the files that have stood still for quietPeriod, or have been changing for maxQuietWait.
+// loadQuiet loads the files that have not changed for quietPeriod, or have been changing for maxQuietWait.
 func (p *pendingFiles) loadQuiet() {
 	now := time.Now()
 	for z, f := range p.files {
@@ -141,7 +142,7 @@
 		if now.Sub(f.lastChange) >= quietPeriod || now.Sub(f.firstChange) >= maxQuietWait {
 			delete(p.files, z)
 			p.loaded[z] = f.stamp
-			z.loadFile() // it logs what is wrong
+			z.loadFile() // logs its errors itself
 		}
 	}
 	if len(p.files) > 0 {
@@ -149,7 +150,7 @@
 	}
 }
 
-// isOwnFile reports whether a file is one that the daemon itself writes beside the zone's.
+// isOwnFile reports whether a file in the folder of the zone's file is written by the sender itself.
 func (z *managedZone) isOwnFile(name string) bool {
 	return name == z.config.File+".before"
 }
--- a/internal/nameserver/helpers_test.go
+++ b/internal/nameserver/helpers_test.go
@@ -16,13 +16,13 @@
 	"saffronyard.example/saffronyard/internal/membership"
 )
 
-const wait = 20 * time.Second // for what should come
+const testTimeout = 20 * time.Second // bound on waiting for an expected event
 
 func secret(seed string) string {
 	return base64.StdEncoding.EncodeToString([]byte(seed + strings.Repeat("x", 32)))
 }
 
-func keysOf(t testing.TB, lines ...string) []Key {
+func mustParseKeys(t testing.TB, lines ...string) []Key {
 	t.Helper()
 	keys, err := parseKeys("keys", strings.Join(lines, "\n"))
 	if err != nil {
@@ -31,12 +31,12 @@
 	return keys
 }
 
-func usualKeys(t testing.TB) []Key {
-	return keysOf(t, "ops. hmac-sha256 "+secret("ops"), "xfer. hmac-sha512 "+secret("xfer"))
+func testKeys(t testing.TB) []Key {
+	return mustParseKeys(t, "ops. hmac-sha256 "+secret("ops"), "xfer. hmac-sha512 "+secret("xfer"))
 }
 
-// put writes a file as an editor does that replaces it.
-func put(t testing.TB, path, text string) {
+// replaceFile replaces a file by a rename, as many editors do.
+func replaceFile(t testing.TB, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path+"~", []byte(text), 0o644); err != nil {
 		t.Fatal(err)
@@ -46,21 +46,21 @@
 	}
 }
 
-// updated is a configuration with one zone, example., from a file in dir, which key ops may change and key xfer transfer.
-func updated(t testing.TB, dir string) *Config {
+// testConfig returns a configuration with one zone, example., from a file in dir. Key ops may change it and key xfer transfer it.
+func testConfig(t testing.TB, dir string) *Config {
 	t.Helper()
 	path := filepath.Join(dir, "example.zone")
 	if _, err := os.Stat(path); err != nil {
-		put(t, path, zoneText)
+		replaceFile(t, path, zoneText)
 	}
-	return &Config{Listen: "127.0.0.1:0", Folder: filepath.Join(dir, "state"), Keys: usualKeys(t), Spans: membership.DefaultFollowerConfig(),
-		Zones:   []ZoneConfig{{Name: "example.", File: path, TransferKeys: []string{"xfer."}, Updates: []Update{{Key: "ops.", Grant: everything()}}}},
+	return &Config{Listen: "127.0.0.1:0", Folder: filepath.Join(dir, "state"), Keys: testKeys(t), Spans: membership.DefaultFollowerConfig(),
+		Zones:   []ZoneConfig{{Name: "example.", File: path, TransferKeys: []string{"xfer."}, Updates: []Update{{Key: "ops.", Grant: grantAll()}}}},
 		Members: []membership.Member{{Destination: 7, Name: "hooks.example.", Port: 80, Weight: 1}}}
 }
 
-func begun(t testing.TB, c *Config) *Service {
+func startService(t testing.TB, c *Config) *Service {
 	t.Helper()
-	s, err := Start(c, quiet())
+	s, err := Start(c, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,19 +68,19 @@
 	return s
 }
 
-// followed is what a service tells, as a list.
-type followed struct {
+// endpointRecorder records the endpoints that a service reports.
+type endpointRecorder struct {
 	mu     sync.Mutex
-	list   map[string]string // state by address
+	states map[string]string // state by address
 	change chan struct{}
 }
 
-func following(t testing.TB, s *Service) *followed {
-	f := &followed{list: map[string]string{}, change: make(chan struct{}, 1000)}
+func recordEndpoints(t testing.TB, s *Service) *endpointRecorder {
+	f := &endpointRecorder{states: map[string]string{}, change: make(chan struct{}, 1000)}
 	take := func(u membership.Update) {
 		f.mu.Lock()
 		for _, l := range u.Servers {
-			f.list[l.Addr] = l.State
+			f.states[l.Addr] = l.State
 		}
 		f.mu.Unlock()
 		f.change <- struct{}{}
@@ -96,14 +96,14 @@
 	return f
 }
 
-// until waits for addresses to be served, and no others.
-func (f *followed) until(t testing.TB, want ...string) {
+// waitForServing waits until exactly the given addresses are serving.
+func (f *endpointRecorder) waitForServing(t testing.TB, want ...string) {
 	t.Helper()
-	over := time.After(wait)
+	over := time.After(testTimeout)
 	for {
 		f.mu.Lock()
 		var got []string
-		for a, state := range f.list {
+		for a, state := range f.states {
 			if state == membership.Serving {
 				got = append(got, strings.TrimSuffix(a, ":80"))
 			}
@@ -116,13 +116,13 @@
 		select {
 		case <-f.change:
 		case <-over:
-			t.Fatalf("served are %v, want %v", got, want)
+			t.Fatalf("serving %v, want %v", got, want)
 		}
 	}
 }
 
-// asked sends a message, signed by a key if one is named, and gives the answer.
-func asked(t testing.TB, addr, network, key string, keys []Key, m *dns.Msg) *dns.Msg {
+// roundTrip sends a message, signed if key is not empty, and returns the answer.
+func roundTrip(t testing.TB, addr, network, key string, keys []Key, m *dns.Msg) *dns.Msg {
 	t.Helper()
 	ring := NewKeyring(keys)
 	m.Id = dns.Id()
@@ -131,7 +131,7 @@
 			t.Fatal(err)
 		}
 	}
-	c := dns.Client{Net: network, Timeout: wait, TsigProvider: ring, UDPSize: 4096}
+	c := dns.Client{Net: network, Timeout: testTimeout, TsigProvider: ring, UDPSize: 4096}
 	r, _, err := c.Exchange(m, addr)
 	if err != nil && r == nil {
 		t.Fatal(err)
@@ -139,14 +139,16 @@
 	return r
 }
 
-func insert(name, addr string) *dns.Msg {
+func insertUpdate(name, addr string) *dns.Msg {
 	m := new(dns.Msg).SetUpdate("example.")
 	rr, _ := dns.NewRR(name + " 60 IN A " + addr)
 	m.Insert([]dns.RR{rr})
 	return m
 }
 
-func replaceWith(t testing.TB, name, addr string) *dns.Msg { return moved(t, "example.", name, addr) }
+func replaceWith(t testing.TB, name, addr string) *dns.Msg {
+	return setAddressUpdate(t, "example.", name, addr)
+}
 
 func addressesOf(s *Service, name string) []string {
 	var out []string
--- a/internal/nameserver/histories_test.go
+++ b/internal/nameserver/histories_test.go
@@ -11,15 +11,15 @@
 	"github.com/miekg/dns"
 )
 
-// The zone as porcupine is told of it: one address of one name; an update sets it, or sets it if it is as named.
+// op is an operation on the model of the zone, a register with the address of one name: a read, a write, or a write with a prerequisite.
 type op struct {
-	set, only string // set: the new address, "" for a question; only: the prerequisite, "" for none
+	set, prerequisite string // set: the new address, "" for a query; prerequisite: the address that the prerequisite requires, "" for none
 }
 
-// Concurrent updates, questions and transfers are as if each came at one moment between its sending and its answer.
+// Concurrent updates, queries and transfers are linearizable.
 func TestService_RandomHistories(t *testing.T) {
-	c := updated(t, t.TempDir())
-	s := begun(t, c)
+	c := testConfig(t, t.TempDir())
+	s := startService(t, c)
 	model := porcupine.Model{
 		Init: func() any { return "127.0.0.2" },
 		Step: func(state, input, output any) (bool, any) {
@@ -27,7 +27,7 @@
 			switch {
 			case in.set == "":
 				return out == state, state
-			case in.only != "" && in.only != state:
+			case in.prerequisite != "" && in.prerequisite != state:
 				return out == "refused", state
 			}
 			return out == "ok", in.set
@@ -52,12 +52,12 @@
 					in = op{set: fmt.Sprintf("127.1.%d.%d", client, i)}
 					m := replaceWith(t, "hooks.example.", in.set)
 					if i%3 == 0 {
-						in.only = last
+						in.prerequisite = last
 						rr, _ := dns.NewRR("hooks.example. 0 IN A " + last)
 						m.Used([]dns.RR{rr})
-						m = wired(t, m)
+						m = repack(t, m)
 					}
-					switch r := asked(t, s.Address(), []string{"udp", "tcp"}[i%2], "ops.", c.Keys, m); r.Rcode {
+					switch r := roundTrip(t, s.Address(), []string{"udp", "tcp"}[i%2], "ops.", c.Keys, m); r.Rcode {
 					case dns.RcodeSuccess:
 						out = "ok"
 					case dns.RcodeNXRrset:
@@ -67,13 +67,13 @@
 						return
 					}
 				case 2:
-					r := asked(t, s.Address(), "udp", "", nil, new(dns.Msg).SetQuestion("hooks.example.", dns.TypeA))
+					r := roundTrip(t, s.Address(), "udp", "", nil, new(dns.Msg).SetQuestion("hooks.example.", dns.TypeA))
 					out = r.Answer[0].(*dns.A).A.String()
 					last = out
 				case 3:
 					m := new(dns.Msg).SetAxfr("example.")
 					ring.Sign(m, "xfer.", time.Now().Unix())
-					ch, err := (&dns.Transfer{TsigProvider: ring, ReadTimeout: wait}).In(m, s.Address())
+					ch, err := (&dns.Transfer{TsigProvider: ring, ReadTimeout: testTimeout}).In(m, s.Address())
 					if err != nil {
 						t.Error(err)
 						return
@@ -84,7 +84,7 @@
 								out = a.A.String()
 							}
 						}
-						if e.Error != nil && strings.Contains(e.Error.Error(), "rcode") { // more transfers at once than are given
+						if e.Error != nil && strings.Contains(e.Error.Error(), "rcode") { // refused: too many concurrent transfers
 							out = "none"
 						}
 					}
@@ -102,19 +102,17 @@
 	if len(history) < 100 {
 		t.Fatalf("%d operations", len(history))
 	}
-	if result := porcupine.CheckOperationsTimeout(model, history, wait); result != porcupine.Ok {
+	if result := porcupine.CheckOperationsTimeout(model, history, testTimeout); result != porcupine.Ok {
 		t.Errorf("%d operations: %v", len(history), result)
 	}
-	// The checker can fail: one answer is another.
+	// The checker detects an inconsistent history: one answer is replaced by an address that was never set.
 	for i, o := range history {
 		if o.Input.(op).set == "" {
 			history[i].Output = "127.9.9.9"
 			break
 		}
 	}
-	if porcupine.CheckOperationsTimeout(model, history, wait) != porcupine.Illegal {
-		t.Error("a wrong history passes")
+	if porcupine.CheckOperationsTimeout(model, history, testTimeout) != porcupine.Illegal {
+		t.Error("the checker accepts an inconsistent history")
 	}
 }
-
-// ---- Those who do not mean well
--- a/internal/nameserver/keys.go
+++ b/internal/nameserver/keys.go
@@ -2,7 +2,7 @@
 
 import (
 	"crypto/hmac"
-	"crypto/sha1" //nolint:gosec // RFC 8945 6: HMAC-SHA1 is one that must be understood
+	"crypto/sha1" //nolint:gosec // RFC 8945 6 requires support of HMAC-SHA1
 	"crypto/sha256"
 	"crypto/sha512"
 	"encoding/base64"
@@ -27,9 +27,9 @@
 }
 
 const (
-	minSecretBytes  = 16 // bytes: RFC 8945 8 asks for as many as the digest; half of SHA-256's is the least taken
+	minSecretBytes  = 16 // RFC 8945 8 asks for the length of the digest; half of SHA-256's is the minimum here
 	maxKeys         = 1000
-	maxFudgeSeconds = 300 // seconds: RFC 8945 10's recommendation; a larger one in a message counts as this
+	maxFudgeSeconds = 300 // recommended by RFC 8945 10; bounds a larger fudge of a message
 )
 
 func hashOf(algorithm string) (func() hash.Hash, bool) {
@@ -48,8 +48,8 @@
 	return nil, false
 }
 
-// ReadKeys reads a file of keys: a line each, "NAME ALGORITHM SECRET", the secret in base64. Errors name file and line, and
-// no secret.
+// ReadKeys reads a key file: one key per line, "NAME ALGORITHM SECRET", the secret in base64. Errors name the file and the line, but
+// never a secret.
 func ReadKeys(path string) ([]Key, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -70,23 +70,23 @@
 			return &KeyFileError{Path: path, Line: i + 1, Detail: fmt.Sprintf(format, args...)}
 		}
 		if len(f) != 3 {
-			return nil, bad("a line is NAME ALGORITHM SECRET, this one has %d words", len(f))
+			return nil, bad("a line is NAME ALGORITHM SECRET, but this line has %d words", len(f))
 		}
 		if !zone.IsName(f[0]) {
-			return nil, bad("%q is no name", f[0])
+			return nil, bad("%q is not a domain name", f[0])
 		}
 		k := Key{Name: zone.Name(f[0]), Algorithm: zone.Name(f[1])}
 		if _, ok := hashOf(k.Algorithm); !ok {
-			return nil, bad("algorithm %q; there are hmac-sha1, -sha224, -sha256, -sha384 and -sha512", f[1])
+			return nil, bad("algorithm %q is not hmac-sha1, -sha224, -sha256, -sha384 or -sha512", f[1])
 		}
 		if k.secret = decodeSecret(f[2]); k.secret == nil {
-			return nil, bad("the secret is no base64")
+			return nil, bad("the secret is not valid base64")
 		}
 		if len(k.secret) < minSecretBytes {
-			return nil, bad("the secret has %d bytes; %d is the least", len(k.secret), minSecretBytes)
+			return nil, bad("the secret has %d bytes; the minimum is %d", len(k.secret), minSecretBytes)
 		}
 		if seen[k.Name] {
-			return nil, bad("key %s is there twice", k.Name)
+			return nil, bad("duplicate key %s", k.Name)
 		}
 		seen[k.Name] = true
 		if keys = append(keys, k); len(keys) > maxKeys {
@@ -96,7 +96,7 @@
 	return keys, nil
 }
 
-// Keyring has the TSIG keys in use, which may be replaced in service. It is safe for concurrent use.
+// Keyring is a set of TSIG keys that can be replaced while it is in use. It is safe for concurrent use.
 type Keyring struct {
 	keys atomic.Pointer[map[string]Key]
 }
@@ -108,7 +108,7 @@
 	return r
 }
 
-// Set replaces the keys; messages signed with any other are rejected from now on.
+// Set replaces the keys; messages signed with any other key are rejected from now on.
 func (r *Keyring) Set(keys []Key) {
 	m := make(map[string]Key, len(keys))
 	for _, k := range keys {
@@ -122,7 +122,7 @@
 	return k, ok
 }
 
-// Has reports whether there is a key of a name.
+// Has reports whether there is a key with a name.
 func (r *Keyring) Has(name string) bool {
 	_, ok := r.get(name)
 	return ok
@@ -142,10 +142,10 @@
 	return m.Sum(nil), nil
 }
 
-// Generate is dns.TsigProvider's.
+// Generate implements dns.TsigProvider.
 func (r *Keyring) Generate(msg []byte, t *dns.TSIG) ([]byte, error) { return r.mac(msg, t) }
 
-// Verify is dns.TsigProvider's. A truncated signature is none (RFC 8945 5.2.2.1 allows to refuse it).
+// Verify implements dns.TsigProvider. It rejects truncated signatures, as RFC 8945 5.2.2.1 allows.
 func (r *Keyring) Verify(msg []byte, t *dns.TSIG) error {
 	want, err := r.mac(msg, t)
 	if err != nil {
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// Sign adds a TSIG record for a key to a message, which is signed as it is sent. now is Unix seconds.
+// Sign adds a TSIG record for a key to a message; the signature is computed when the message is sent. now is the time in Unix seconds.
 func (r *Keyring) Sign(m *dns.Msg, name string, now int64) error {
 	k, ok := r.get(name)
 	if !ok {
--- a/internal/nameserver/listener.go
+++ b/internal/nameserver/listener.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// limitedListener is a listener with a bound on open connections. At the bound a connection is closed that was never answered, or else the
-// one that has been idle for longest; if all are active, the new one is closed.
+// limitedListener is a listener with a bound on open connections. At the bound a new connection replaces one that was never answered, or,
+// if there is none, the one that has been idle for longest. If all connections are active, the new one is closed.
 type limitedListener struct {
 	net.Listener
 	maxConns int
@@ -21,14 +21,14 @@
 type clientConn struct {
 	net.Conn
 	listener   *limitedListener
-	lastActive atomic.Int64 // Unix nanoseconds of when it came, or was last answered
+	lastActive atomic.Int64 // time of the accept or of the last answer, in Unix nanoseconds
 	answered   atomic.Bool
 }
 
-// minIdle is how long an answered connection must have been idle to be closed for another.
+// minIdle is how long an answered connection must have been idle before it may be replaced.
 const minIdle = time.Second
 
-// Accept is net.Listener's.
+// Accept implements net.Listener.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -44,7 +44,7 @@
 	}
 }
 
-// admit makes room for a connection; false if there is none to make.
+// admit adds a connection, in place of another one at the bound; false if all connections are active.
 func (l *limitedListener) admit(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,7 +60,7 @@
 	return true
 }
 
-// victim returns the connection to close first: one that was never answered before one that was, and of two the one idle for longer. The
+// victim returns the connection to replace first: unanswered connections come before answered ones, then the one idle for longest. The
 // caller holds mu.
 func (l *limitedListener) victim() *clientConn {
 	var victim *clientConn
@@ -81,7 +81,7 @@
 	}
 }
 
-// Write writes within tcpWriteTimeout, and notes that the client was answered.
+// Write writes within tcpWriteTimeout, and marks the connection as answered and active.
 func (c *clientConn) Write(p []byte) (int, error) {
 	c.SetWriteDeadline(time.Now().Add(tcpWriteTimeout))
 	n, err := c.Conn.Write(p)
@@ -90,7 +90,7 @@
 	return n, err
 }
 
-// Close closes the connection and makes room for another.
+// Close closes the connection and frees its slot in the listener.
 func (c *clientConn) Close() error {
 	c.listener.mu.Lock()
 	delete(c.listener.conns, c)
--- a/internal/nameserver/managed_zone.go
+++ b/internal/nameserver/managed_zone.go
@@ -19,44 +19,43 @@
 	writeAttempts   = 3
 )
 
-// managedZone is one zone with its store and its file. Changes are made one at a time, under mu; readers take the current version without
-// a lock.
+// managedZone is one zone with its store and its file. Changes are serialized by mu; readers load the current version without a lock.
 type managedZone struct {
 	config     *ZoneConfig
 	disk       disk
 	log        *slog.Logger
-	maxRecords int                            // records
-	onChange   func(names []string, all bool) // called with each change, once it is durable
+	maxRecords int                            // of the zone
+	onChange   func(names []string, all bool) // called after each change, once the change is durable
 
 	current atomic.Pointer[version]
 
 	mu           sync.Mutex
 	history      zone.History
-	store        *store // nil where the zone has no state but its file
+	store        *store // nil if the zone has no state except its file
 	fileBase     *zone.Zone
-	fileText     []byte // as the file was read or written last
+	fileText     []byte // text of the file when it was last read or written
 	wroteFile    bool   // fileText was written by this process, without $INCLUDE
-	fileBehind   bool   // updates are not written into the file yet
-	lastFault    string // of the file, as it was logged last
+	fileBehind   bool   // there are updates that are not written into the file yet
+	lastFault    string // the error of the file that was logged last
 	currentSince time.Time
 }
 
-// version is a version of a zone, as it is read without a lock.
+// version is an immutable version of a zone that is read without a lock.
 type version struct {
 	*zone.Zone // nil: the zone was never loaded
 	expired    bool
 }
 
-// zoneOptions are what all zones of a service have in common, and where each tells of its changes.
+// zoneOptions are the options that all zones of a service have in common, and the callback of each zone.
 type zoneOptions struct {
 	disk       disk
-	folder     string // of the stores
+	folder     string // folder of the stores
 	maxRecords int
 	log        *slog.Logger
-	onChange   func(names []string, all bool) // of each change, once it is durable
+	onChange   func(names []string, all bool) // called after each change, once the change is durable
 }
 
-// newManagedZone makes a zone with what an earlier process stored of it.
+// newManagedZone returns a zone with the state that an earlier process stored.
 func newManagedZone(c *ZoneConfig, o zoneOptions) *managedZone {
 	z := &managedZone{config: c, disk: o.disk, log: o.log.With("zone", c.Name), maxRecords: o.maxRecords, onChange: o.onChange,
 		history: zone.History{MaxVersions: historyVersions, MaxRecords: historyRecords}, currentSince: time.Now()}
@@ -67,15 +66,15 @@
 	return z
 }
 
-// restore opens the zone's store and takes up the version and the history in it.
+// restore opens the zone's store and loads the version and the history from it.
 func (z *managedZone) restore(folder string) {
 	s, stored, deltas, warn, err := openStore(z.disk, folder, z.config.Name)
 	z.store = s
 	if warn != nil {
-		z.log.Warn("the journal's truncated end, which was not answered, is left out", "err", warn)
+		z.log.Warn("the journal's truncated end is ignored; no change in it was acknowledged", "err", warn)
 	}
 	if err != nil {
-		z.log.Error("what an earlier process held can't be read; it is left as it is until the zone is had again", "err", err)
+		z.log.Error("the stored zone can't be read; its files are left unchanged until the zone is loaded again", "err", err)
 	}
 	if stored == nil {
 		return
@@ -88,12 +87,12 @@
 		return
 	}
 	if z.fileBase, err = s.readBase(); err != nil || z.fileBase == nil {
-		z.log.Warn("the last known version of the zone's file is missing: the file counts as edited by hand", "err", err)
+		z.log.Warn("the stored base version of the zone's file is missing; the file counts as manually edited", "err", err)
 		z.fileBase = stored
 	}
 }
 
-// publish makes a version the current one. The caller holds mu; the version is durable already, if the zone is stored.
+// publish makes a version the current one. The caller holds mu. If the zone has a store, the version must be durable already.
 func (z *managedZone) publish(next *zone.Zone, deltas []*zone.Delta, changed []string, all bool) {
 	for _, d := range deltas {
 		z.history.Add(d)
@@ -103,15 +102,16 @@
 	z.onChange(changed, all)
 }
 
-// update applies a signed update (RFC 2136). When it returns nil the change is durable. A *zone.Refusal tells why it is rejected.
+// update applies a signed update (RFC 2136). When it returns nil the change is durable. The error is a *zone.Refusal if the update is
+// rejected.
 func (z *managedZone) update(m *dns.Msg, grant *zone.Grant) error {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	held := z.current.Load()
-	if held.Zone == nil || z.config.Primary != "" {
-		return &zone.Refusal{Rcode: dns.RcodeServerFailure, Reason: "the zone is not held"}
+	current := z.current.Load()
+	if current.Zone == nil || z.config.Primary != "" {
+		return &zone.Refusal{Rcode: dns.RcodeServerFailure, Reason: "the zone is not loaded, or is a secondary zone"}
 	}
-	after, changed, err := held.Update(m, grant.Allows)
+	after, changed, err := current.Update(m, grant.Allows)
 	if err != nil || !changed {
 		return err
 	}
@@ -119,7 +119,7 @@
 		return &zone.Refusal{Rcode: dns.RcodeRefused, Reason: fmt.Sprintf("the zone would have more than %d records", z.maxRecords)}
 	}
 	touched := recordNames(m.Ns)
-	delta := zone.DiffNames(held.Zone, after, touched)
+	delta := zone.DiffNames(current.Zone, after, touched)
 	if err := z.change(delta, after, touched); err != nil {
 		z.log.Error("an update can't be journaled and is rejected", "err", err)
 		return &zone.Refusal{Rcode: dns.RcodeServerFailure, Reason: "the update can't be journalled"}
@@ -137,17 +137,17 @@
 	return nil
 }
 
-// replace adopts a primary's version: by differences, or, without them, in full.
+// replace adopts a version of the primary: it journals the differences or, without them, writes a snapshot.
 func (z *managedZone) replace(next *zone.Zone, deltas []*zone.Delta) error {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	held := z.current.Load()
+	current := z.current.Load()
 	if next.Records() > z.maxRecords {
 		return &TooManyRecordsError{Max: z.maxRecords, Zone: true}
 	}
-	if held.Zone == next {
+	if current.Zone == next {
 		z.current.Store(&version{Zone: next})
-		if held.expired {
+		if current.expired {
 			z.onChange(nil, true)
 		}
 		return nil
@@ -158,15 +158,15 @@
 		if err := z.store.snapshot(next); err != nil {
 			return err
 		}
-		if held.Zone != nil {
-			d := zone.Diff(held.Zone, next)
+		if current.Zone != nil {
+			d := zone.Diff(current.Zone, next)
 			if zone.NewerSerial(d.To, d.From) {
 				deltas = []*zone.Delta{d}
 			}
 			changed, all = recordNames(d.Removed, d.Added), false
 		}
 	} else {
-		at := held.Zone
+		at := current.Zone
 		for _, d := range deltas {
 			var err error
 			if at, err = at.Apply(d); err != nil {
@@ -178,16 +178,16 @@
 			changed = append(changed, recordNames(d.Removed, d.Added)...)
 		}
 	}
-	z.publish(next, deltas, changed, all || held.expired)
+	z.publish(next, deltas, changed, all || current.expired)
 	return nil
 }
 
-// expire makes the zone fail all queries (RFC 1034 4.3.5) until a transfer is complete.
+// expire makes the zone fail all queries (RFC 1034 4.3.5) until a transfer is complete or the primary confirms the version.
 func (z *managedZone) expire() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if held := z.current.Load(); held.Zone != nil && !held.expired {
-		z.current.Store(&version{held.Zone, true})
+	if current := z.current.Load(); current.Zone != nil && !current.expired {
+		z.current.Store(&version{current.Zone, true})
 		z.onChange(nil, true)
 	}
 }
@@ -209,7 +209,7 @@
 	return z.store.close()
 }
 
-// recordNames returns the names of records, each once, in their order.
+// recordNames returns the distinct names of records, in the order of their first records.
 func recordNames(rrs ...[]dns.RR) []string {
 	var out []string
 	seen := map[string]bool{}
--- a/internal/nameserver/members.go
+++ b/internal/nameserver/members.go
@@ -13,7 +13,7 @@
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-// zoneChanged notes that names of a zone have changed, or all of it.
+// zoneChanged records that some names of a zone have changed, or all.
 func (s *Service) zoneChanged(z *managedZone, names []string, all bool) {
 	s.mu.Lock()
 	if all || len(names) > maxChangedNames {
@@ -36,17 +36,17 @@
 	}
 }
 
-// maxChangedNames is how many changed names are looked up one by one; with more, all members are resolved again.
+// maxChangedNames bounds the changed names whose members are looked up; with more, all members are resolved again.
 const maxChangedNames = 50
 
-// markStale marks the members whose answers depend on a name that has changed. A name that comes or goes may also be a cut, a
-// wildcard, or the closest encloser that hides one (RFC 4592 3.3): those below it, or below a name between it and the
-// zone's origin, are asked again too. The caller holds mu.
+// markStale marks the members whose answers depend on a name that has changed. An added or removed name may also be a zone cut, a
+// wildcard, or a closest encloser that hides a wildcard (RFC 4592 3.3): members below the name, or below a name between it and the
+// zone's origin, are therefore marked too. The caller holds mu.
 func (s *Service) markStale(name, origin string) {
 	for i := range s.membersByName[name] {
 		s.staleMembers[i] = struct{}{}
 	}
-	if name == origin { // each version changes its SOA, which says nothing of others
+	if name == origin { // each version changes the SOA, which does not affect other names
 		return
 	}
 	top := name
@@ -58,7 +58,7 @@
 		}
 		up = up[off:]
 	}
-	if strings.HasPrefix(top, "*.") { // a wildcard at the origin itself speaks for all
+	if strings.HasPrefix(top, "*.") { // a wildcard directly below the origin may apply to any name of the zone
 		top = origin
 	}
 	for n, members := range s.membersByName {
@@ -72,7 +72,7 @@
 
 // resolveStale resolves the stale members and returns the targets that change. The caller holds mu.
 func (s *Service) resolveStale() []membership.Target {
-	var heard []membership.Observation
+	var observations []membership.Observation
 	for i := range s.staleMembers {
 		for _, n := range s.namesByMember[i] {
 			delete(s.membersByName[n], i)
@@ -80,19 +80,19 @@
 				delete(s.membersByName, n)
 			}
 		}
-		a, on := membership.Resolve(s.findZone, &s.config.Members[i])
-		s.namesByMember[i] = on
-		for _, n := range on {
+		a, names := membership.Resolve(s.findZone, &s.config.Members[i])
+		s.namesByMember[i] = names
+		for _, n := range names {
 			if s.membersByName[n] == nil {
 				s.membersByName[n] = map[int]struct{}{}
 			}
 			s.membersByName[n][i] = struct{}{}
 		}
-		heard = append(heard, membership.Observation{Member: i, Answer: a})
+		observations = append(observations, membership.Observation{Member: i, Answer: a})
 	}
 	clear(s.staleMembers)
-	slices.SortFunc(heard, func(a, b membership.Observation) int { return cmp.Compare(a.Member, b.Member) })
-	return s.follower.Step(s.now(), heard)
+	slices.SortFunc(observations, func(a, b membership.Observation) int { return cmp.Compare(a.Member, b.Member) })
+	return s.follower.Step(s.now(), observations)
 }
 
 // findZone returns the state of the zone that a name is in.
@@ -105,17 +105,17 @@
 	return membership.ZoneState{Zone: v.Zone, Expired: v.expired}, true
 }
 
-// Follow calls news with each change of endpoints, until ctx ends.
-func (s *Service) Follow(ctx context.Context, news func(membership.Update)) {
+// Follow calls onUpdate with each change of endpoints, until ctx ends.
+func (s *Service) Follow(ctx context.Context, onUpdate func(membership.Update)) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		lines := s.resolveStale()
+		targets := s.resolveStale()
 		next := s.follower.Next()
 		s.mu.Unlock()
-		if len(lines) > 0 {
-			news(membership.Update{Servers: lines})
+		if len(targets) > 0 {
+			onUpdate(membership.Update{Servers: targets})
 		}
 		timer.Reset(max(0, min(next-s.now(), time.Hour)))
 		select {
--- a/internal/nameserver/notify.go
+++ b/internal/nameserver/notify.go
@@ -17,8 +17,8 @@
 	notifyTimeout  = 2 * time.Second
 )
 
-// notifier sends NOTIFY (RFC 1996) to secondaries, each from a goroutine of its own. Changes during a NOTIFY are one further NOTIFY, as it
-// names the newest serial.
+// notifier sends NOTIFY (RFC 1996) to secondaries, with one goroutine for each secondary of each zone. Changes while a NOTIFY is being sent
+// are coalesced into one further NOTIFY, which has the newest serial.
 type notifier struct {
 	log   *slog.Logger
 	keys  *Keyring
@@ -62,12 +62,12 @@
 func (n *notifier) notify(z *managedZone, to string) {
 	pause := notifyBackoff
 	for try := range notifyAttempts {
-		held := z.current.Load()
-		if held.Zone == nil {
+		current := z.current.Load()
+		if current.Zone == nil {
 			return
 		}
 		m := new(dns.Msg).SetNotify(z.config.Name)
-		m.Answer = zone.CopyRecords([]dns.RR{held.SOA()})
+		m.Answer = zone.CopyRecords([]dns.RR{current.SOA()})
 		if z.config.NotifyKey != "" {
 			if err := n.keys.Sign(m, z.config.NotifyKey, time.Now().Unix()); err != nil {
 				n.log.Error("a secondary can't be notified", "zone", z.config.Name, "to", to, "err", err)
@@ -80,7 +80,7 @@
 			return
 		}
 		if try == notifyAttempts-1 {
-			n.log.Warn("a secondary could not be notified; it finds out by its refresh timer", "zone", z.config.Name, "to", to, "err", err)
+			n.log.Warn("a secondary could not be notified; it will detect the change by its refresh timer", "zone", z.config.Name, "to", to, "err", err)
 			return
 		}
 		select {
--- a/internal/nameserver/query.go
+++ b/internal/nameserver/query.go
@@ -35,19 +35,19 @@
 		r.Rcode = dns.RcodeRefused
 		return
 	}
-	held := z.current.Load()
-	if held.Zone == nil || held.expired {
+	current := z.current.Load()
+	if current.Zone == nil || current.expired {
 		r.Rcode = dns.RcodeServerFailure
 		return
 	}
-	a := held.Answer(q.Name, q.Qtype)
+	a := current.Answer(q.Name, q.Qtype)
 	r.Rcode, r.Authoritative = a.Rcode, a.Authority
 	r.Answer, r.Ns = zone.CopyRecords(a.Answer), zone.CopyRecords(a.Ns)
 	r.Extra = append(zone.CopyRecords(a.Additional), r.Extra...)
 }
 
-// fitUDP truncates an answer by UDP to what the client accepts, and, for an unsigned question, to maxAmplification times the question: a
-// forged source address gains little by it.
+// fitUDP truncates an answer by UDP to the size that the client accepts. For an unsigned question the answer is also at most
+// maxAmplification times as long as the question, which makes the server of little use for reflection attacks.
 func (s *server) fitUDP(m, r *dns.Msg, signed bool) {
 	size := dns.MinMsgSize
 	if opt := m.IsEdns0(); opt != nil {
@@ -60,7 +60,7 @@
 		size = min(size, max(minUDPBytes, maxAmplification*m.Len()))
 	}
 	r.Truncate(max(size, dns.MinMsgSize))
-	if r.Len() > size { // the library cuts to no less than 512 bytes
+	if r.Len() > size { // the library truncates to 512 bytes at least
 		r.Answer, r.Ns, r.Extra, r.Truncated = nil, nil, optOnly(r), true
 	}
 }
--- a/internal/nameserver/report.go
+++ b/internal/nameserver/report.go
@@ -6,14 +6,14 @@
 	"saffronyard.example/saffronyard/internal/membership"
 )
 
-// ZoneState is a zone as operators see it.
+// ZoneState is the state of a zone in a Report.
 type ZoneState struct {
 	Name    string `json:"name"`
 	From    string `json:"from"`
-	State   string `json:"state"` // held, expired, or never had
+	State   string `json:"state"` // "held", "expired", or "never had" for a zone that was never loaded
 	Serial  uint32 `json:"serial"`
 	Records int    `json:"records"`
-	ForMS   int64  `json:"for_ms"` // the version is held
+	ForMS   int64  `json:"for_ms"` // time since the version became current
 	Behind  bool   `json:"behind,omitempty"`
 	Fault   string `json:"fault,omitempty"`
 }
--- a/internal/nameserver/secondary.go
+++ b/internal/nameserver/secondary.go
@@ -12,13 +12,13 @@
 
 const (
 	queryTimeout    = 3 * time.Second  // of a query for the SOA
-	connectTimeout  = 3 * time.Second  // of a transfer's connection
+	connectTimeout  = 3 * time.Second  // of connecting for a transfer
 	messageTimeout  = 10 * time.Second // until the next message of a transfer
-	transferTimeout = time.Minute      // of a whole transfer
-	confirmInterval = 10 * time.Second // between two notes in the store that the primary confirmed the version
+	transferTimeout = time.Minute      // of a complete transfer
+	confirmInterval = 10 * time.Second // minimum time between two records in the store that the primary confirmed the version
 )
 
-// secondary keeps a secondary zone up to date with its primary; zone.Secondary decides when it asks what.
+// secondary keeps a secondary zone up to date with its primary; zone.Secondary decides when to send which request.
 type secondary struct {
 	zone   *managedZone
 	keys   *Keyring
@@ -30,7 +30,7 @@
 	return &secondary{zone: z, keys: keys, events: make(chan zone.SecondaryEvent, 16), clock: clock}
 }
 
-// notify passes a NOTIFY on. When many wait already it is dropped, as they say the same.
+// notify queues a NOTIFY. If the queue is full it is dropped, as those in the queue have the same effect.
 func (s *secondary) notify(serial uint32) {
 	select {
 	case s.events <- zone.SecondaryEvent{Notified: &serial}:
@@ -38,15 +38,15 @@
 	}
 }
 
-// run follows until ctx ends.
+// run keeps the zone up to date until ctx ends.
 func (s *secondary) run(ctx context.Context) {
-	rules := zone.Secondary{Bounds: zone.DefaultBounds()}
+	state := zone.Secondary{Bounds: zone.DefaultBounds()}
 	if s.zone.config.Bounds != nil {
-		rules.Bounds = *s.zone.config.Bounds
+		state.Bounds = *s.zone.config.Bounds
 	}
 	now := s.clock()
-	if held := s.zone.current.Load(); held.Zone != nil {
-		rules.Resume(now, held.SOA(), s.zone.store.age(time.Now()))
+	if current := s.zone.current.Load(); current.Zone != nil {
+		state.Resume(now, current.SOA(), s.zone.store.age(time.Now()))
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -62,16 +62,16 @@
 		case <-timer.C:
 		}
 		now = s.clock()
-		fails := rules.Failures()
-		for _, a := range rules.Step(now, e) {
+		failuresBefore := state.Failures()
+		for _, a := range state.Step(now, e) {
 			if a == zone.Expire {
-				s.zone.log.Error("the zone has expired: its primary has not been heard of for too long", "primary", s.zone.config.Primary)
+				s.zone.log.Error("the zone has expired: its primary did not confirm it in time", "primary", s.zone.config.Primary)
 				s.zone.expire()
 				continue
 			}
 			go func() { ended <- s.do(ctx, a) }()
 		}
-		if e.Serial != nil && s.zone.current.Load().expired && !rules.Expired() { // the primary says that it is good still
+		if e.Serial != nil && s.zone.current.Load().expired && !state.Expired() { // the primary confirmed the expired version
 			if err := s.zone.replace(s.zone.current.Load().Zone, nil); err != nil {
 				s.zone.log.Error("the primary's confirmation of an expired zone can't be adopted", "err", err)
 			}
@@ -82,14 +82,14 @@
 				s.zone.log.Warn("the primary's confirmation can't be recorded", "err", err)
 			}
 		}
-		if fails > 0 && rules.Failures() == 0 {
+		if failuresBefore > 0 && state.Failures() == 0 {
 			s.zone.log.Info("the primary answers again", "primary", s.zone.config.Primary)
 		}
-		timer.Reset(max(0, min(rules.Next()-s.clock(), time.Hour)))
+		timer.Reset(max(0, min(state.Next()-s.clock(), time.Hour)))
 	}
 }
 
-// do asks the primary and returns the result as an event.
+// do sends the request of an action to the primary and returns the result as an event.
 func (s *secondary) do(ctx context.Context, a zone.SecondaryAction) zone.SecondaryEvent {
 	failed := func(what string, err error) zone.SecondaryEvent {
 		if ctx.Err() == nil {
@@ -104,8 +104,8 @@
 		}
 		return zone.SecondaryEvent{Serial: &serial}
 	}
-	held := s.zone.current.Load()
-	before := held.Zone
+	current := s.zone.current.Load()
+	before := current.Zone
 	if a == zone.TransferFull {
 		before = nil
 	}
@@ -116,7 +116,7 @@
 		next, deltas, err = zone.FromTransfer(s.zone.config.Name, before, rrs)
 	}
 	if err != nil && a == zone.TransferIncremental && ctx.Err() == nil && (errors.Is(err, zone.ErrDeltaMismatch) || errors.Is(err, zone.ErrTransfer) || errors.Is(err, errNoIXFR)) {
-		s.zone.log.Warn("the primary's differences do not fit: a full transfer is requested", "primary", s.zone.config.Primary, "err", err)
+		s.zone.log.Warn("the primary's differences can't be applied; a full transfer is requested", "primary", s.zone.config.Primary, "err", err)
 		return zone.SecondaryEvent{DeltaRejected: true}
 	}
 	if err == nil {
@@ -136,7 +136,7 @@
 	return s.keys.Sign(m, s.zone.config.Key, time.Now().Unix())
 }
 
-// serial asks for the SOA: by UDP, and if the answer is cut off by TCP.
+// serial queries the SOA by UDP, and by TCP if the answer is truncated, and returns its serial.
 func (s *secondary) serial(ctx context.Context) (uint32, error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
--- a/internal/nameserver/secondary_test.go
+++ b/internal/nameserver/secondary_test.go
@@ -17,20 +17,20 @@
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-// liar is a primary whose answers a test writes: transfer gives the messages of an answer, each as it goes on the wire,
-// from the question and its signature.
-type liar struct {
+// fakePrimary is a primary whose answers are set by a test. transfer writes the messages of the answer to a transfer request to the
+// connection.
+type fakePrimary struct {
 	t    *testing.T
 	addr string
 	keys *Keyring
 
 	mu       sync.Mutex
-	serial   func(q *dns.Msg) *dns.Msg // answers to questions for the SOA; nil: none comes
+	serial   func(q *dns.Msg) *dns.Msg // answers queries for the SOA; nil: no answer is sent
 	transfer func(q *dns.Msg, c net.Conn)
-	asked    chan string // the types of questions, as they come
+	requests chan string // the types of received requests
 }
 
-func newLiar(t *testing.T, keys []Key) *liar {
+func newFakePrimary(t *testing.T, keys []Key) *fakePrimary {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p2 := &liar{t: t, addr: l.Addr().String(), keys: NewKeyring(keys), asked: make(chan string, 10_000)}
+	primary := &fakePrimary{t: t, addr: l.Addr().String(), keys: NewKeyring(keys), requests: make(chan string, 10_000)}
 	t.Cleanup(func() { l.Close(); p.Close() })
 	go func() {
 		for {
@@ -48,7 +48,7 @@
 			if err != nil {
 				return
 			}
-			go p2.serve(c)
+			go primary.serve(c)
 		}
 	}()
 	go func() {
@@ -62,25 +62,25 @@
 			if q.Unpack(b[:n]) != nil {
 				continue
 			}
-			p2.asked <- "SOA"
-			p2.mu.Lock()
-			answer := p2.serial
-			p2.mu.Unlock()
+			primary.requests <- "SOA"
+			primary.mu.Lock()
+			answer := primary.serial
+			primary.mu.Unlock()
 			if answer == nil {
 				continue
 			}
 			if r := answer(q); r != nil {
-				if raw := p2.packed(r, q); raw != nil {
+				if raw := primary.pack(r, q); raw != nil {
 					p.WriteTo(raw, from)
 				}
 			}
 		}
 	}()
-	return p2
+	return primary
 }
 
-// packed is an answer on the wire, signed if the question is and the answer says so.
-func (l *liar) packed(r, q *dns.Msg) []byte {
+// pack returns an answer in wire format, signed if both the request and the answer have a TSIG record.
+func (l *fakePrimary) pack(r, q *dns.Msg) []byte {
 	if r.IsTsig() != nil && q.IsTsig() != nil {
 		raw, _, err := dns.TsigGenerateWithProvider(r, l.keys, q.IsTsig().MAC, false)
 		if err != nil {
@@ -95,7 +95,7 @@
 	return raw
 }
 
-func (l *liar) serve(c net.Conn) {
+func (l *fakePrimary) serve(c net.Conn) {
 	defer c.Close()
 	for {
 		var size [2]byte
@@ -111,13 +111,13 @@
 			return
 		}
 		kind := dns.Type(q.Question[0].Qtype).String()
-		l.asked <- kind
+		l.requests <- kind
 		l.mu.Lock()
 		transfer, serial := l.transfer, l.serial
 		l.mu.Unlock()
 		if kind == "SOA" {
 			if serial != nil {
-				send(c, l.packed(serial(q), q))
+				send(c, l.pack(serial(q), q))
 			}
 			continue
 		}
@@ -130,15 +130,16 @@
 	c.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(raw))), raw...))
 }
 
-// gives sets what it answers: a serial, and records in messages of so many, of which the last ones are left out.
-func (l *liar) gives(serial uint32, rrs []dns.RR, each, without int, sign bool) {
+// setAnswers sets the answers: the serial of the SOA, and for a transfer rrs without the last omit records, with perMessage records in a
+// message.
+func (l *fakePrimary) setAnswers(serial uint32, rrs []dns.RR, perMessage, omit int, sign bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.give(serial, rrs, each, without, sign)
+	l.setAnswersLocked(serial, rrs, perMessage, omit, sign)
 }
 
-// give is gives for who holds mu.
-func (l *liar) give(serial uint32, rrs []dns.RR, each, without int, sign bool) {
+// setAnswersLocked is setAnswers for callers that hold mu.
+func (l *fakePrimary) setAnswersLocked(serial uint32, rrs []dns.RR, perMessage, omit int, sign bool) {
 	mark := func(r *dns.Msg) *dns.Msg {
 		if sign {
 			r.SetTsig("xfer.", dns.HmacSHA512, 300, time.Now().Unix())
@@ -156,8 +157,8 @@
 			mac = q.IsTsig().MAC
 		}
 		first := true
-		for list := rrs[:len(rrs)-without]; len(list) > 0; first = false {
-			n := min(each, len(list))
+		for list := rrs[:len(rrs)-omit]; len(list) > 0; first = false {
+			n := min(perMessage, len(list))
 			r := mark(new(dns.Msg).SetReply(q))
 			r.Answer, list = list[:n], list[n:]
 			var raw []byte
@@ -175,18 +176,18 @@
 	}
 }
 
-// until waits for a question of a type.
-func (l *liar) until(kind string) {
+// waitForRequest waits for a request of a type.
+func (l *fakePrimary) waitForRequest(kind string) {
 	l.t.Helper()
-	over := time.After(wait)
+	over := time.After(testTimeout)
 	for {
 		select {
-		case k := <-l.asked:
+		case k := <-l.requests:
 			if k == kind {
 				return
 			}
 		case <-over:
-			l.t.Fatalf("no question for %s came", kind)
+			l.t.Fatalf("no request of type %s was received", kind)
 		}
 	}
 }
@@ -197,76 +198,78 @@
 
 func fullTransfer(z *zone.Zone) []dns.RR { return append(z.List(), z.SOA()) }
 
-// A primary that lies, is late, cuts transfers short, answers old serials, signs wrongly or not at all, truncates: members
-// stay where they were, and follow when it is sound again.
-func TestSecondary_LyingPrimary(t *testing.T) {
-	keys := usualKeys(t)
-	good, moved := zoneAt(t, 10, "127.0.0.2"), zoneAt(t, 20, "127.0.0.3")
-	evil := zoneAt(t, 20, "127.0.0.66")
+// A primary with invalid answers, such as truncated transfers, old serials, wrong signatures or none, does not change the endpoints of
+// members. They follow once its answers are valid again.
+func TestSecondary_FaultyPrimary(t *testing.T) {
+	keys := testKeys(t)
+	good, later := zoneAt(t, 10, "127.0.0.2"), zoneAt(t, 20, "127.0.0.3")
+	forged := zoneAt(t, 20, "127.0.0.66")
 	fast := zone.Bounds{MinRefresh: 30 * time.Millisecond, MaxRefresh: 30 * time.Millisecond, MinRetry: 30 * time.Millisecond, MaxRetry: 30 * time.Millisecond, MinExpire: time.Hour}
-	wrong := keysOf(t, "xfer. hmac-sha512 "+secret("another"))
-	for name, lie := range map[string]struct {
-		kind string // of the question after which it has had its effect, twice
-		do   func(l *liar)
+	wrong := mustParseKeys(t, "xfer. hmac-sha512 "+secret("another"))
+	for name, fault := range map[string]struct {
+		kind string // the type of request that must be received twice to show that the first answer was processed
+		do   func(l *fakePrimary)
 	}{
-		"cut short":               {"IXFR", func(l *liar) { l.give(20, fullTransfer(evil), 2, 1, true) }},
-		"nothing but its SOA":     {"IXFR", func(l *liar) { l.give(20, fullTransfer(evil)[:1], 1, 0, true) }},
-		"an old serial":           {"SOA", func(l *liar) { l.give(9, fullTransfer(evil), 2, 0, true) }},
-		"a zone without SOA":      {"IXFR", func(l *liar) { l.give(20, evil.List()[1:], 2, 0, true) }},
-		"signed with another key": {"SOA", func(l *liar) { l.keys.Set(wrong); l.give(20, fullTransfer(evil), 2, 0, true) }},
-		"not signed":              {"SOA", func(l *liar) { l.give(20, fullTransfer(evil), 2, 0, false) }},
-		"a transfer not signed": {"IXFR", func(l *liar) {
-			l.give(20, fullTransfer(evil), 2, 0, false)
+		"cut short":               {"IXFR", func(l *fakePrimary) { l.setAnswersLocked(20, fullTransfer(forged), 2, 1, true) }},
+		"a single SOA":            {"IXFR", func(l *fakePrimary) { l.setAnswersLocked(20, fullTransfer(forged)[:1], 1, 0, true) }},
+		"an old serial":           {"SOA", func(l *fakePrimary) { l.setAnswersLocked(9, fullTransfer(forged), 2, 0, true) }},
+		"a zone without SOA":      {"IXFR", func(l *fakePrimary) { l.setAnswersLocked(20, forged.List()[1:], 2, 0, true) }},
+		"signed with another key": {"SOA", func(l *fakePrimary) { l.keys.Set(wrong); l.setAnswersLocked(20, fullTransfer(forged), 2, 0, true) }},
+		"not signed":              {"SOA", func(l *fakePrimary) { l.setAnswersLocked(20, fullTransfer(forged), 2, 0, false) }},
+		"a transfer not signed": {"IXFR", func(l *fakePrimary) {
+			l.setAnswersLocked(20, fullTransfer(forged), 2, 0, false)
 			unsigned := l.transfer
-			l.give(20, fullTransfer(evil), 2, 0, true)
+			l.setAnswersLocked(20, fullTransfer(forged), 2, 0, true)
 			l.transfer = unsigned
 		}},
-		"another zone": {"AXFR", func(l *liar) { l.give(20, []dns.RR{other(t), other(t)}, 2, 0, true) }},
-		"records outside of it": {"IXFR", func(l *liar) {
-			l.give(20, append([]dns.RR{evil.SOA(), rrOf(t, "x.other. 1 IN A 127.0.0.66")}, evil.SOA()), 9, 0, true)
+		"another zone": {"AXFR", func(l *fakePrimary) { l.setAnswersLocked(20, []dns.RR{other(t), other(t)}, 2, 0, true) }},
+		"records outside of the zone": {"IXFR", func(l *fakePrimary) {
+			l.setAnswersLocked(20, append([]dns.RR{forged.SOA(), rrOf(t, "x.other. 1 IN A 127.0.0.66")}, forged.SOA()), 9, 0, true)
 		}},
-		"more behind its end": {"AXFR", func(l *liar) { l.give(20, slices.Concat(fullTransfer(evil)[:3], fullTransfer(evil)), 100, 0, true) }},
-		"differences that do not fit": {"AXFR", func(l *liar) {
-			l.give(20, []dns.RR{evil.SOA(), good.SOA(), rrOf(t, "gone.example. 1 IN A 127.0.0.66"), evil.SOA(), evil.SOA()}, 9, 0, true)
+		"records after its end": {"AXFR", func(l *fakePrimary) {
+			l.setAnswersLocked(20, slices.Concat(fullTransfer(forged)[:3], fullTransfer(forged)), 100, 0, true)
 		}},
-		"it refuses": {"SOA", func(l *liar) {
-			l.give(20, fullTransfer(evil), 2, 0, true)
+		"differences that do not apply": {"AXFR", func(l *fakePrimary) {
+			l.setAnswersLocked(20, []dns.RR{forged.SOA(), good.SOA(), rrOf(t, "gone.example. 1 IN A 127.0.0.66"), forged.SOA(), forged.SOA()}, 9, 0, true)
+		}},
+		"it refuses": {"SOA", func(l *fakePrimary) {
+			l.setAnswersLocked(20, fullTransfer(forged), 2, 0, true)
 			l.serial = func(q *dns.Msg) *dns.Msg {
 				r := new(dns.Msg).SetRcode(q, dns.RcodeRefused)
 				r.SetTsig("xfer.", dns.HmacSHA512, 300, time.Now().Unix())
 				return r
 			}
 		}},
-		"rubbish": {"IXFR", func(l *liar) {
-			l.give(20, fullTransfer(evil), 2, 0, true)
+		"rubbish": {"IXFR", func(l *fakePrimary) {
+			l.setAnswersLocked(20, fullTransfer(forged), 2, 0, true)
 			l.transfer = func(_ *dns.Msg, c net.Conn) { c.Write([]byte(strings.Repeat("\x01\xff", 500))) }
 		}},
-		"it closes at once": {"IXFR", func(l *liar) {
-			l.give(20, fullTransfer(evil), 2, 0, true)
+		"it closes at once": {"IXFR", func(l *fakePrimary) {
+			l.setAnswersLocked(20, fullTransfer(forged), 2, 0, true)
 			l.transfer = func(_ *dns.Msg, c net.Conn) {}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := newLiar(t, keys)
-			l.gives(10, fullTransfer(good), 100, 0, true)
-			s := begun(t, &Config{Folder: t.TempDir(), Keys: keys, Spans: membership.DefaultFollowerConfig(),
+			l := newFakePrimary(t, keys)
+			l.setAnswers(10, fullTransfer(good), 100, 0, true)
+			s := startService(t, &Config{Folder: t.TempDir(), Keys: keys, Spans: membership.DefaultFollowerConfig(),
 				Zones:   []ZoneConfig{{Name: "example.", Primary: l.addr, Key: "xfer.", Bounds: &fast}},
 				Members: []membership.Member{{Destination: 7, Name: "hooks.example.", Port: 80, Weight: 1}}})
-			f := following(t, s)
-			f.until(t, "127.0.0.2")
+			f := recordEndpoints(t, s)
+			f.waitForServing(t, "127.0.0.2")
 			l.mu.Lock()
-			lie.do(l)
+			fault.do(l)
 			l.mu.Unlock()
-			for len(l.asked) > 0 {
-				<-l.asked
+			for len(l.requests) > 0 {
+				<-l.requests
 			}
-			l.until(lie.kind)
-			l.until(lie.kind) // what the first one got has had its effect
-			f.until(t, "127.0.0.2")
+			l.waitForRequest(fault.kind)
+			l.waitForRequest(fault.kind) // the answer to the first request has been processed
+			f.waitForServing(t, "127.0.0.2")
 			l.keys.Set(keys)
-			l.gives(30, fullTransfer(moved.WithSerial(30)), 2, 0, true)
-			f.until(t, "127.0.0.3")
+			l.setAnswers(30, fullTransfer(later.WithSerial(30)), 2, 0, true)
+			f.waitForServing(t, "127.0.0.3")
 		})
 	}
 }
@@ -282,44 +285,44 @@
 	return rr
 }
 
-// A primary that is never there: the destination waits; one that truncates its answer by UDP is asked by TCP; one that falls
-// silent for longer than the zone may be served: members keep their addresses, questions are answered SERVFAIL.
+// A destination has no endpoints until the first transfer from its primary. A truncated answer by UDP is retried by TCP. When the primary
+// does not answer until the zone expires, members keep their addresses and queries are answered SERVFAIL.
 func TestSecondary_AbsentPrimary(t *testing.T) {
-	l := newLiar(t, nil)
+	l := newFakePrimary(t, nil)
 	fast := zone.Bounds{MinRefresh: 20 * time.Millisecond, MaxRefresh: 20 * time.Millisecond, MinRetry: 20 * time.Millisecond, MaxRetry: 20 * time.Millisecond, MinExpire: 300 * time.Millisecond}
 	l.mu.Lock()
 	l.transfer = func(_ *dns.Msg, c net.Conn) {}
 	l.mu.Unlock()
 	z := parseZone(t, strings.Replace(zoneText, "60 10 300 60", "1 1 0 1", 1))
-	s := begun(t, &Config{Listen: "127.0.0.1:0", Folder: t.TempDir(), Spans: membership.DefaultFollowerConfig(),
+	s := startService(t, &Config{Listen: "127.0.0.1:0", Folder: t.TempDir(), Spans: membership.DefaultFollowerConfig(),
 		Zones:   []ZoneConfig{{Name: "example.", Primary: l.addr, Bounds: &fast}},
 		Members: []membership.Member{{Destination: 7, Name: "hooks.example.", Port: 80, Weight: 1}}})
 	if got := s.Report().Members[0]; got.Answer != "time-out" || len(s.Initial().Servers) > 0 {
 		t.Errorf("%+v", got)
 	}
-	f := following(t, s)
-	l.until("AXFR")
-	l.until("AXFR")
-	l.gives(10, fullTransfer(z), 100, 0, false)
-	f.until(t, "127.0.0.2")
+	f := recordEndpoints(t, s)
+	l.waitForRequest("AXFR")
+	l.waitForRequest("AXFR")
+	l.setAnswers(10, fullTransfer(z), 100, 0, false)
+	f.waitForServing(t, "127.0.0.2")
 	l.mu.Lock()
-	sound := l.serial
+	valid := l.serial
 	l.mu.Unlock()
-	cut := func(q *dns.Msg) *dns.Msg {
-		r := sound(q)
+	truncated := func(q *dns.Msg) *dns.Msg {
+		r := valid(q)
 		r.Truncated = true
 		return r
 	}
 	l.mu.Lock()
-	l.serial = cut
+	l.serial = truncated
 	l.mu.Unlock()
-	l.until("SOA")
+	l.waitForRequest("SOA")
 	l.mu.Lock()
-	l.serial = nil // and then silence
+	l.serial = nil // no answers from now on
 	l.mu.Unlock()
 	expired := func(want bool) {
 		t.Helper()
-		over := time.After(wait)
+		over := time.After(testTimeout)
 		for s.zones["example."].current.Load().expired != want {
 			select {
 			case <-over:
@@ -329,38 +332,38 @@
 		}
 	}
 	expired(true)
-	if r := asked(t, s.Address(), "udp", "", nil, new(dns.Msg).SetQuestion("hooks.example.", dns.TypeA)); r.Rcode != dns.RcodeServerFailure {
+	if r := roundTrip(t, s.Address(), "udp", "", nil, new(dns.Msg).SetQuestion("hooks.example.", dns.TypeA)); r.Rcode != dns.RcodeServerFailure {
 		t.Error(r)
 	}
-	f.until(t, "127.0.0.2")
+	f.waitForServing(t, "127.0.0.2")
 	if got := s.Report(); got.Members[0].Answer != "SERVFAIL" || !got.Members[0].Retained || got.Zones[0].State != "expired" {
 		t.Errorf("%+v", got)
 	}
-	l.gives(10, fullTransfer(z), 100, 0, false)
+	l.setAnswers(10, fullTransfer(z), 100, 0, false)
 	expired(false)
-	f.until(t, "127.0.0.2")
+	f.waitForServing(t, "127.0.0.2")
 }
 
-// A NOTIFY counts from the primary only, and has the zone asked for at once.
+// A NOTIFY is accepted only from the primary, and triggers a refresh at once.
 func TestNotifier(t *testing.T) {
-	keys := usualKeys(t)
-	l := newLiar(t, keys)
-	l.gives(10, fullTransfer(zoneAt(t, 10, "127.0.0.2")), 100, 0, true)
+	keys := testKeys(t)
+	l := newFakePrimary(t, keys)
+	l.setAnswers(10, fullTransfer(zoneAt(t, 10, "127.0.0.2")), 100, 0, true)
 	slow := zone.DefaultBounds()
 	slow.MinRefresh = time.Minute
-	s := begun(t, &Config{Listen: "127.0.0.1:0", Folder: t.TempDir(), Keys: keys, Spans: membership.DefaultFollowerConfig(),
+	s := startService(t, &Config{Listen: "127.0.0.1:0", Folder: t.TempDir(), Keys: keys, Spans: membership.DefaultFollowerConfig(),
 		Zones:   []ZoneConfig{{Name: "example.", Primary: l.addr, Key: "xfer.", Bounds: &slow}},
 		Members: []membership.Member{{Destination: 7, Name: "hooks.example.", Port: 80, Weight: 1}}})
-	f := following(t, s)
-	f.until(t, "127.0.0.2")
-	l.gives(20, fullTransfer(zoneAt(t, 20, "127.0.0.3")), 100, 0, true)
+	f := recordEndpoints(t, s)
+	f.waitForServing(t, "127.0.0.2")
+	l.setAnswers(20, fullTransfer(zoneAt(t, 20, "127.0.0.3")), 100, 0, true)
 	for key, want := range map[string]int{"": dns.RcodeRefused, "ops.": dns.RcodeRefused, "xfer.": dns.RcodeSuccess} {
-		if r := asked(t, s.Address(), "udp", key, keys, new(dns.Msg).SetNotify("example.")); r.Rcode != want {
+		if r := roundTrip(t, s.Address(), "udp", key, keys, new(dns.Msg).SetNotify("example.")); r.Rcode != want {
 			t.Errorf("key %q: %v", key, r)
 		}
 	}
-	if r := asked(t, s.Address(), "udp", "xfer.", keys, new(dns.Msg).SetNotify("other.")); r.Rcode != dns.RcodeNotAuth {
+	if r := roundTrip(t, s.Address(), "udp", "xfer.", keys, new(dns.Msg).SetNotify("other.")); r.Rcode != dns.RcodeNotAuth {
 		t.Error(r)
 	}
-	f.until(t, "127.0.0.3")
+	f.waitForServing(t, "127.0.0.3")
 }
--- a/internal/nameserver/server.go
+++ b/internal/nameserver/server.go
@@ -16,19 +16,19 @@
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-// What one client may cost.
+// Bounds on the resources that clients can use.
 const (
-	maxTCPConns        = 256             // connections
+	maxTCPConns        = 256             // open connections
 	tcpReadTimeout     = 2 * time.Second // until the first message of a connection
 	tcpIdleTimeout     = 8 * time.Second // until the next message
-	maxTCPQueries      = 10_000          // on one connection
+	maxTCPQueries      = 10_000          // messages on one connection
 	tcpWriteTimeout    = 5 * time.Second // until an answer is written
-	maxUDPConcurrent   = 64              // messages at once; more are dropped
+	maxUDPConcurrent   = 64              // concurrent messages; more are dropped
 	maxUDPBytes        = 1232            // bytes of an answer: it fits any path unfragmented
-	maxAmplification   = 4               // of an unsigned question's size, in bytes of its answer
+	maxAmplification   = 4               // ratio of the sizes of an answer and its unsigned question
 	tsigBytes          = 160             // bytes reserved for an answer's TSIG
-	minUDPBytes        = 64              // bytes; enough to say that the answer is truncated
-	maxTransfers       = 4               // at once
+	minUDPBytes        = 64              // bytes that an answer may always have: enough for a truncated answer
+	maxTransfers       = 4               // concurrent transfers
 	maxReplays         = 10_000          // signatures remembered against replay
 	transferChunkBytes = 16 << 10        // bytes in one message of a transfer
 )
@@ -53,15 +53,15 @@
 	done   sync.WaitGroup
 }
 
-// hostedZone is a zone with who may change and transfer it.
+// hostedZone is a zone with its access rules: which keys may change and transfer it.
 type hostedZone struct {
 	*managedZone
-	transferKeys map[string]bool        // that may transfer it
-	grants       map[string]*zone.Grant // by key: what it may change
+	transferKeys map[string]bool        // keys that may transfer the zone
+	grants       map[string]*zone.Grant // by key: the names and types that it may change
 	secondary    *secondary             // nil without a primary
 }
 
-// counters are for operators.
+// counters are the totals that Report returns.
 type counters struct {
 	queries, updates, refused, notifies, transfers, dropped atomic.Int64
 }
@@ -71,7 +71,7 @@
 		transfers: make(chan struct{}, maxTransfers), replays: zone.Replays{MaxEntries: maxReplays}}
 }
 
-// listen starts to answer at an address, by UDP and TCP on the same port.
+// listen starts serving at an address, by UDP and TCP on the same port.
 func (s *server) listen(addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -92,11 +92,11 @@
 		go func() {
 			defer s.done.Done()
 			if err := one.ActivateAndServe(); err != nil {
-				s.log.Error("the name server has ended", "err", err)
+				s.log.Error("the name server has stopped", "err", err)
 			}
 		}()
 	}
-	<-started // Shutdown before that would find no server
+	<-started // wait until both run, as Shutdown fails on a server that has not started
 	<-started
 	return nil
 }
@@ -120,7 +120,8 @@
 	return err
 }
 
-// accept decides by a message's header whether to read it. Counts are bounded by the message itself: what is announced and not there can't be read.
+// accept decides by a message's header whether to unpack the message. The counts of an update need no bound: no more records are unpacked
+// than the message contains.
 func accept(h dns.Header) dns.MsgAcceptAction {
 	const qr = 1 << 15
 	if h.Bits&qr != 0 {
@@ -155,12 +156,12 @@
 
 // serve answers one message.
 func (s *server) serve(w dns.ResponseWriter, m *dns.Msg, udp bool) {
-	defer func() { // whoever can send a message must not be able to end the sender
+	defer func() { // a message from the network must not be able to crash the sender
 		if p := recover(); p != nil {
-			s.log.Error("a message can't be answered", "from", w.RemoteAddr().String(), "panic", p, "stack", string(debug.Stack()))
+			s.log.Error("answering a message panicked", "from", w.RemoteAddr().String(), "panic", p, "stack", string(debug.Stack()))
 		}
 	}()
-	if len(m.Question) != 1 { // one is announced; the library takes a message that ends before it
+	if len(m.Question) != 1 { // the header has a count of 1, but the library accepts a message that ends before the question
 		w.WriteMsg(new(dns.Msg).SetRcodeFormatError(m))
 		return
 	}
--- a/internal/nameserver/server_test.go
+++ b/internal/nameserver/server_test.go
@@ -12,17 +12,17 @@
 	"github.com/miekg/dns"
 )
 
-// An answer to an unsigned question by UDP is no longer than a few times the question.
+// An answer to an unsigned question by UDP is at most maxAmplification times as long as the question, or minUDPBytes if that is more.
 func TestServer_DoesNotAmplify(t *testing.T) {
-	c := updated(t, t.TempDir())
+	c := testConfig(t, t.TempDir())
 	var text strings.Builder
 	text.WriteString(zoneText)
 	for i := range 100 {
 		fmt.Fprintf(&text, "big 300 IN TXT \"%d %s\"\n", i, strings.Repeat("t", 100))
 		fmt.Fprintf(&text, "some 300 IN A 127.0.3.%d\n", i%20)
 	}
-	put(t, c.Zones[0].File, text.String())
-	s := begun(t, c)
+	replaceFile(t, c.Zones[0].File, text.String())
+	s := startService(t, c)
 	for _, kind := range []uint16{dns.TypeTXT, dns.TypeANY, dns.TypeA, dns.TypeIXFR, dns.TypeAXFR} {
 		for _, name := range []string{"big.example.", "some.example.", "example.", "nope.example."} {
 			for _, edns := range []uint16{0, 512, 4096, 65535} {
@@ -39,7 +39,7 @@
 					t.Fatal(err)
 				}
 				conn.Write(raw)
-				conn.SetReadDeadline(time.Now().Add(wait))
+				conn.SetReadDeadline(time.Now().Add(testTimeout))
 				b := make([]byte, 1<<16)
 				n, err := conn.Read(b)
 				conn.Close()
@@ -54,23 +54,24 @@
 					t.Fatal(err)
 				}
 				if kind == dns.TypeTXT && name == "big.example." && !r.Truncated {
-					t.Error("it is not said that the answer is cut off")
+					t.Error("the answer is truncated without the TC bit")
 				}
 			}
 		}
 	}
-	if r := asked(t, s.Address(), "tcp", "", nil, new(dns.Msg).SetQuestion("big.example.", dns.TypeTXT)); len(r.Answer) != 100 {
+	if r := roundTrip(t, s.Address(), "tcp", "", nil, new(dns.Msg).SetQuestion("big.example.", dns.TypeTXT)); len(r.Answer) != 100 {
 		t.Errorf("by TCP %d records", len(r.Answer))
 	}
 }
 
-// Connections that say nothing, or half a message, and floods: who asks is answered still, and no more is held than stated.
+// Idle connections, incomplete messages and floods of malformed messages do not prevent answers to valid clients, and the bound on open
+// connections holds.
 func TestServer_Floods(t *testing.T) {
-	c := updated(t, t.TempDir())
-	s := begun(t, c)
+	c := testConfig(t, t.TempDir())
+	s := startService(t, c)
 	question := func(network string) {
 		t.Helper()
-		if r := asked(t, s.Address(), network, "", nil, new(dns.Msg).SetQuestion("hooks.example.", dns.TypeA)); len(r.Answer) != 1 {
+		if r := roundTrip(t, s.Address(), network, "", nil, new(dns.Msg).SetQuestion("hooks.example.", dns.TypeA)); len(r.Answer) != 1 {
 			t.Fatal(r)
 		}
 	}
@@ -87,17 +88,17 @@
 		}
 		conns = append(conns, conn)
 		if i%2 == 0 {
-			conn.Write([]byte{0xff, 0xff, 1, 2, 3}) // 64 KiB are announced
+			conn.Write([]byte{0xff, 0xff, 1, 2, 3}) // the length prefix says 65,535 bytes
 		}
 		if i%100 == 99 {
 			question("tcp")
 		}
 	}
 	s.server.listener.mu.Lock()
-	held := len(s.server.listener.conns)
+	open := len(s.server.listener.conns)
 	s.server.listener.mu.Unlock()
-	if held > maxTCPConns {
-		t.Errorf("%d connections are held", held)
+	if open > maxTCPConns {
+		t.Errorf("%d connections are open, more than maxTCPConns", open)
 	}
 	flood, err := net.Dial("udp", s.Address())
 	if err != nil {
@@ -110,15 +111,15 @@
 		switch i % 4 {
 		case 0:
 			b = b[:i%len(raw)]
-		case 1: // a name that points to itself
+		case 1: // a compression pointer to itself
 			b = append(b[:12], 0xc0, 12, 0, 1, 0, 1)
-		case 2: // counts of what is not there
+		case 2: // counts of records that the message does not contain
 			b[6], b[7], b[8], b[9] = 0xff, 0xff, 0xff, 0xff
 		}
 		flood.Write(b)
 	}
 	var r *dns.Msg
-	for range 20 { // a question by UDP may be lost in a flood, as any
+	for range 20 { // any question by UDP may be dropped during a flood
 		if r, _, err = (&dns.Client{Timeout: time.Second}).Exchange(new(dns.Msg).SetQuestion("hooks.example.", dns.TypeA), s.Address()); err == nil {
 			break
 		}
@@ -129,38 +130,38 @@
 	question("tcp")
 }
 
-// writer takes answers in place of a socket, and verifies as the server would.
-type writer struct {
+// responseRecorder is a dns.ResponseWriter that counts answers; status is the result of verifying the request's TSIG.
+type responseRecorder struct {
 	status error
 	sent   int
 }
 
-func (w *writer) LocalAddr() net.Addr { return &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)} }
+func (w *responseRecorder) LocalAddr() net.Addr { return &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-func (w *writer) RemoteAddr() net.Addr { return &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)} }
+func (w *responseRecorder) RemoteAddr() net.Addr { return &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-func (w *writer) WriteMsg(m *dns.Msg) error { _, err := m.Pack(); w.sent++; return err }
+func (w *responseRecorder) WriteMsg(m *dns.Msg) error { _, err := m.Pack(); w.sent++; return err }
 
-func (w *writer) Write(b []byte) (int, error) { w.sent++; return len(b), nil }
+func (w *responseRecorder) Write(b []byte) (int, error) { w.sent++; return len(b), nil }
 
-func (w *writer) Close() error { return nil }
+func (w *responseRecorder) Close() error { return nil }
 
-func (w *writer) TsigStatus() error { return w.status }
+func (w *responseRecorder) TsigStatus() error { return w.status }
 
-func (w *writer) TsigTimersOnly(bool) {}
+func (w *responseRecorder) TsigTimersOnly(bool) {}
 
-func (w *writer) Hijack() {}
+func (w *responseRecorder) Hijack() {}
 
-// No message, signed or not, ends a handler by a panic.
+// No message, signed or unsigned, makes a handler panic.
 func FuzzServe(f *testing.F) {
-	c := updated(f, f.TempDir())
-	s, err := Start(c, quiet())
+	c := testConfig(f, f.TempDir())
+	s, err := Start(c, discardLogger())
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Cleanup(func() { s.Close() })
-	var told strings.Builder
-	s.server.log = slog.New(slog.NewTextHandler(&told, &slog.HandlerOptions{Level: slog.LevelError}))
+	var errorLog strings.Builder
+	s.server.log = slog.New(slog.NewTextHandler(&errorLog, &slog.HandlerOptions{Level: slog.LevelError}))
 	ring := NewKeyring(c.Keys)
 	for _, m := range []*dns.Msg{new(dns.Msg).SetQuestion("hooks.example.", dns.TypeA), replaceWith(f, "hooks.example.", "127.0.0.9"), new(dns.Msg).SetNotify("example."),
 		new(dns.Msg).SetAxfr("example."), new(dns.Msg).SetIxfr("example.", 10, "a.", "b.")} {
@@ -176,29 +177,29 @@
 		if m.Unpack(raw) != nil {
 			return
 		}
-		w := &writer{}
+		w := &responseRecorder{}
 		if m.IsTsig() != nil {
 			w.status = dns.TsigVerifyWithProvider(raw, s.keys, "", false)
 		}
 		for _, udp := range []bool{true, false} {
 			s.server.serve(w, m, udp)
 		}
-		if told.Len() > 0 {
-			t.Fatal(told.String())
+		if errorLog.Len() > 0 {
+			t.Fatal(errorLog.String())
 		}
 	})
 }
 
-// Questions, signed updates and whole transfers of 10,000 records a second, over loopback, by one who asks.
+// Throughput of queries, signed updates and full transfers of 10,000 records over loopback with one client.
 func BenchmarkServer(b *testing.B) {
-	c := updated(b, b.TempDir())
+	c := testConfig(b, b.TempDir())
 	var text strings.Builder
 	text.WriteString(zoneText)
 	for i := range 10_000 {
 		fmt.Fprintf(&text, "h%d 300 IN A 10.0.%d.%d\n", i, i>>8, i&255)
 	}
-	put(b, c.Zones[0].File, text.String())
-	s, err := Start(c, quiet())
+	replaceFile(b, c.Zones[0].File, text.String())
+	s, err := Start(c, discardLogger())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -207,14 +208,14 @@
 	var conn *dns.Conn
 	asked := 0
 	exchange := func(b *testing.B, m *dns.Msg) {
-		if asked%(maxTCPQueries/2) == 0 { // the server ends a connection after so many
+		if asked%(maxTCPQueries/2) == 0 { // the server closes a connection after maxTCPQueries messages
 			var err error
-			if conn, err = dns.DialTimeout("tcp", s.Address(), wait); err != nil {
+			if conn, err = dns.DialTimeout("tcp", s.Address(), testTimeout); err != nil {
 				b.Fatal(err)
 			}
 		}
 		asked++
-		client := dns.Client{Net: "tcp", Timeout: wait, TsigProvider: ring}
+		client := dns.Client{Net: "tcp", Timeout: testTimeout, TsigProvider: ring}
 		if r, _, err := client.ExchangeWithConn(m, conn); err != nil || r.Rcode != dns.RcodeSuccess {
 			b.Fatal(r, err)
 		}
@@ -229,7 +230,7 @@
 			m := replaceWith(b, "hooks.example.", fmt.Sprintf("127.2.%d.%d", i>>8&255, i&255))
 			m.Id = dns.Id()
 			ring.Sign(m, "ops.", time.Now().Unix())
-			client := dns.Client{Timeout: wait, TsigProvider: ring} // the library signs one message a connection rightly
+			client := dns.Client{Timeout: testTimeout, TsigProvider: ring} // the library signs only one message per connection correctly
 			if r, _, err := client.Exchange(m, s.Address()); err != nil || r.Rcode != dns.RcodeSuccess {
 				b.Fatal(r, err)
 			}
@@ -239,7 +240,7 @@
 		for range b.N {
 			m := new(dns.Msg).SetAxfr("example.")
 			ring.Sign(m, "xfer.", time.Now().Unix())
-			ch, err := (&dns.Transfer{TsigProvider: ring, ReadTimeout: wait}).In(m, s.Address())
+			ch, err := (&dns.Transfer{TsigProvider: ring, ReadTimeout: testTimeout}).In(m, s.Address())
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/nameserver/service.go
+++ b/internal/nameserver/service.go
@@ -14,8 +14,8 @@
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-// Service has zones, serves them, and resolves members' names through them, as a source of endpoints. Its methods are safe for concurrent
-// use.
+// Service manages and serves zones, and is a source of endpoints: it resolves the names of members through the zones. Its methods are safe
+// for concurrent use.
 type Service struct {
 	config   *Config
 	log      *slog.Logger
@@ -31,15 +31,15 @@
 
 	mu            sync.Mutex // guards the fields below
 	follower      *membership.Follower
-	membersByName map[string]map[int]struct{} // indexes of members, by the names that their answers depend on
+	membersByName map[string]map[int]struct{} // indexes of members, by the names on which their answers depend
 	namesByMember [][]string                  // the inverse, by index of the member
 	staleMembers  map[int]struct{}            // indexes of members to resolve again
 	wake          chan struct{}
 	initial       membership.Update
 }
 
-// Start opens the stores, reads the zone files, and starts to serve and to follow. A zone that can't be loaded is logged; the sender starts
-// without it. The caller closes the service.
+// Start opens the stores, reads the zone files, and starts to serve the zones and to watch their files and primaries. A zone that can't be
+// loaded is logged, and the service starts without it. The caller must close the service.
 func Start(c *Config, log *slog.Logger) (*Service, error) { return start(c, log, osDisk{}) }
 
 func start(c *Config, log *slog.Logger, d disk) (*Service, error) {
@@ -93,7 +93,7 @@
 	return s, nil
 }
 
-// addZone opens a zone: from its file, which is read now, or as a secondary, which asks its primary once it runs.
+// addZone opens a zone: from its file, which is read now, or as a secondary, which queries its primary once its goroutine runs.
 func (s *Service) addZone(c *ZoneConfig, d disk) *hostedZone {
 	h := &hostedZone{transferKeys: map[string]bool{}, grants: map[string]*zone.Grant{}}
 	h.managedZone = newManagedZone(c, zoneOptions{disk: d, folder: s.config.Folder, maxRecords: s.config.MaxRecords, log: s.log,
@@ -105,7 +105,7 @@
 		h.grants[zone.Name(c.Updates[i].Key)] = &c.Updates[i].Grant
 	}
 	if c.File != "" {
-		h.loadFile() // it logs what is wrong
+		h.loadFile() // logs its errors itself
 	} else {
 		h.secondary = newSecondary(h.managedZone, s.keys, s.now)
 	}
@@ -123,10 +123,10 @@
 	}()
 }
 
-// now is the follower's clock.
+// now returns the time since the start, on the clock of the follower, the server and the secondaries.
 func (s *Service) now() time.Duration { return time.Since(s.start) }
 
-// Address is where the server listens; empty without one.
+// Address returns the address at which the server listens; empty without a server.
 func (s *Service) Address() string { return s.server.addr() }
 
 // Initial returns the endpoints that were known at the start.
@@ -146,7 +146,7 @@
 	return slices.Compact(all)
 }
 
-// SetKeys replaces the keys in service. A key that a zone's configuration names must be among them.
+// SetKeys replaces the keys while the service runs. They must include all keys that the zones' configuration names.
 func (s *Service) SetKeys(keys []Key) error {
 	c := *s.config
 	c.Keys = keys
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// Rescan has all zone files read again now.
+// Rescan requests that all zone files are read again now.
 func (s *Service) Rescan() {
 	select {
 	case s.files.rescan <- struct{}{}:
@@ -173,7 +173,7 @@
 	return err
 }
 
-// Close stops serving and following, and waits for all goroutines. What was answered is durable already.
+// Close stops the server and all goroutines, and waits for them. Acknowledged changes are durable already.
 func (s *Service) Close() error {
 	s.stop()
 	err := s.server.close()
--- a/internal/nameserver/store.go
+++ b/internal/nameserver/store.go
@@ -15,24 +15,24 @@
 
 // store is the durable state of one zone, in three files of a folder:
 //
-//	NAME.zone     the zone as it was: "SYZONE1\n", an epoch of 8 octets, the CRC-32C of both, and a difference from nothing
+//	NAME.zone     the snapshot: "SYZONE1\n", an epoch of 8 octets, the CRC-32C of both, and a difference from an empty zone
 //	              (package zone)
-//	NAME.journal  what has changed since: "SYJOUR1\n", the same epoch, a CRC, and differences
-//	NAME.base     of a zone whose file is followed and updated: the zone that the file held when it was last read or
-//	              written, in the form of NAME.zone
+//	NAME.journal  the changes since: "SYJOUR1\n", the same epoch, a CRC, and differences
+//	NAME.base     of a zone that both a file and updates change: the zone in the file when it was last read or written, in
+//	              the format of NAME.zone
 //
-// The first and the last are replaced as a whole. A journal of an earlier epoch than its snapshot is part of that snapshot already: the
-// crash came between the two. What a crash truncated at the journal's end had not been answered.
+// The snapshot and the base are replaced atomically. A journal of an earlier epoch than its snapshot is already contained in that snapshot:
+// the process crashed between writing the two. A change that a crash truncated at the journal's end had not been acknowledged.
 type store struct {
 	disk            disk
 	dir             string
-	name            string // without its ending
+	name            string // path of the files without the extension
 	origin          string
 	epoch           uint64
 	journal         file
-	size            int64 // of the journal
-	maxJournalBytes int64 // a larger journal is folded into a new snapshot
-	broken          error // the journal may not be added to: a new snapshot makes it good
+	size            int64 // of the journal, in bytes
+	maxJournalBytes int64 // a larger journal is replaced by a new snapshot
+	broken          error // why nothing may be appended to the journal, until a new snapshot is written
 }
 
 const (
@@ -43,14 +43,14 @@
 )
 
 var (
-	// errDamaged is a file of the store that is neither complete nor merely truncated.
+	// errDamaged reports a file of the store that is neither complete nor merely truncated.
 	errDamaged = errors.New("the file is damaged")
-	// errNoSnapshot and errSnapshotUnwritten are why nothing may be added to the journal: it has no snapshot to continue.
+	// errNoSnapshot and errSnapshotUnwritten are why nothing may be appended to the journal: it has no snapshot to continue.
 	errNoSnapshot        = errors.New("there is no snapshot yet")
 	errSnapshotUnwritten = errors.New("the snapshot is not written")
 )
 
-// fileName makes a name for files of a zone's name.
+// fileName returns the name of a zone's files, without an extension: the origin with all unsafe characters escaped.
 func fileName(origin string) string {
 	if origin == "." {
 		return "%2e"
@@ -71,7 +71,7 @@
 	return binary.BigEndian.AppendUint32(h, crc32.Checksum(h, crc32.MakeTable(crc32.Castagnoli)))
 }
 
-// parseHeader reads a head; false if it is none, or damaged.
+// parseHeader returns the epoch of a header; false if the header is missing or damaged.
 func parseHeader(magic string, raw []byte) (uint64, bool) {
 	if len(raw) < headerSize {
 		return 0, false
@@ -80,8 +80,8 @@
 	return epoch, bytes.Equal(raw[:headerSize], newHeader(magic, epoch))
 }
 
-// openStore reads what an earlier process left: the zone, nil if there is none, and the differences in the journal, for the history. A
-// damaged file is an error without a zone, and stays as it is until the zone is loaded anew; warn is what was truncated.
+// openStore reads the state that an earlier process stored: the zone, nil if there is none, and the differences in the journal, for the
+// history. A damaged file is an error without a zone, and stays unchanged until the zone is loaded again. warn reports a truncated journal.
 func openStore(d disk, dir, origin string) (s *store, z *zone.Zone, deltas []*zone.Delta, warn, err error) {
 	s = &store{disk: d, dir: dir, name: filepath.Join(dir, fileName(origin)), origin: origin, maxJournalBytes: minJournalBytes,
 		broken: errNoSnapshot}
@@ -91,7 +91,7 @@
 	}
 	raw, err := d.ReadFile(s.name + ".journal")
 	if isNotExist(err) {
-		return s, z, nil, nil, nil // the next change writes both anew
+		return s, z, nil, nil, nil // the next change writes a new snapshot and journal
 	}
 	if err != nil {
 		return s, nil, nil, nil, err
@@ -100,13 +100,13 @@
 	case !ok || epoch > s.epoch:
 		return s, nil, nil, nil, fmt.Errorf("%s: %w", s.name+".journal", errDamaged)
 	case epoch < s.epoch:
-		return s, z, nil, nil, nil // the next change writes both anew
+		return s, z, nil, nil, nil // the next change writes a new snapshot and journal
 	}
 	at := headerSize
 	for at < len(raw) {
 		delta, n, err := zone.ReadDelta(raw[at:])
 		if err != nil {
-			warn = fmt.Errorf("%s: %d bytes at its end are no whole change and are left out: %w", s.name+".journal", len(raw)-at, err)
+			warn = fmt.Errorf("%s: the last %d bytes are not a complete change and are ignored: %w", s.name+".journal", len(raw)-at, err)
 			break
 		}
 		next, err := z.Apply(delta)
@@ -116,7 +116,7 @@
 		z, deltas = next, append(deltas, delta)
 		at += n
 	}
-	if warn != nil { // nothing is written behind what is torn
+	if warn != nil { // nothing may be appended after a torn change
 		return s, z, deltas, warn, nil
 	}
 	if s.journal, s.size, err = d.Append(s.name + ".journal"); err == nil {
@@ -125,7 +125,7 @@
 	return s, z, deltas, warn, nil
 }
 
-// read reads a zone from a file; nil and no error if there is no such file.
+// read reads a zone and its epoch from a file; a nil zone and no error if there is no such file.
 func (s *store) read(name string) (*zone.Zone, uint64, error) {
 	raw, err := s.disk.ReadFile(name)
 	if isNotExist(err) {
@@ -153,11 +153,11 @@
 	return (&zone.Delta{To: z.Serial(), Added: z.List()}).Append(newHeader(zoneMagic, epoch))
 }
 
-// snapshot writes the whole zone and starts a new journal of the next epoch.
+// snapshot writes a snapshot of the zone and starts a new journal, both of the next epoch.
 func (s *store) snapshot(z *zone.Zone) error {
 	s.broken = errSnapshotUnwritten
 	if s.journal != nil {
-		s.journal.Close() // what it held is in the snapshot, or stays as it is
+		s.journal.Close() // the new snapshot contains its changes; if the snapshot fails, the file stays unchanged
 		s.journal = nil
 	}
 	raw, err := encodeSnapshot(z, s.epoch+1)
@@ -178,7 +178,8 @@
 	return nil
 }
 
-// append makes a change durable; after is the zone with it. Only when it returns nil may anyone be told of the change.
+// append makes a change durable; after is the zone after the change. The change must not be published or acknowledged before append has
+// returned nil.
 func (s *store) append(d *zone.Delta, after *zone.Zone) error {
 	if s.broken != nil || s.size > s.maxJournalBytes {
 		return s.snapshot(after)
@@ -192,8 +193,8 @@
 		err = s.journal.Sync()
 	}
 	if err != nil {
-		// Whether it is on the disk is not known. It is cut off; whether that succeeds or not, nothing more is added to
-		// this journal: the next change writes a snapshot, with another epoch.
+		// It is unknown whether the change is on the disk. The journal is truncated to remove it; whether that succeeds or not, nothing
+		// more is appended to this journal: the next change writes a snapshot, with another epoch.
 		s.broken = err
 		return errors.Join(err, s.journal.Truncate(s.size), s.journal.Sync())
 	}
@@ -201,9 +202,10 @@
 	return nil
 }
 
-// confirm records when the primary last confirmed the version; age returns how long ago that was.
+// confirm records the time at which the primary confirmed the version, as the modification time of the snapshot.
 func (s *store) confirm(now time.Time) error { return s.disk.Touch(s.name+".zone", now) }
 
+// age returns the time since the version was last changed or confirmed.
 func (s *store) age(now time.Time) time.Duration {
 	var last time.Time
 	for _, ending := range []string{".zone", ".journal"} {
@@ -214,7 +216,7 @@
 	return max(0, now.Sub(last))
 }
 
-// writeBase and base are the zone that a followed file held when it was last read or written.
+// writeBase stores the zone in the zone's file as it was last read or written.
 func (s *store) writeBase(z *zone.Zone) error {
 	raw, err := encodeSnapshot(z, 0)
 	if err != nil {
--- a/internal/nameserver/store_test.go
+++ b/internal/nameserver/store_test.go
@@ -16,37 +16,37 @@
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-// memoryDisk is a disk that dies, or fails, at its n-th step. What was not synced may be lost in part or whole: cut says
-// how much of it stays. A rename lasts once its folder is synced, and may last before.
+// memoryDisk is a disk in memory that simulates a crash or errors at given steps. After a crash, data that was not synced is lost
+// completely or in part (see crash). A rename is durable once its folder is synced, and may be durable before.
 type memoryDisk struct {
-	mu      sync.Mutex
-	files   map[string]*memoryFile
-	lasting map[string]*memoryFile // by the folder as it was synced last
-	step    int
-	dies    int // at this step nothing happens any more; 0: never
-	fails   func(step int, op string) bool
-	torn    float64 // how much of a write that dies in it is written
+	mu           sync.Mutex
+	files        map[string]*memoryFile
+	durable      map[string]*memoryFile // the entries of the folder when it was last synced
+	step         int
+	crashAt      int // from this step on every operation fails; 0: never
+	fails        func(step int, op string) bool
+	tornFraction float64 // fraction of the data that a write writes if it is interrupted by the crash or fails
 }
 
 type memoryFile struct {
 	d      *memoryDisk
 	data   []byte
-	synced int // bytes that last
+	synced int // bytes that are durable
 	time   time.Time
 }
 
-var errDead = errors.New("the machine is off")
+var errCrashed = errors.New("the machine has crashed")
 
 var errFull = errors.New("no space left on device")
 
 func newMemoryDisk() *memoryDisk {
-	return &memoryDisk{files: map[string]*memoryFile{}, lasting: map[string]*memoryFile{}}
+	return &memoryDisk{files: map[string]*memoryFile{}, durable: map[string]*memoryFile{}}
 }
 
-func (d *memoryDisk) did(op string) error {
+func (d *memoryDisk) countStep(op string) error {
 	d.step++
-	if d.dies > 0 && d.step >= d.dies {
-		return errDead
+	if d.crashAt > 0 && d.step >= d.crashAt {
+		return errCrashed
 	}
 	if d.fails != nil && d.fails(d.step, op) {
 		return errFull
@@ -54,18 +54,18 @@
 	return nil
 }
 
-// crash is the disk that the next process finds. renames says whether those that were not synced lasted; keep is the part
-// that stays of what was not synced.
+// crash returns the disk after a crash. renames is whether renames that were not synced are durable; keep is the fraction of unsynced
+// data that is durable.
 func (d *memoryDisk) crash(renames bool, keep float64) *memoryDisk {
 	next := newMemoryDisk()
-	from := d.lasting
+	from := d.durable
 	if renames {
 		from = d.files
 	}
 	for name, f := range from {
 		n := f.synced + int(keep*float64(len(f.data)-f.synced))
 		next.files[name] = &memoryFile{d: next, data: slices.Clone(f.data[:n]), synced: n, time: f.time}
-		next.lasting[name] = next.files[name]
+		next.durable[name] = next.files[name]
 	}
 	return next
 }
@@ -83,7 +83,7 @@
 func (d *memoryDisk) Create(name string) (file, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.did("create"); err != nil {
+	if err := d.countStep("create"); err != nil {
 		return nil, err
 	}
 	f := &memoryFile{d: d, time: time.Now()}
@@ -104,7 +104,7 @@
 func (d *memoryDisk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.did("rename"); err != nil {
+	if err := d.countStep("rename"); err != nil {
 		return err
 	}
 	d.files[to] = d.files[from]
@@ -115,7 +115,7 @@
 func (d *memoryDisk) Exchange(a, b string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.did("exchange"); err != nil {
+	if err := d.countStep("exchange"); err != nil {
 		return err
 	}
 	d.files[a], d.files[b] = d.files[b], d.files[a]
@@ -125,12 +125,12 @@
 func (d *memoryDisk) SyncDir(string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.did("syncdir"); err != nil {
+	if err := d.countStep("syncdir"); err != nil {
 		return err
 	}
-	d.lasting = map[string]*memoryFile{}
+	d.durable = map[string]*memoryFile{}
 	for n, f := range d.files {
-		d.lasting[n] = f
+		d.durable[n] = f
 	}
 	return nil
 }
@@ -157,9 +157,9 @@
 func (f *memoryFile) Write(b []byte) (int, error) {
 	f.d.mu.Lock()
 	defer f.d.mu.Unlock()
-	if err := f.d.did("write"); err != nil {
-		n := int(f.d.torn * float64(len(b)))
-		if f.d.step == f.d.dies || errors.Is(err, errFull) {
+	if err := f.d.countStep("write"); err != nil {
+		n := int(f.d.tornFraction * float64(len(b)))
+		if f.d.step == f.d.crashAt || errors.Is(err, errFull) {
 			f.data = append(f.data, b[:n]...)
 		}
 		return n, err
@@ -171,7 +171,7 @@
 func (f *memoryFile) Sync() error {
 	f.d.mu.Lock()
 	defer f.d.mu.Unlock()
-	if err := f.d.did("sync"); err != nil {
+	if err := f.d.countStep("sync"); err != nil {
 		return err
 	}
 	f.synced = len(f.data)
@@ -181,7 +181,7 @@
 func (f *memoryFile) Truncate(n int64) error {
 	f.d.mu.Lock()
 	defer f.d.mu.Unlock()
-	if err := f.d.did("truncate"); err != nil {
+	if err := f.d.countStep("truncate"); err != nil {
 		return err
 	}
 	f.data = f.data[:n]
@@ -202,8 +202,8 @@
 	return z
 }
 
-// moved is an update message, as read from the wire, that gives a name one address.
-func moved(t testing.TB, origin, name, addr string) *dns.Msg {
+// setAddressUpdate returns an update message, as unpacked from wire format, that sets the only address of a name.
+func setAddressUpdate(t testing.TB, origin, name, addr string) *dns.Msg {
 	t.Helper()
 	m := new(dns.Msg).SetUpdate(origin)
 	rr, err := dns.NewRR(fmt.Sprintf("%s 60 IN A %s", name, addr))
@@ -212,10 +212,10 @@
 	}
 	m.RemoveRRset([]dns.RR{rr})
 	m.Insert([]dns.RR{rr})
-	return wired(t, m)
+	return repack(t, m)
 }
 
-func wired(t testing.TB, m *dns.Msg) *dns.Msg {
+func repack(t testing.TB, m *dns.Msg) *dns.Msg {
 	t.Helper()
 	raw, err := m.Pack()
 	if err != nil {
@@ -227,20 +227,21 @@
 	return m
 }
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-func onDisk(d disk) *managedZone {
-	c := &ZoneConfig{Name: "example.", Updates: []Update{{Key: "k.", Grant: everything()}}}
-	return newManagedZone(c, zoneOptions{disk: d, folder: "state", maxRecords: 100_000, log: quiet(), onChange: func([]string, bool) {}})
+func newZoneOn(d disk) *managedZone {
+	c := &ZoneConfig{Name: "example.", Updates: []Update{{Key: "k.", Grant: grantAll()}}}
+	return newManagedZone(c, zoneOptions{disk: d, folder: "state", maxRecords: 100_000, log: discardLogger(), onChange: func([]string, bool) {}})
 }
 
-func everything() zone.Grant { return zone.Grant{Names: []string{"example.", "*.example."}} }
+func grantAll() zone.Grant { return zone.Grant{Names: []string{"example.", "*.example."}} }
 
-// run makes a zone and updates it so often, with a journal that is folded now and then; it says which of the updates were
-// answered, and which were told that they are refused.
-func run(t *testing.T, z *managedZone, updates int) (answered int, refused []int) {
+// applyUpdates loads a zone unless there is one and applies updates to it, with a journal that is replaced by a snapshot every few
+// updates. answered is the number of the last accepted update, or -1 if the zone can't be loaded; refused are the indexes of the rejected
+// updates.
+func applyUpdates(t *testing.T, z *managedZone, updates int) (answered int, refused []int) {
 	t.Helper()
-	g := everything()
+	g := grantAll()
 	if z.current.Load().Zone == nil {
 		first := parseZone(t, zoneText)
 		if err := z.replace(first, nil); err != nil {
@@ -248,8 +249,8 @@
 		}
 	}
 	for i := range updates {
-		z.store.maxJournalBytes = 400 // so that it is folded every few updates
-		if err := z.update(moved(t, "example.", "hooks.example.", fmt.Sprintf("127.0.1.%d", i+1)), &g); err != nil {
+		z.store.maxJournalBytes = 400 // a new snapshot every few updates
+		if err := z.update(setAddressUpdate(t, "example.", "hooks.example.", fmt.Sprintf("127.0.1.%d", i+1)), &g); err != nil {
 			refused = append(refused, i)
 			continue
 		}
@@ -258,126 +259,127 @@
 	return answered, refused
 }
 
-// The machine dies at each step that the store takes, with each way in which what was not synced may be there, in part or
-// not at all: the next process finds the last update that was answered, or one after it that was not, whole.
+// The machine crashes at each step of the store, and data that was not synced is durable completely, in part or not at all. The next
+// process must find the last acknowledged update, or the complete update after it, which was not acknowledged.
 func TestStore_CrashAtEachStep(t *testing.T) {
 	const updates = 12
-	whole := newMemoryDisk()
-	if answered, _ := run(t, onDisk(whole), updates); answered != updates {
-		t.Fatalf("%d were answered without any trouble", answered)
+	intact := newMemoryDisk()
+	if answered, _ := applyUpdates(t, newZoneOn(intact), updates); answered != updates {
+		t.Fatalf("%d updates were accepted without faults", answered)
 	}
 	folded := false
-	for dies := 1; dies <= whole.step+1; dies++ {
+	for crashAt := 1; crashAt <= intact.step+1; crashAt++ {
 		for _, torn := range []float64{0, 0.5, 0.99} {
 			d := newMemoryDisk()
-			d.dies, d.torn = dies, torn
-			answered, _ := run(t, onDisk(d), updates)
+			d.crashAt, d.tornFraction = crashAt, torn
+			answered, _ := applyUpdates(t, newZoneOn(d), updates)
 			for _, renames := range []bool{false, true} {
 				for _, keep := range []float64{0, 0.3, 0.9, 1} {
-					at := fmt.Sprintf("dead at step %d, torn %v, renames %v, keep %v", dies, torn, renames, keep)
+					at := fmt.Sprintf("crash at step %d, torn %v, renames %v, keep %v", crashAt, torn, renames, keep)
 					next := d.crash(renames, keep)
-					z := onDisk(next)
-					held := z.current.Load()
-					if held.Zone == nil {
+					z := newZoneOn(next)
+					current := z.current.Load()
+					if current.Zone == nil {
 						if answered > 0 {
-							t.Fatalf("%s: the zone is gone", at)
+							t.Fatalf("%s: the zone is lost", at)
 						}
 						continue
 					}
-					if held.Serial() > 12 && len(next.files["state/example.journal"].data) == headerSize {
+					if current.Serial() > 12 && len(next.files["state/example.journal"].data) == headerSize {
 						folded = true
 					}
-					last := int(held.Serial()) - 10
+					last := int(current.Serial()) - 10
 					if last < answered || last > answered+1 {
-						t.Fatalf("%s: %d were answered, %d are there", at, answered, last)
+						t.Fatalf("%s: %d updates were acknowledged, %d are in the zone", at, answered, last)
 					}
 					if last > 0 {
-						if a := held.Set("hooks.example.", dns.TypeA); len(a) != 1 || a[0].(*dns.A).A.String() != fmt.Sprintf("127.0.1.%d", last) {
-							t.Fatalf("%s: serial %d with %v", at, held.Serial(), a)
+						if a := current.Set("hooks.example.", dns.TypeA); len(a) != 1 || a[0].(*dns.A).A.String() != fmt.Sprintf("127.0.1.%d", last) {
+							t.Fatalf("%s: serial %d with %v", at, current.Serial(), a)
 						}
 					}
-					// It goes on, and what it answers then is there for the next one.
-					if more, _ := run(t, z, 2); more != 2 {
-						t.Fatalf("%s: it does not go on", at)
+					// Updates after the crash are accepted, and survive another crash.
+					if more, _ := applyUpdates(t, z, 2); more != 2 {
+						t.Fatalf("%s: updates after the crash are rejected", at)
 					}
-					if z = onDisk(next.crash(false, 0)); z.current.Load().Set("hooks.example.", dns.TypeA)[0].(*dns.A).A.String() != "127.0.1.2" {
-						t.Fatalf("%s: what was answered after is gone", at)
+					if z = newZoneOn(next.crash(false, 0)); z.current.Load().Set("hooks.example.", dns.TypeA)[0].(*dns.A).A.String() != "127.0.1.2" {
+						t.Fatalf("%s: the updates after the crash are lost", at)
 					}
 				}
 			}
 		}
 	}
 	if !folded {
-		t.Error("no journal was folded in this test")
+		t.Error("no journal was replaced by a snapshot in this test")
 	}
 }
 
-// The disk fails for a while at each step and from there on: updates are refused while it does, none that was answered is
-// lost, and it goes on by itself when the disk is good again.
+// The disk fails for some steps, from each step on. Updates are rejected meanwhile, no acknowledged update is lost, and updates are
+// accepted again once the disk works.
 func TestStore_DiskFails(t *testing.T) {
-	whole := newMemoryDisk()
-	run(t, onDisk(whole), 8)
-	for at := 1; at <= whole.step; at++ {
+	intact := newMemoryDisk()
+	applyUpdates(t, newZoneOn(intact), 8)
+	for at := 1; at <= intact.step; at++ {
 		for _, span := range []int{1, 3, 10} {
 			d := newMemoryDisk()
-			d.torn = 0.5
+			d.tornFraction = 0.5
 			d.fails = func(step int, _ string) bool { return step >= at && step < at+span }
-			z := onDisk(d)
-			answered, refused := run(t, z, 0)
-			if answered == -1 { // not even the first version was kept
-				if answered, _ = run(t, z, 0); answered == -1 {
-					continue // it fails still
+			z := newZoneOn(d)
+			answered, refused := applyUpdates(t, z, 0)
+			if answered == -1 { // the first version could not be stored
+				if answered, _ = applyUpdates(t, z, 0); answered == -1 {
+					continue // the disk still fails
 				}
 			}
 			for i := range 20 {
-				g := everything()
+				g := grantAll()
 				z.store.maxJournalBytes = 400
-				if err := z.update(moved(t, "example.", "hooks.example.", fmt.Sprintf("127.0.1.%d", i+1)), &g); err != nil {
+				if err := z.update(setAddressUpdate(t, "example.", "hooks.example.", fmt.Sprintf("127.0.1.%d", i+1)), &g); err != nil {
 					refused = append(refused, i)
 					continue
 				}
 				answered = i + 1
-				if a := onDisk(d.crash(false, 0)).current.Load().Set("hooks.example.", dns.TypeA); len(a) != 1 || a[0].(*dns.A).A.String() != fmt.Sprintf("127.0.1.%d", answered) {
-					t.Fatalf("failing at %d for %d: update %d was answered, and a crash then leaves %v", at, span, answered, a)
+				if a := newZoneOn(d.crash(false, 0)).current.Load().Set("hooks.example.", dns.TypeA); len(a) != 1 || a[0].(*dns.A).A.String() != fmt.Sprintf("127.0.1.%d", answered) {
+					t.Fatalf("failing at %d for %d: update %d was acknowledged, and after a crash the address is %v", at, span, answered, a)
 				}
 			}
 			if answered != 20 {
-				t.Fatalf("failing at %d for %d: of 20 the last that was answered is %d", at, span, answered)
+				t.Fatalf("failing at %d for %d: the last accepted update is %d, not 20", at, span, answered)
 			}
-			if at < whole.step-3 && at > 12 && len(refused) == 0 && span == 10 {
-				t.Errorf("failing at %d for %d: nothing was refused", at, span)
+			if at < intact.step-3 && at > 12 && len(refused) == 0 && span == 10 {
+				t.Errorf("failing at %d for %d: no update was rejected", at, span)
 			}
-			next := onDisk(d.crash(false, 0)).current.Load()
+			next := newZoneOn(d.crash(false, 0)).current.Load()
 			if next.Zone == nil || next.Set("hooks.example.", dns.TypeA)[0].(*dns.A).A.String() != "127.0.1.20" {
-				t.Fatalf("failing at %d for %d: what was answered is lost", at, span)
+				t.Fatalf("failing at %d for %d: an acknowledged update is lost", at, span)
 			}
 		}
 	}
 }
 
-// Damage in what had lasted is found and said, not served.
+// Damage of durable files is detected: a damaged snapshot or journal header is an error, a damaged change in the journal a warning, and
+// nothing is appended after it.
 func TestStore_Damage(t *testing.T) {
 	for _, name := range []string{"state/example.zone", "state/example.journal"} {
-		whole := newMemoryDisk()
-		z := onDisk(whole)
-		g := everything()
+		intact := newMemoryDisk()
+		z := newZoneOn(intact)
+		g := grantAll()
 		if err := z.replace(parseZone(t, zoneText), nil); err != nil {
 			t.Fatal(err)
 		}
 		for i := range 3 {
-			if err := z.update(moved(t, "example.", "hooks.example.", fmt.Sprintf("127.0.1.%d", i+1)), &g); err != nil {
+			if err := z.update(setAddressUpdate(t, "example.", "hooks.example.", fmt.Sprintf("127.0.1.%d", i+1)), &g); err != nil {
 				t.Fatal(err)
 			}
 		}
-		for i := range whole.files[name].data {
-			d := whole.crash(true, 1)
+		for i := range intact.files[name].data {
+			d := intact.crash(true, 1)
 			d.files[name].data[i] ^= 0x20
 			s, got, _, warn, err := openStore(d, "state", "example.")
 			switch {
 			case name == "state/example.zone" && (err == nil || got != nil), name == "state/example.journal" && i < headerSize && (err == nil || got != nil):
-				t.Fatalf("%s, byte %d: not noticed", name, i)
+				t.Fatalf("%s, byte %d: the damage is not detected", name, i)
 			case name == "state/example.journal" && i >= headerSize && (err != nil || warn == nil || s.broken == nil || got.Serial() > 12):
-				t.Fatalf("%s, byte %d: not noticed, or written behind: %v, %v, %v", name, i, got, warn, err)
+				t.Fatalf("%s, byte %d: the damage is not detected, or the journal is still writable: %v, %v, %v", name, i, got, warn, err)
 			}
 		}
 	}
--- a/internal/nameserver/stored_test.go
+++ b/internal/nameserver/stored_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestStore_ReadsStoredFiles opens a copy of zone stores that commit eea23b3 wrote and compares all that is in them with what that
-// commit read back: a snapshot with three updates in its journal, a journal whose last update is torn, and a journal of an
-// earlier epoch than its snapshot.
+// TestStore_ReadsStoredFiles opens a copy of zone stores that commit eea23b3 wrote and compares their contents with what that commit read
+// back: a snapshot with three updates in its journal, a journal whose last update is torn, and a journal of an earlier epoch than its
+// snapshot.
 func TestStore_ReadsStoredFiles(t *testing.T) {
 	want, err := os.ReadFile(filepath.Join("testdata", "v1.golden.txt"))
 	if err != nil {
@@ -21,12 +21,12 @@
 		t.Fatal(err)
 	}
 	if got := goldenListing(t, dir); got != string(want) {
-		t.Errorf("the stores hold\n%s\nwant\n%s", got, want)
+		t.Errorf("the stores contain\n%s\nwant\n%s", got, want)
 	}
 }
 
-// goldenListing is all that the stores of a folder give: zones with their serials and records, the differences in their
-// journals, what is left out, and what their files held.
+// goldenListing returns a text with the contents of the stores in a folder: zones with their serials and records, the differences in
+// their journals, whether a journal was truncated, and the base versions.
 func goldenListing(t *testing.T, dir string) string {
 	t.Helper()
 	var b strings.Builder
--- a/internal/nameserver/transfer_in.go
+++ b/internal/nameserver/transfer_in.go
@@ -14,11 +14,11 @@
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-// errNoIXFR is a primary without IXFR.
-var errNoIXFR = errors.New("the primary gives no differences")
+// errNoIXFR reports that the primary does not support IXFR.
+var errNoIXFR = errors.New("the primary does not support IXFR")
 
-// transfer asks the primary for the zone, by differences from before or, without it, in full, and reads the answer to its end. With a
-// key each message of it must be signed: RFC 8945 5.3.1 would allow less, but what is not signed here is not accepted.
+// transfer requests the zone from the primary, as differences from before or, without before, in full, and reads the answer to its end.
+// With a key each message of the answer must be signed: RFC 8945 5.3.1 allows unsigned messages in between, but they are rejected here.
 func (s *secondary) transfer(ctx context.Context, before *zone.Zone) ([]dns.RR, error) {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
@@ -32,7 +32,7 @@
 	defer stop()
 
 	t := transferReader{s: s, conn: conn, before: before}
-	if err := t.ask(); err != nil {
+	if err := t.sendRequest(); err != nil {
 		return nil, err
 	}
 	for !t.done {
@@ -47,22 +47,22 @@
 	return t.rrs, nil
 }
 
-// transferReader asks for a transfer on a connection and reads its messages.
+// transferReader requests a transfer on a connection and reads its messages.
 type transferReader struct {
 	s      *secondary
 	conn   net.Conn
 	before *zone.Zone // nil: the transfer is a full one
 
-	id       uint16 // of the question
-	mac      string // of the last signed message, which the next signature covers
-	messages int    // read
+	id       uint16 // of the request
+	mac      string // MAC of the last signed message, which the next signature covers
+	messages int    // number of messages read
 	rrs      []dns.RR
 	end      transferEnd
 	done     bool
 }
 
-// ask sends the question, signed if the zone has a key.
-func (t *transferReader) ask() error {
+// sendRequest sends the request, signed if the zone has a key.
+func (t *transferReader) sendRequest() error {
 	c := t.s.zone.config
 	q := new(dns.Msg)
 	if t.before == nil {
@@ -90,7 +90,7 @@
 	return err
 }
 
-// next reads one message and takes its records.
+// next reads one message and appends its records.
 func (t *transferReader) next() error {
 	t.messages++
 	m, err := t.read()
@@ -108,10 +108,10 @@
 		if t.rrs = append(t.rrs, rr); len(t.rrs) > maxRecords+2 {
 			return &TooManyRecordsError{Max: maxRecords}
 		}
-		if t.end.take(rr, t.before); t.end.over && i < len(m.Answer)-1 {
-			return fmt.Errorf("message %d: %w: more behind its end", t.messages, zone.ErrTransfer)
+		if t.end.add(rr, t.before); t.end.ended && i < len(m.Answer)-1 {
+			return fmt.Errorf("message %d: %w: records after its end", t.messages, zone.ErrTransfer)
 		}
-		if t.end.over {
+		if t.end.ended {
 			t.done = true
 			return nil
 		}
@@ -121,12 +121,12 @@
 		return nil
 	}
 	if len(m.Answer) == 0 {
-		return &transferError{message: t.messages, text: "holds no record"}
+		return &transferError{message: t.messages, text: "has no records"}
 	}
 	return nil
 }
 
-// read reads a message and verifies that it answers the question and is signed.
+// read reads a message and verifies that it is a response to the request and, if the zone has a key, its signature.
 func (t *transferReader) read() (*dns.Msg, error) {
 	var size [2]byte
 	if _, err := io.ReadFull(t.conn, size[:]); err != nil {
@@ -141,7 +141,7 @@
 		return nil, fmt.Errorf("message %d: %w", t.messages, err)
 	}
 	if m.Id != t.id || !m.Response {
-		return nil, &transferError{message: t.messages, text: "is no answer to the question"}
+		return nil, &transferError{message: t.messages, text: "is not a response to the request"}
 	}
 	if key := t.s.zone.config.Key; key != "" {
 		if !signedBy(m, key) {
@@ -155,31 +155,31 @@
 	return m, nil
 }
 
-// transferEnd finds where an answer to AXFR or IXFR ends: at the second SOA of a full transfer, at the third SOA with the new serial of an
-// incremental one.
+// transferEnd detects the end of an answer to AXFR or IXFR: a full transfer ends at its second SOA, an incremental one at the third SOA
+// with the new serial.
 type transferEnd struct {
-	n, soas int
-	serial  uint32
-	parts   bool
-	over    bool
+	n, soas     int
+	serial      uint32
+	incremental bool
+	ended       bool
 }
 
-func (e *transferEnd) take(rr dns.RR, before *zone.Zone) {
+func (e *transferEnd) add(rr dns.RR, before *zone.Zone) {
 	e.n++
 	soa, ok := rr.(*dns.SOA)
 	if e.n == 1 && ok {
 		e.serial = soa.Serial
 	}
 	if e.n == 2 && ok && before != nil && soa.Serial != e.serial {
-		e.parts = true
+		e.incremental = true
 	}
-	if ok && (soa.Serial == e.serial || !e.parts) {
+	if ok && (soa.Serial == e.serial || !e.incremental) {
 		e.soas++
 	}
-	e.over = !e.parts && e.soas == 2 || e.parts && e.soas == 3
+	e.ended = !e.incremental && e.soas == 2 || e.incremental && e.soas == 3
 }
 
-// current reports whether the answer says that the version held is the newest: its SOA alone (RFC 1995 4).
+// current reports whether the answer says that our version is current: it is the SOA of that version only (RFC 1995 4).
 func (e *transferEnd) current(before *zone.Zone, rrs []dns.RR) bool {
 	return len(rrs) == 1 && before != nil && e.n == 1 && e.serial == before.Serial()
 }
--- a/internal/nameserver/transfer_out.go
+++ b/internal/nameserver/transfer_out.go
@@ -8,7 +8,8 @@
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-// transferOut answers AXFR (RFC 5936) and IXFR (RFC 1995). It reports whether all is sent; otherwise r is the answer, or says why not.
+// transferOut answers AXFR (RFC 5936) and IXFR (RFC 1995). It reports whether it sent the answer itself; otherwise r is the answer, and
+// the caller sends it.
 func (s *server) transferOut(w dns.ResponseWriter, m, r *dns.Msg, signed string, udp bool) bool {
 	q := m.Question[0]
 	z := s.zones[zone.Name(q.Name)]
@@ -29,7 +30,7 @@
 		return false
 	}
 	r.Authoritative = true
-	if incremental && (udp || !zone.NewerSerial(current.Serial(), serial)) { // RFC 1995 2 and 4: the SOA alone
+	if incremental && (udp || !zone.NewerSerial(current.Serial(), serial)) { // RFC 1995 2 and 4: the answer is the SOA only
 		r.Answer = zone.CopyRecords([]dns.RR{current.SOA()})
 		return false
 	}
@@ -52,7 +53,7 @@
 	return true
 }
 
-// incrementalFrom returns the serial that an IXFR starts from; false for an AXFR, or an IXFR without it.
+// incrementalFrom returns the serial that an IXFR starts from; false for an AXFR, or for an IXFR without a serial.
 func incrementalFrom(m *dns.Msg) (serial uint32, incremental bool) {
 	if m.Question[0].Qtype == dns.TypeIXFR && len(m.Ns) == 1 {
 		if soa, ok := m.Ns[0].(*dns.SOA); ok {
@@ -62,7 +63,8 @@
 	return 0, false
 }
 
-// transferRecords returns the records of a transfer: the differences, if there are any and they are fewer than the zone, or all of it.
+// transferRecords returns the records of a transfer: the differences, if there are any and they have fewer records than the zone, else the
+// full zone.
 func transferRecords(current *zone.Zone, deltas []*zone.Delta) []dns.RR {
 	size := 0
 	for _, d := range deltas {
--- a/internal/nameserver/transfer_out_test.go
+++ b/internal/nameserver/transfer_out_test.go
@@ -12,23 +12,23 @@
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-// Our answers and transfers as the library's own client reads them: whole, by differences, and from our own secondary.
+// Full and incremental transfers as the client of the DNS library reads them, and as a secondary of this package does.
 func TestServer_Transfers(t *testing.T) {
 	dir := t.TempDir()
-	c := updated(t, dir)
+	c := testConfig(t, dir)
 	var text strings.Builder
 	text.WriteString(zoneText)
 	for i := range 3000 { // many messages
 		fmt.Fprintf(&text, "h%d 300 IN TXT \"%s\"\n", i, strings.Repeat("t", 30))
 	}
-	put(t, c.Zones[0].File, text.String())
-	s := begun(t, c)
+	replaceFile(t, c.Zones[0].File, text.String())
+	s := startService(t, c)
 	read := func(m *dns.Msg) ([]dns.RR, error) {
 		ring := NewKeyring(c.Keys)
 		if err := ring.Sign(m, "xfer.", time.Now().Unix()); err != nil {
 			t.Fatal(err)
 		}
-		tr := dns.Transfer{TsigProvider: ring, ReadTimeout: wait}
+		tr := dns.Transfer{TsigProvider: ring, ReadTimeout: testTimeout}
 		ch, err := tr.In(m, s.Address())
 		if err != nil {
 			return nil, err
@@ -48,10 +48,10 @@
 	}
 	first, _, err := zone.FromTransfer("example.", nil, rrs)
 	if err != nil || zone.Diff(first, s.zones["example."].current.Load().Zone).Records() > 0 {
-		t.Fatal("another zone", err)
+		t.Fatal("the transferred zone differs", err)
 	}
 	for i := range 3 {
-		if r := asked(t, s.Address(), "tcp", "ops.", c.Keys, replaceWith(t, "hooks.example.", fmt.Sprintf("127.0.1.%d", i))); r.Rcode != dns.RcodeSuccess {
+		if r := roundTrip(t, s.Address(), "tcp", "ops.", c.Keys, replaceWith(t, "hooks.example.", fmt.Sprintf("127.0.1.%d", i))); r.Rcode != dns.RcodeSuccess {
 			t.Fatal(r)
 		}
 	}
@@ -65,33 +65,33 @@
 		t.Fatalf("%d records, %d differences, %v", len(rrs), len(deltas), err)
 	}
 	for key, want := range map[string]int{"": dns.RcodeRefused, "ops.": dns.RcodeRefused} {
-		if r := asked(t, s.Address(), "tcp", key, c.Keys, new(dns.Msg).SetAxfr("example.")); r.Rcode != want || len(r.Answer) > 0 {
+		if r := roundTrip(t, s.Address(), "tcp", key, c.Keys, new(dns.Msg).SetAxfr("example.")); r.Rcode != want || len(r.Answer) > 0 {
 			t.Errorf("key %q: %v", key, r)
 		}
 	}
-	// A secondary of ours, told by NOTIFY, with a restart of its own in between.
-	second := &Config{Listen: "127.0.0.1:0", Folder: filepath.Join(dir, "second"), Keys: c.Keys, Spans: c.Spans, Members: c.Members,
+	// A secondary of this package follows by NOTIFY, after a restart of the primary.
+	secondaryConfig := &Config{Listen: "127.0.0.1:0", Folder: filepath.Join(dir, "second"), Keys: c.Keys, Spans: c.Spans, Members: c.Members,
 		Zones: []ZoneConfig{{Name: "example.", Primary: s.Address(), Key: "xfer."}}}
-	two := begun(t, second)
-	f := following(t, two)
-	f.until(t, "127.0.1.2")
-	third := &Config{Listen: "127.0.0.1:0", Folder: filepath.Join(dir, "state"), Keys: c.Keys, Spans: c.Spans, Zones: c.Zones, Members: c.Members}
+	secondaryService := startService(t, secondaryConfig)
+	f := recordEndpoints(t, secondaryService)
+	f.waitForServing(t, "127.0.1.2")
+	restartedConfig := &Config{Listen: "127.0.0.1:0", Folder: filepath.Join(dir, "state"), Keys: c.Keys, Spans: c.Spans, Zones: c.Zones, Members: c.Members}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	third.Listen = second.Zones[0].Primary
-	third.Zones[0].Notify, third.Zones[0].NotifyKey = []string{two.Address()}, "xfer."
-	s = begun(t, third)
-	if r := asked(t, s.Address(), "tcp", "ops.", c.Keys, replaceWith(t, "hooks.example.", "127.0.1.77")); r.Rcode != dns.RcodeSuccess {
+	restartedConfig.Listen = secondaryConfig.Zones[0].Primary
+	restartedConfig.Zones[0].Notify, restartedConfig.Zones[0].NotifyKey = []string{secondaryService.Address()}, "xfer."
+	s = startService(t, restartedConfig)
+	if r := roundTrip(t, s.Address(), "tcp", "ops.", c.Keys, replaceWith(t, "hooks.example.", "127.0.1.77")); r.Rcode != dns.RcodeSuccess {
 		t.Fatal(r)
 	}
-	f.until(t, "127.0.1.77")
-	if err := two.Close(); err != nil {
+	f.waitForServing(t, "127.0.1.77")
+	if err := secondaryService.Close(); err != nil {
 		t.Fatal(err)
 	}
-	s.Close() // the primary is gone: what a restarted secondary holds is what it held
-	two = begun(t, second)
-	if got := two.Initial().Servers; len(got) != 1 || got[0].Addr != "127.0.1.77:80" {
+	s.Close() // without its primary, a restarted secondary serves the version that it stored
+	secondaryService = startService(t, secondaryConfig)
+	if got := secondaryService.Initial().Servers; len(got) != 1 || got[0].Addr != "127.0.1.77:80" {
 		t.Errorf("after a restart without its primary: %v", got)
 	}
 }
--- a/internal/nameserver/tsig.go
+++ b/internal/nameserver/tsig.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// verifyTSIG is RFC 8945 5.2: BADKEY, BADSIG or BADTIME, in this order. A message may be as old as its fudge says, and no more
-// than five minutes.
+// verifyTSIG returns the TSIG error of a message (RFC 8945 5.2): BADKEY, BADSIG or BADTIME, in this order. The time of signing must be
+// within the message's fudge of now, and within maxFudgeSeconds.
 func (s *server) verifyTSIG(w dns.ResponseWriter, t *dns.TSIG) uint16 {
 	switch err := w.TsigStatus(); {
 	case errors.Is(err, dns.ErrSecret), errors.Is(err, dns.ErrKeyAlg):
@@ -35,8 +35,8 @@
 	return dns.RcodeSuccess
 }
 
-// rejectSigned is RFC 8945 5.2.2 and 5.2.3: an unsigned TSIG with the error for a key or signature that is not known, a signed one
-// with our time for one out of time.
+// rejectSigned sends an answer with a TSIG error (RFC 8945 5.2.2 and 5.2.3): unsigned for BADKEY and BADSIG, signed and with the server's
+// time for BADTIME.
 func (s *server) rejectSigned(w dns.ResponseWriter, r *dns.Msg, t *dns.TSIG, code uint16) {
 	r.SetTsig(t.Hdr.Name, t.Algorithm, t.Fudge, int64(t.TimeSigned))
 	if sig := r.IsTsig(); sig != nil {
--- a/internal/nameserver/update.go
+++ b/internal/nameserver/update.go
@@ -10,7 +10,7 @@
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-// update is RFC 2136 3, with TSIG for who may.
+// update processes an update message (RFC 2136 3), which must be signed by a key with a grant, and returns the response code.
 func (s *server) update(m *dns.Msg, t *dns.TSIG, signed, from string) int {
 	refused := func(rcode int, why string) int {
 		s.counts.refused.Add(1)
@@ -21,11 +21,11 @@
 		return refused(dns.RcodeFormatError, "the zone section is not one SOA")
 	}
 	if signed == "" {
-		return refused(dns.RcodeRefused, "it is not signed")
+		return refused(dns.RcodeRefused, "the update is not signed")
 	}
 	z := s.zones[zone.Name(m.Question[0].Name)]
 	if z == nil {
-		return refused(dns.RcodeNotAuth, "the zone is not here")
+		return refused(dns.RcodeNotAuth, "the zone is not served here")
 	}
 	grant := z.grants[signed]
 	if grant == nil {
@@ -33,7 +33,7 @@
 	}
 	now := s.clock()
 	s.mu.Lock()
-	// A copy is in time for as long as the message itself: until its time of signing and the fudge are over.
+	// A replay passes the time check for as long as the message itself: until its time of signing plus the fudge.
 	left := time.Duration(int64(t.TimeSigned)+maxFudgeSeconds+1-time.Now().Unix()) * time.Second
 	repeat, full := s.replays.Seen(signed, t.MAC, now, now+left)
 	s.mu.Unlock()
@@ -41,7 +41,7 @@
 		return refused(dns.RcodeNotAuth, "it was sent before")
 	}
 	if full {
-		return refused(dns.RcodeRefused, "more updates than can be remembered")
+		return refused(dns.RcodeRefused, "the table of signatures against replay is full")
 	}
 	err := z.update(m, grant)
 	var r *zone.Refusal
@@ -55,7 +55,8 @@
 	return refused(dns.RcodeServerFailure, err.Error())
 }
 
-// receiveNotify is RFC 1996 3: a NOTIFY counts only from the primary, by its address or its key.
+// receiveNotify processes a NOTIFY (RFC 1996 3) and returns the response code. A NOTIFY is accepted only from the primary, identified by
+// its key, or by its address if the zone has no key.
 func (s *server) receiveNotify(m *dns.Msg, signed string, from net.Addr) int {
 	z := s.zones[zone.Name(m.Question[0].Name)]
 	if z == nil || z.secondary == nil {
--- a/internal/nameserver/write_back.go
+++ b/internal/nameserver/write_back.go
@@ -16,7 +16,7 @@
 func writeBack(ctx context.Context, zones []*managedZone) {
 	every := time.NewTicker(writeBackInterval)
 	defer every.Stop()
-	told := map[*managedZone]string{}
+	logged := map[*managedZone]string{}
 	for {
 		select {
 		case <-ctx.Done():
@@ -30,18 +30,18 @@
 			err := z.writeFile()
 			switch {
 			case err == nil:
-				delete(told, z)
-			case told[z] != err.Error():
-				told[z] = err.Error()
-				z.log.Warn("updates are not written into the zone's file; they are kept in the journal", "err", err)
+				delete(logged, z)
+			case logged[z] != err.Error():
+				logged[z] = err.Error()
+				z.log.Warn("updates can't be written into the zone's file; they stay in the journal", "err", err)
 			}
 		}
 	}
 }
 
-// writeFile writes updates back into the zone's file, and keeps what was there beside it. If the file was edited by hand since it was
-// read, the edit is applied first. An edit at the very moment of writing is found, too: the two files are exchanged in one step, and what
-// was there is looked at afterwards.
+// writeFile writes updates back into the zone's file, and keeps the file's old content in a second file next to it. If the file was edited
+// since it was read, the edit is applied first. An edit during the write is detected too: the two files are swapped atomically, and the
+// old content is compared afterwards.
 func (z *managedZone) writeFile() error {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -50,7 +50,7 @@
 			return nil
 		}
 		if err := z.loadFileLocked(); err != nil && !isNotExist(err) {
-			return fmt.Errorf("the file is not written over what can't be read: %w", err)
+			return fmt.Errorf("the file can't be loaded and is not overwritten: %w", err)
 		}
 		edited, err := z.writeFileOnce()
 		if err != nil || !edited {
@@ -60,11 +60,11 @@
 	return errFileEditedTooOften
 }
 
-// errFileEditedTooOften is a file that was edited by hand during each of writeAttempts.
-var errFileEditedTooOften = errors.New("the file is edited as often as it is written; it is written later")
+// errFileEditedTooOften reports a file that was edited during each of writeAttempts writes.
+var errFileEditedTooOften = errors.New("the file was edited during each attempt to write it; the write is retried later")
 
-// writeFileOnce writes the current version into the zone's file. edited reports that the file was edited at that moment, and that the
-// edit has been applied to the zone. The caller holds mu.
+// writeFileOnce writes the current version into the zone's file. edited reports that the file was edited during the write, and err is the
+// error of applying that edit to the zone. The caller holds mu.
 func (z *managedZone) writeFileOnce() (edited bool, err error) {
 	current := z.current.Load()
 	var text bytes.Buffer
@@ -77,7 +77,7 @@
 	}
 	expected := z.fileText
 	err = z.disk.Exchange(before, z.config.File)
-	if isNotExist(err) { // the file was removed: it is there again
+	if isNotExist(err) { // the zone's file was removed: it is created again
 		expected, err = nil, z.disk.Rename(before, z.config.File)
 	}
 	if err != nil {
@@ -98,11 +98,11 @@
 	if err != nil || bytes.Equal(found, expected) {
 		return false, err
 	}
-	z.log.Warn("the zone's file was edited while it was written: the edit is accepted")
+	z.log.Warn("the zone's file was edited while it was written; the edit is being applied")
 	return true, z.applyConcurrentEdit(base, current.Zone, found, before)
 }
 
-// createBeside writes a file beside the zone's, with the zone file's permissions, so that whoever could read that can read this.
+// createBeside writes a file next to the zone's file, with its permissions, so that the same users can read it.
 func (z *managedZone) createBeside(name string, text []byte) error {
 	f, err := z.disk.Create(name)
 	if err != nil {
@@ -120,15 +120,15 @@
 	return nil
 }
 
-// applyConcurrentEdit applies an edit that was found in the file that was exchanged, which is now called name.
+// applyConcurrentEdit applies an edit that was found in the old content of the zone's file, which is now in the file name.
 func (z *managedZone) applyConcurrentEdit(base, current *zone.Zone, text []byte, name string) error {
 	read, err := z.parseFile(text)
 	if err != nil {
-		return fmt.Errorf("what was edited stands in %s: %w", name, err)
+		return fmt.Errorf("the edited zone file, now in %s, can't be parsed: %w", name, err)
 	}
 	next, changed, err := zone.Rebase(base, read, current)
 	if err != nil {
-		return fmt.Errorf("what was edited stands in %s: %w", name, err)
+		return fmt.Errorf("the edits, now in %s, conflict with the updates since: %w", name, err)
 	}
 	if changed {
 		if err := z.applyEdit(current, next); err != nil {
--- a/internal/nameserver/zone_file.go
+++ b/internal/nameserver/zone_file.go
@@ -10,17 +10,17 @@
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-var errBeingWritten = errors.New("it does not end with a line end: it is still being written")
+var errNoFinalNewline = errors.New("the file does not end with a newline: it may still be being written")
 
-// parseFile parses a text of the zone's file.
+// parseFile parses the text of the zone's file.
 func (z *managedZone) parseFile(text []byte) (*zone.Zone, error) {
 	switch {
 	case len(text) > maxFileBytes:
-		return nil, &FileError{File: z.config.File, Detail: fmt.Sprintf("longer than %d bytes", maxFileBytes)}
+		return nil, &FileError{File: z.config.File, Detail: fmt.Sprintf("the file is longer than %d bytes", maxFileBytes)}
 	case len(bytes.TrimSpace(text)) == 0:
-		return nil, &FileError{File: z.config.File, Detail: "it is empty"}
+		return nil, &FileError{File: z.config.File, Detail: "the file is empty"}
 	case text[len(text)-1] != '\n':
-		return nil, fmt.Errorf("%s: %w", z.config.File, errBeingWritten)
+		return nil, fmt.Errorf("%s: %w", z.config.File, errNoFinalNewline)
 	}
 	root, err := os.OpenRoot(filepath.Dir(z.config.File))
 	if err != nil {
@@ -31,7 +31,7 @@
 	return zone.Parse(bytes.NewReader(text), z.config.Name, filepath.Base(z.config.File), files, z.maxRecords)
 }
 
-// loadFile reads the zone's file and accepts what is new in it. A file that can't be accepted changes nothing, and is logged once.
+// loadFile reads the zone's file and accepts its changes. A file that is rejected changes nothing, and its error is logged once.
 func (z *managedZone) loadFile() error {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -39,10 +39,10 @@
 	switch {
 	case err != nil && err.Error() != z.lastFault:
 		z.lastFault = err.Error()
-		if held := z.current.Load(); held.Zone != nil {
-			z.log.Warn("the zone's file is not taken; what is held stays", "err", err, "serial", held.Serial())
+		if current := z.current.Load(); current.Zone != nil {
+			z.log.Warn("the zone's file is not taken; what is held stays", "err", err, "serial", current.Serial())
 		} else {
-			z.log.Error("the zone's file is not accepted, and there is no earlier version", "err", err)
+			z.log.Error("the zone's file is rejected, and there is no earlier version", "err", err)
 		}
 	case err == nil && z.lastFault != "":
 		z.lastFault = ""
@@ -59,7 +59,7 @@
 	return z.acceptFile(text)
 }
 
-// acceptFile accepts a text of the file: as the zone, or, for a zone that updates change too, as edits on the current version.
+// acceptFile accepts the text of the file: as a new version, or, for a zone that updates change too, as edits of the current version.
 func (z *managedZone) acceptFile(text []byte) error {
 	if z.wroteFile && bytes.Equal(text, z.fileText) {
 		return nil
@@ -68,25 +68,25 @@
 	if err != nil {
 		return err
 	}
-	held := z.current.Load()
-	if held.Zone == nil || z.store == nil {
-		return z.acceptAsZone(held, read, text)
+	current := z.current.Load()
+	if current.Zone == nil || z.store == nil {
+		return z.acceptAsZone(current, read, text)
 	}
-	// A file that is updated, too: what was edited is put on what is held.
-	next, changed, err := zone.Rebase(z.fileBase, read, held.Zone)
+	// The zone is changed by updates too: the edits since fileBase are applied to the current version.
+	next, changed, err := zone.Rebase(z.fileBase, read, current.Zone)
 	if err != nil {
-		return fmt.Errorf("%s: it does not go together with the updates since: %w", z.config.File, err)
+		return fmt.Errorf("%s: the edits conflict with the updates since: %w", z.config.File, err)
 	}
 	edited := zone.Diff(z.fileBase, read)
 	if changed {
-		if err := z.applyEdit(held.Zone, next); err != nil {
+		if err := z.applyEdit(current.Zone, next); err != nil {
 			return err
 		}
-		z.log.Info("the zone's file was edited by hand", "records", edited.Records(), "serial", next.Serial())
+		z.log.Info("manual edits of the zone's file accepted", "records", edited.Records(), "serial", next.Serial())
 	}
 	if edited.Records() > 0 {
 		if err := z.store.writeBase(read); err != nil {
-			return fmt.Errorf("what the file holds can't be noted: %w", err)
+			return fmt.Errorf("the base version of the file can't be stored: %w", err)
 		}
 		z.fileBase = read
 	}
@@ -95,43 +95,43 @@
 	return nil
 }
 
-// acceptAsZone accepts a file as the zone itself: a first version, or a zone that only its file changes.
-func (z *managedZone) acceptAsZone(held *version, read *zone.Zone, text []byte) error {
+// acceptAsZone accepts a file as a new version of the zone: the first version, or a version of a zone that only its file changes.
+func (z *managedZone) acceptAsZone(current *version, read *zone.Zone, text []byte) error {
 	next := read
 	var deltas []*zone.Delta
 	var changed []string
-	if held.Zone != nil {
+	if current.Zone != nil {
 		var what zone.FileChange
-		switch next, what = zone.NextVersion(held.Zone, read); what {
+		switch next, what = zone.NextVersion(current.Zone, read); what {
 		case zone.Same:
 			return nil
 		case zone.Backwards:
-			return &FileError{File: z.config.File, Detail: fmt.Sprintf("its serial %d is not newer than %d", read.Serial(), held.Serial())}
+			return &FileError{File: z.config.File, Detail: fmt.Sprintf("the serial %d is not newer than %d", read.Serial(), current.Serial())}
 		case zone.Newer:
 		case zone.SerialReused:
-			z.log.Warn("the zone's file has other data under the same serial: it is taken as the next one", "serial", next.Serial())
+			z.log.Warn("the zone's file has other data under the same serial; the zone gets the next serial", "serial", next.Serial())
 		}
-		d := zone.Diff(held.Zone, next)
+		d := zone.Diff(current.Zone, next)
 		deltas, changed = []*zone.Delta{d}, recordNames(d.Removed, d.Added)
 	}
 	if z.store != nil {
 		if err := z.store.snapshot(next); err != nil {
-			return fmt.Errorf("the zone can't be kept: %w", err)
+			return fmt.Errorf("the zone can't be stored: %w", err)
 		}
 		if err := z.store.writeBase(read); err != nil {
-			return fmt.Errorf("what the file holds can't be noted: %w", err)
+			return fmt.Errorf("the base version of the file can't be stored: %w", err)
 		}
 		z.fileBase = read
 	}
 	z.fileText, z.wroteFile = text, false
-	z.publish(next, deltas, changed, held.Zone == nil)
+	z.publish(next, deltas, changed, current.Zone == nil)
 	z.log.Info("zone file accepted", "serial", next.Serial(), "records", next.Records())
 	return nil
 }
 
-// applyEdit is change for a hand edit that was rebased on the current version.
-func (z *managedZone) applyEdit(held, next *zone.Zone) error {
-	d := zone.Diff(held, next)
+// applyEdit applies manual edits that were rebased on the current version.
+func (z *managedZone) applyEdit(current, next *zone.Zone) error {
+	d := zone.Diff(current, next)
 	if err := z.change(d, next, recordNames(d.Removed, d.Added)); err != nil {
 		return fmt.Errorf("the edit can't be journalled: %w", err)
 	}
--- a/internal/nameserver/zone_file_test.go
+++ b/internal/nameserver/zone_file_test.go
@@ -8,75 +8,77 @@
 	"testing"
 )
 
-// Each way in which a zone's file is not one, while it is followed: the last good version stays.
+// Invalid and incomplete contents of a watched zone file leave the last valid version in service; valid changes of the file, and of files
+// that it includes, are served.
 func TestService_FollowsFile(t *testing.T) {
 	dir := t.TempDir()
-	c := updated(t, dir)
+	c := testConfig(t, dir)
 	c.Zones[0].Updates = nil
 	path := c.Zones[0].File
-	s := begun(t, c)
-	f := following(t, s)
-	f.until(t, "127.0.0.2")
+	s := startService(t, c)
+	f := recordEndpoints(t, s)
+	f.waitForServing(t, "127.0.0.2")
 	z := s.zones["example."]
 	for name, text := range map[string]string{"empty": "", "blank": "\n\n", "no SOA": "ns 300 IN A 127.0.0.1\n", "torn": zoneText[:len(zoneText)-3], "no line end": strings.TrimSuffix(zoneText, "\n"),
 		"rubbish": "\x00\x01\x02\n", "serial back": strings.Replace(strings.Replace(zoneText, "h 10", "h 9", 1), "0.0.2", "0.0.9", 1)} {
-		put(t, path, text)
+		replaceFile(t, path, text)
 		if err := z.loadFile(); err == nil || z.lastFault == "" {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 		if got := addressesOf(s, "hooks.example."); !slices.Equal(got, []string{"127.0.0.2"}) {
-			t.Errorf("%s: at %v", name, got)
+			t.Errorf("%s: the address is %v", name, got)
 		}
 	}
 	os.Remove(path)
 	if err := z.loadFile(); !isNotExist(err) {
-		t.Error("a file that is gone:", err)
+		t.Error("a removed file:", err)
 	}
-	// Now by itself: replaced, and then written in place in two halves.
-	put(t, path, strings.Replace(strings.Replace(zoneText, "h 10", "h 20", 1), "0.0.2", "0.0.3", 1))
-	f.until(t, "127.0.0.3")
+	// The watcher detects changes: the file is replaced, and then written in place in two halves.
+	replaceFile(t, path, strings.Replace(strings.Replace(zoneText, "h 10", "h 20", 1), "0.0.2", "0.0.3", 1))
+	f.waitForServing(t, "127.0.0.3")
 	next := strings.Replace(strings.Replace(zoneText, "h 10", "h 30", 1), "hooks 300 IN A 127.0.0.2", "hooks 300 IN A 127.0.0.4", 1)
 	file, err := os.Create(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	half := strings.Index(next, "hooks")
-	file.WriteString(next[:half]) // it ends with a line end, and has no hooks
+	file.WriteString(next[:half]) // ends with a newline, so it parses, but has no hooks
 	file.Sync()
 	file.WriteString(next[half:])
 	file.Close()
-	f.until(t, "127.0.0.4")
-	put(t, path, strings.Replace(next, "127.0.0.4", "127.0.0.5", 1)) // the serial was forgotten
-	f.until(t, "127.0.0.5")
+	f.waitForServing(t, "127.0.0.4")
+	replaceFile(t, path, strings.Replace(next, "127.0.0.4", "127.0.0.5", 1)) // the serial is unchanged
+	f.waitForServing(t, "127.0.0.5")
 	if got := z.current.Load().Serial(); got != 31 {
 		t.Errorf("serial %d", got)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "more.inc"), []byte("hooks 300 IN A 127.0.0.6\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	put(t, path, strings.Replace(zoneText, "h 10", "h 40", 1)+"$INCLUDE more.inc\n")
-	f.until(t, "127.0.0.2", "127.0.0.6")
-	put(t, filepath.Join(dir, "more.inc"), "hooks 300 IN A 127.0.0.7\n") // the file itself has not changed
-	f.until(t, "127.0.0.2", "127.0.0.7")
+	replaceFile(t, path, strings.Replace(zoneText, "h 10", "h 40", 1)+"$INCLUDE more.inc\n")
+	f.waitForServing(t, "127.0.0.2", "127.0.0.6")
+	replaceFile(t, filepath.Join(dir, "more.inc"), "hooks 300 IN A 127.0.0.7\n") // the file itself has not changed
+	f.waitForServing(t, "127.0.0.2", "127.0.0.7")
 }
 
-// A file that is edited by hand while updates come: both are kept, also when the edit comes in the moment of writing.
+// Manual edits of a zone's file and updates are merged, also if the file is edited during a write-back. A file that can't be parsed is not
+// overwritten; a removed file is created again.
 func TestZoneFile_HandEdit(t *testing.T) {
 	dir := t.TempDir()
-	c := updated(t, dir)
+	c := testConfig(t, dir)
 	path := c.Zones[0].File
-	g := everything()
+	g := grantAll()
 	d := &editingDisk{}
-	s, err := start(c, quiet(), d)
+	s, err := start(c, discardLogger(), d)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	z := s.zones["example."]
-	if err := z.update(moved(t, "example.", "a.example.", "127.0.2.1"), &g); err != nil {
+	if err := z.update(setAddressUpdate(t, "example.", "a.example.", "127.0.2.1"), &g); err != nil {
 		t.Fatal(err)
 	}
-	put(t, path, zoneText+"b 300 IN A 127.0.2.2\n")
+	replaceFile(t, path, zoneText+"b 300 IN A 127.0.2.2\n")
 	if err := z.writeFile(); err != nil {
 		t.Fatal(err)
 	}
@@ -84,11 +86,11 @@
 	if a, b := addressesOf(s, "a.example."), addressesOf(s, "b.example."); len(a) != 1 || len(b) != 1 || !strings.Contains(string(text), "127.0.2.1") || !strings.Contains(string(text), "127.0.2.2") {
 		t.Fatalf("%v %v\n%s", a, b, text)
 	}
-	if err := z.update(moved(t, "example.", "c.example.", "127.0.2.3"), &g); err != nil {
+	if err := z.update(setAddressUpdate(t, "example.", "c.example.", "127.0.2.3"), &g); err != nil {
 		t.Fatal(err)
 	}
-	d.before = func() { // between the last look and the exchange
-		put(t, path, string(text)+"d 300 IN A 127.0.2.4\n")
+	d.beforeExchange = func() { // between the last read and the exchange
+		replaceFile(t, path, string(text)+"d 300 IN A 127.0.2.4\n")
 	}
 	if err := z.writeFile(); err != nil {
 		t.Fatal(err)
@@ -96,16 +98,16 @@
 	text, _ = os.ReadFile(path)
 	for name, addr := range map[string]string{"a.example.": "127.0.2.1", "b.example.": "127.0.2.2", "c.example.": "127.0.2.3", "d.example.": "127.0.2.4"} {
 		if got := addressesOf(s, name); !slices.Equal(got, []string{addr}) || !strings.Contains(string(text), addr) {
-			t.Errorf("%s is at %v; the file is\n%s", name, got, text)
+			t.Errorf("%s has addresses %v; the file is\n%s", name, got, text)
 		}
 	}
-	// What can't be read is not written over.
-	if err := z.update(moved(t, "example.", "e.example.", "127.0.2.5"), &g); err != nil {
+	// A file that can't be parsed is not overwritten.
+	if err := z.update(setAddressUpdate(t, "example.", "e.example.", "127.0.2.5"), &g); err != nil {
 		t.Fatal(err)
 	}
-	put(t, path, "half a thou")
+	replaceFile(t, path, "half a thou")
 	if err := z.writeFile(); err == nil {
-		t.Error("a file that is being written was written over")
+		t.Error("an incomplete file was overwritten")
 	}
 	if now, _ := os.ReadFile(path); string(now) != "half a thou" {
 		t.Errorf("%s", now)
@@ -119,18 +121,16 @@
 	}
 }
 
-// editingDisk calls before, once, just as a file is exchanged.
+// editingDisk calls beforeExchange once, immediately before the next exchange.
 type editingDisk struct {
 	osDisk
-	before func()
+	beforeExchange func()
 }
 
 func (d *editingDisk) Exchange(a, b string) error {
-	if f := d.before; f != nil {
-		d.before = nil
+	if f := d.beforeExchange; f != nil {
+		d.beforeExchange = nil
 		f()
 	}
 	return d.osDisk.Exchange(a, b)
 }
-
-// ---- Histories
