--- a/internal/features/delivery.go
+++ b/internal/features/delivery.go
@@ -7,8 +7,8 @@
 
 // Delivery is the format of outgoing messages.
 type Delivery struct {
-	Source string `toml:"source"` // of events made of plain messages
-	Type   string `toml:"type"`   // of those; {class} stands for the message's class; default "saffronyard.{class}"
+	Source string `toml:"source"` // source of events that are made from plain messages
+	Type   string `toml:"type"`   // type of these events; {class} stands for the message's class; default "saffronyard.{class}"
 	To     []To   `toml:"to"`
 }
 
@@ -20,12 +20,12 @@
 	Path         string   `toml:"path"`         // default "/hook"
 	BatchEvents  int      `toml:"batch_events"` // default 20
 	BatchBytes   int      `toml:"batch_bytes"`  // default 65536
-	Validate     bool     `toml:"validate"`     // ask with OPTIONS before the first call
+	Validate     bool     `toml:"validate"`     // request permission with OPTIONS before the first call
 	Origin       string   `toml:"origin"`       // WebHook-Request-Origin
-	Rate         int      `toml:"rate"`         // WebHook-Request-Rate, requests a minute
+	Rate         int      `toml:"rate"`         // WebHook-Request-Rate, requests per minute
 }
 
-// maxRate bounds WebHook-Request-Rate, in requests a minute.
+// maxRate bounds WebHook-Request-Rate, in requests per minute.
 const maxRate = 60_000_000
 
 func (d *Delivery) check(doc document) error {
@@ -44,7 +44,7 @@
 			return doc.errorAt("delivery.to", i, key, "delivery.to %d: %w", i+1, settingError(format, args...))
 		}
 		if !slices.Contains([]string{"plain", "binary", "structured", "batched"}, t.Form) {
-			return at("form", "form = %q; there are plain, binary, structured and batched", t.Form)
+			return at("form", "form = %q is not plain, binary, structured or batched", t.Form)
 		}
 		events = events || t.Form != "plain"
 		if t.Form == "batched" {
@@ -65,23 +65,23 @@
 			}
 		}
 		if !printable(t.Path) || !strings.HasPrefix(t.Path, "/") {
-			return at("path", "path = %q is not a path: it begins with / and holds no blanks", t.Path)
+			return at("path", "path = %q is not a path: it must begin with / and contain only printable ASCII without blanks", t.Path)
 		}
 		if t.Validate && (t.Origin == "" || !printable(t.Origin)) {
-			return at("origin", "validate asks in the name of an origin, such as the sender's DNS name: origin = %q", t.Origin)
+			return at("origin", "validate needs a printable origin, such as the sender's DNS name: origin = %q", t.Origin)
 		}
 		if !t.Validate && (t.Origin != "" || t.Rate != 0) {
 			return at("origin", "origin and rate are for validate = true")
 		}
 		if t.Rate < 0 || t.Rate > maxRate {
-			return at("rate", "rate = %d is not from 0 to %d requests a minute", t.Rate, maxRate)
+			return at("rate", "rate = %d is not from 0 to %d requests per minute", t.Rate, maxRate)
 		}
 	}
 	if events && !printable(d.Source) {
-		return doc.errorAt("delivery", 0, "source", "delivery.source = %q: events made of plain messages need a source, a URI-reference", d.Source)
+		return doc.errorAt("delivery", 0, "source", "delivery.source = %q: events made from plain messages need a source, a URI-reference", d.Source)
 	}
 	if !printable(d.Type) {
-		return doc.errorAt("delivery", 0, "type", "delivery.type = %q is not plain ASCII without blanks", d.Type)
+		return doc.errorAt("delivery", 0, "type", "delivery.type = %q is not printable ASCII without blanks", d.Type)
 	}
 	return nil
 }
--- a/internal/features/dns.go
+++ b/internal/features/dns.go
@@ -15,50 +15,50 @@
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-// DNS is how members are followed by name.
+// DNS is the name server and the members whose endpoints are resolved by name.
 type DNS struct {
-	Listen     string        `toml:"listen"`     // of the name server, UDP and TCP; default: none
+	Listen     string        `toml:"listen"`     // address of the name server, UDP and TCP; default: no server
 	Folder     string        `toml:"folder"`     // default: "zones" in the sender's state folder
-	KeysFile   string        `toml:"keys_file"`  // TSIG keys, a line each: NAME ALGORITHM SECRET; default: none
-	Records    int           `toml:"records"`    // of a zone, at most; from 10 to 10000000, default 1000000
+	KeysFile   string        `toml:"keys_file"`  // TSIG keys, one per line: NAME ALGORITHM SECRET; default: no keys
+	Records    int           `toml:"records"`    // maximum number of records of a zone; from 10 to 10000000, default 1000000
 	Precedence string        `toml:"precedence"` // names, discovery or both; default "names"
-	Keep       tomlfile.Span `toml:"keep"`       // an address that comes back within it is the same endpoint; from 2s to 1h, default 2m
-	Flaps      int           `toml:"flaps"`      // one that went so often; from 1 to 100, default 3
-	FlapSpan   tomlfile.Span `toml:"flap_span"`  // within this; from 1s to 1h, default 30s
-	Settle     tomlfile.Span `toml:"settle"`     // comes back when it has stood so long; from 1s to 1h, default 10s
+	Keep       tomlfile.Span `toml:"keep"`       // an address that returns within this time is the same endpoint; from 2s to 1h, default 2m
+	Flaps      int           `toml:"flaps"`      // an address that was removed so many times flaps; from 1 to 100, default 3
+	FlapSpan   tomlfile.Span `toml:"flap_span"`  // the time window of flaps; from 1s to 1h, default 30s
+	Settle     tomlfile.Span `toml:"settle"`     // a flapping address serves again once it has been stable for this time; from 1s to 1h, default 10s
 	Zones      []Zone        `toml:"zone"`
 	Members    []Member      `toml:"member"`
 }
 
-// Zone is one zone: from a file or from a primary.
+// Zone is one zone, from a file or from a primary.
 type Zone struct {
 	Name         string       `toml:"name"`
 	File         string       `toml:"file"`
 	Primary      string       `toml:"primary"`       // address:port
-	Key          string       `toml:"key"`           // signs what the primary is asked; default: none
-	TransferKeys []string     `toml:"transfer_keys"` // that may have it whole
-	Notify       []string     `toml:"notify"`        // address:port of secondaries
+	Key          string       `toml:"key"`           // signs the requests to the primary; default: unsigned
+	TransferKeys []string     `toml:"transfer_keys"` // keys that may transfer the zone
+	Notify       []string     `toml:"notify"`        // address:port of secondaries to notify
 	NotifyKey    string       `toml:"notify_key"`
 	Updates      []ZoneUpdate `toml:"update"`
 }
 
-// ZoneUpdate is what one key may change.
+// ZoneUpdate grants one key updates of some names and types.
 type ZoneUpdate struct {
 	Key   string   `toml:"key"`
-	Names []string `toml:"names"` // exact, or "*." and what it is below
+	Names []string `toml:"names"` // exact names, or "*." and a name, for all names below it
 	Types []string `toml:"types"` // default: all
 }
 
-// Member is a destination's name.
+// Member is a name that resolves to endpoints of a destination.
 type Member struct {
 	Destination uint32        `toml:"destination"`
 	Name        string        `toml:"name"`
 	SRV         bool          `toml:"srv"`
-	Port        uint16        `toml:"port"` // without srv
+	Port        uint16        `toml:"port"` // of the addresses; required without srv
 	Kind        string        `toml:"kind"`
 	Zone        string        `toml:"zone"`
 	Weight      float64       `toml:"weight"`      // default 1
-	EmptyAfter  tomlfile.Span `toml:"empty_after"` // no address at all is believed after so long; to 24h, default 0s: at once
+	EmptyAfter  tomlfile.Span `toml:"empty_after"` // delay before an answer without addresses takes effect; up to 24h, default 0s: none
 	Precedence  string        `toml:"precedence"`  // default: that of [dns]
 }
 
@@ -73,11 +73,11 @@
 	}
 	setDefault(&d.Records, nameserver.DefaultMaxRecords)
 	setDefault(&d.Precedence, membership.NamesFirst.String())
-	usual := membership.DefaultFollowerConfig()
-	setDefault(&d.Keep, tomlfile.Span(usual.Retention))
-	setDefault(&d.Flaps, usual.MaxFlaps)
-	setDefault(&d.FlapSpan, tomlfile.Span(usual.FlapWindow))
-	setDefault(&d.Settle, tomlfile.Span(usual.Stabilization))
+	defaults := membership.DefaultFollowerConfig()
+	setDefault(&d.Keep, tomlfile.Span(defaults.Retention))
+	setDefault(&d.Flaps, defaults.MaxFlaps)
+	setDefault(&d.FlapSpan, tomlfile.Span(defaults.FlapWindow))
+	setDefault(&d.Settle, tomlfile.Span(defaults.Stabilization))
 	if d.Records < 10 || d.Records > 10_000_000 {
 		return doc.errorAt("dns", 0, "records", "dns.records = %d is not from 10 to 10000000", d.Records)
 	}
@@ -98,11 +98,11 @@
 	}
 	if d.Listen != "" {
 		if _, _, err := net.SplitHostPort(d.Listen); err != nil {
-			return doc.errorAt("dns", 0, "listen", "dns.listen = %q is no address:port", d.Listen)
+			return doc.errorAt("dns", 0, "listen", "dns.listen = %q is not an address:port", d.Listen)
 		}
 	}
 	if len(d.Zones) == 0 {
-		return doc.errorAt("dns", 0, "", "dns has no [[dns.zone]]: no name would be found")
+		return doc.errorAt("dns", 0, "", "dns has no [[dns.zone]]: no name can be resolved")
 	}
 	if len(d.Zones) > maxZones || len(d.Members) > maxMembers {
 		return doc.errorAt("dns", 0, "", "dns has more than %d zones or %d members", maxZones, maxMembers)
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// checkZones checks each zone by itself; whether its keys are there shows when their file is read.
+// checkZones checks each zone. The existence of its keys is checked later, when the key file is read.
 func (d *DNS) checkZones(doc document) error {
 	updates := 0
 	for i := range d.Zones {
@@ -127,7 +127,7 @@
 		for j := range z.Updates {
 			for _, t := range z.Updates[j].Types {
 				if _, ok := dns.StringToType[t]; !ok {
-					return doc.errorAt("dns.zone.update", updates+j, "types", "dns.zone %q: update: %q is no type", z.Name, t)
+					return doc.errorAt("dns.zone.update", updates+j, "types", "dns.zone %q: update: %q is not a record type", z.Name, t)
 				}
 			}
 		}
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// checkMember checks the i-th member. precedences are those that members before it gave to their destinations.
+// checkMember checks the i-th member and adds its precedence to precedences, which has those of the members before it by destination.
 func (d *DNS) checkMember(doc document, i int, precedences map[uint32]string) error {
 	m := &d.Members[i]
 	setDefault(&m.Weight, 1)
@@ -152,13 +152,13 @@
 		return at("destination", "destination %d is over %d", m.Destination, maxDestination)
 	}
 	if !zone.IsName(m.Name) {
-		return at("name", "name = %q is no name", m.Name)
+		return at("name", "name = %q is not a domain name", m.Name)
 	}
 	if m.SRV == (m.Port != 0) {
-		return at("port", "either srv = true, or a port of its addresses")
+		return at("port", "exactly one of srv = true and port is required")
 	}
 	if !(m.Weight > 0 && m.Weight <= 1e6) {
-		return at("weight", "weight = %v is not above 0, and up to 1000000", m.Weight)
+		return at("weight", "weight = %v is not above 0 and at most 1000000", m.Weight)
 	}
 	if m.EmptyAfter.D() > 24*time.Hour {
 		return at("empty_after", "empty_after = %v is over 24h", m.EmptyAfter.D())
@@ -174,12 +174,13 @@
 	}
 	name := zone.Name(m.Name)
 	if !slices.ContainsFunc(d.Zones, func(z Zone) bool { return zone.Within(zone.Name(z.Name), name) }) {
-		return at("name", "%s is in none of the zones", m.Name)
+		return at("name", "%s is not in any of the zones", m.Name)
 	}
 	return nil
 }
 
-// keysNamedBy is keys with the names that a zone uses: whether they are there shows when their file is read.
+// keysNamedBy returns keys with the names that a zone uses, so that the check of the zone passes: the existence of the keys is checked
+// later, when the key file is read.
 func (d *DNS) keysNamedBy(z *Zone) []nameserver.Key {
 	var keys []nameserver.Key
 	if d.KeysFile == "" {
@@ -223,7 +224,7 @@
 	return c
 }
 
-// Keys reads the file of keys; nil without one.
+// Keys reads the key file; nil without one.
 func (d *DNS) Keys() ([]nameserver.Key, error) {
 	if d.KeysFile == "" {
 		return nil, nil
@@ -231,7 +232,7 @@
 	return nameserver.ReadKeys(d.KeysFile)
 }
 
-// Config returns the name server's configuration. folder is where its state is, unless the file names one.
+// Config returns the name server's configuration. folder is the default of its state folder.
 func (d *DNS) Config(folder string) (*nameserver.Config, error) {
 	keys, err := d.Keys()
 	if err != nil {
@@ -252,16 +253,16 @@
 	return c, nil
 }
 
-// Precedences is the precedence by destination, and that of all others.
+// Precedences returns the precedence by destination, and that of all other destinations.
 func (d *DNS) Precedences() (map[uint32]membership.Precedence, membership.Precedence) {
-	by := map[uint32]membership.Precedence{}
-	fallback, _ := membership.PrecedenceOf(d.Precedence) // checked as the file was read
+	byDestination := map[uint32]membership.Precedence{}
+	fallback, _ := membership.PrecedenceOf(d.Precedence) // validated when the file was read
 	for _, m := range d.Members {
 		if p, err := membership.PrecedenceOf(m.Precedence); err == nil {
-			by[m.Destination] = p
+			byDestination[m.Destination] = p
 		}
 	}
-	return by, fallback
+	return byDestination, fallback
 }
 
 func (d *DNS) lines() []string {
--- a/internal/features/dns_test.go
+++ b/internal/features/dns_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// Each error names the line of what is wrong.
+// Each error names the line of the invalid setting.
 func TestParse_DNSErrors(t *testing.T) {
 	edit := func(old, new string) string { return strings.Replace(dnsFile, old, new, 1) }
 	for says, text := range map[string]string{
@@ -71,15 +71,15 @@
 		`x.toml:2: dns.flaps = 101`:                                     edit(`keys_file = "keys"`, "flaps = 101"),
 		`x.toml:2: dns.records = 5`:                                     edit(`keys_file = "keys"`, "records = 5"),
 		`x.toml:2: dns.precedence: "dns" is no precedence`:              edit(`keys_file = "keys"`, `precedence = "dns"`),
-		`x.toml:2: dns.listen = "53" is no address:port`:                edit(`keys_file = "keys"`, `listen = "53"`),
+		`x.toml:2: dns.listen = "53" is not an address:port`:            edit(`keys_file = "keys"`, `listen = "53"`),
 		`x.toml:5: zone member.example.org.: there is no key xfer.`:     edit(`keys_file = "keys"`, ""),
 		`x.toml:5: zone member.example.org.: exactly one of a file and`: edit("file = \"/etc/m.zone\"\n", ""),
 		`x.toml:5: zone member.example.org.: key ops.: "*.example`:      edit("*.Member.example.org", "*.example.net"),
 		`x.toml:11: dns.zone "Member.Example.org": update: "AA" is`:     edit(`"A", `, `"AA", `),
 		`x.toml:16: dns.member 1: destination 70000 is over`:            edit("= 7", "= 70000"),
-		`x.toml:17: dns.member 1: name = "a..b" is no name`:             edit("hooks.member.example.org", "a..b"),
-		`x.toml:17: dns.member 1: x.example.net is in none`:             edit("hooks.member.example.org", "x.example.net"),
-		`x.toml:15: dns.member 1: either srv = true, or a port`:         edit("port = 8443\n", ""),
+		`x.toml:17: dns.member 1: name = "a..b" is not a domain name`:   edit("hooks.member.example.org", "a..b"),
+		`x.toml:17: dns.member 1: x.example.net is not in any`:          edit("hooks.member.example.org", "x.example.net"),
+		`x.toml:15: dns.member 1: exactly one of srv = true and`:        edit("port = 8443\n", ""),
 		`x.toml:19: dns.member 1: empty_after = 25h0m0s is over`:        edit(`"30s"`, `"25h"`),
 		`x.toml:24: dns.member 2: precedence: "all" is no precedence`:   edit(`"both"`, `"all"`),
 		`x.toml:16: unknown key "dns.member.dest"`:                      edit("destination = 7", "dest = 7"),
--- a/internal/features/events.go
+++ b/internal/features/events.go
@@ -8,19 +8,19 @@
 	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
-// Events is how CloudEvents are taken in, at POST /events.
+// Events is the intake of CloudEvents at POST /events.
 type Events struct {
-	Remember     tomlfile.Span     `toml:"remember"`      // how an event ended is remembered so long; default 10m
-	RememberMost int               `toml:"remember_most"` // of so many events; default 10000
-	BatchEvents  int               `toml:"batch_events"`  // in a batch, at most; default 100
-	BatchBytes   int               `toml:"batch_bytes"`   // of a batch, at most; default 262144
-	Deadline     tomlfile.Span     `toml:"deadline"`      // where a rule states none; default: the class's
-	Destinations map[string]uint32 `toml:"destinations"`  // numbers by name
+	Remember     tomlfile.Span     `toml:"remember"`      // how long the outcome of an event is remembered; default 10m
+	RememberMost int               `toml:"remember_most"` // maximum number of outcomes remembered; default 10000
+	BatchEvents  int               `toml:"batch_events"`  // maximum number of events in a batch; default 100
+	BatchBytes   int               `toml:"batch_bytes"`   // maximum size of a batch; default 262144
+	Deadline     tomlfile.Span     `toml:"deadline"`      // for rules without a deadline; default: that of the class
+	Destinations map[string]uint32 `toml:"destinations"`  // numbers of destinations by name
 	Rules        []Rule            `toml:"rule"`
-	Default      *Rule             `toml:"default"` // where no rule matches; without it such an event is rejected
+	Default      *Rule             `toml:"default"` // for events that no rule matches; without it they are rejected
 }
 
-// Rule is one rule of the mapping; package mapping tells what its texts mean.
+// Rule is one rule of the mapping; see mapping.Rule for its fields.
 type Rule struct {
 	Name        string            `toml:"name"`
 	Type        string            `toml:"type"`
@@ -39,7 +39,7 @@
 const (
 	minRetention  = time.Second
 	maxRetention  = 24 * time.Hour
-	maxRemembered = 4 << 20 // ends of events
+	maxRemembered = 4 << 20 // outcomes of events
 	maxRules      = 1000
 )
 
@@ -71,7 +71,7 @@
 		}
 	}
 	if len(e.Rules) == 0 && e.Default == nil {
-		return doc.errorAt("events", 0, "", "events has neither a rule nor a default: every event would be turned away")
+		return doc.errorAt("events", 0, "", "events has neither a rule nor a default: every event would be rejected")
 	}
 	if len(e.Rules) > maxRules {
 		return doc.errorAt("events.rule", maxRules, "", "events.rule: more than %d rules", maxRules)
@@ -83,11 +83,11 @@
 		}
 	}
 	if i, before, ok := rules.Reachable(); ok {
-		return doc.errorAt("events.rule", i, "", "%s is never reached: all that it fits %s fits before it", rules.Name(i), rules.Name(before))
+		return doc.errorAt("events.rule", i, "", "%s is never reached: %s comes first and matches every event that it matches", rules.Name(i), rules.Name(before))
 	}
 	if d := e.Default; d != nil {
 		if d.Type+d.Source+d.Subject != "" || len(d.Extensions) > 0 {
-			return doc.errorAt("events.default", 0, "", "default: it has no conditions; a rule has")
+			return doc.errorAt("events.default", 0, "", "default: conditions are allowed in rules only")
 		}
 		if err := e.checkRule(rules.Fallback); err != nil {
 			return doc.errorAt("events.default", 0, "", "default: %w", err)
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -1,5 +1,5 @@
-// Package features reads the operators' own file: what the sender does beyond the platform's configuration. All
-// of it is off, or at the sender's own value, unless the file names it.
+// Package features reads the operators' own file, which turns on functions of the sender beyond the platform's configuration. A function
+// that the file does not name is off, or has the sender's default settings.
 package features
 
 import (
@@ -11,7 +11,7 @@
 	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
-// Features is what the file names.
+// Features is the content of the file. A nil field is a table that the file does not have.
 type Features struct {
 	Quiet    *Quiet    `toml:"quiet"`
 	Events   *Events   `toml:"events"`
@@ -25,19 +25,19 @@
 	Fleet       *Fleet       `toml:"fleet"`
 }
 
-// Knowledge is how what the sender knows of receivers outlasts its process.
+// Knowledge is the snapshot of the sender's observations of receivers, which a restarted process loads.
 type Knowledge struct {
-	Every tomlfile.Span `toml:"every"` // a snapshot is written so often; from 500ms to 1h, default 2s
-	Bytes int64         `toml:"bytes"` // and takes so many at most, twice while it is written; default 131072
+	Every tomlfile.Span `toml:"every"` // interval between snapshots; from 500ms to 1h, default 2s
+	Bytes int64         `toml:"bytes"` // maximum size of a snapshot; twice as much is used while one is written; default 131072
 }
 
-// Quiet is how destinations without traffic are remembered.
+// Quiet is the handling of destinations without traffic.
 type Quiet struct {
-	// FoldAfter is how long a destination is quiet before it is remembered in short; from 1s to 24h.
+	// FoldAfter is the time without traffic after which only a compact state of a destination is kept; from 1s to 24h.
 	FoldAfter tomlfile.Span `toml:"fold_after"`
 }
 
-// Bounds of the settings that this file and its neighbours check.
+// Bounds of settings.
 const (
 	maxFileBytes   = 1 << 20 // of the operators' file
 	maxDestination = 1<<16 - 1
@@ -53,8 +53,8 @@
 	maxDeadline    = 24 * time.Hour
 )
 
-// Load reads and checks a file. An error names the file, and the line and key if there is one; it is a *PositionError, a *SettingError or
-// one of package tomlfile.
+// Load reads and checks a file. An error names the file, and the line and key if it concerns one; it is a *PositionError, a *SettingError,
+// an error of package tomlfile, or that of reading the file.
 func Load(path string) (*Features, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return f, nil
 }
 
-// check checks the table, if the file has it, as the check methods of all tables do; defaults are filled in.
+// check validates the table and fills in its defaults; without the table it does nothing. The check methods of all tables do the same.
 func (q *Quiet) check(doc document) error {
 	if q == nil {
 		return nil
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// setDefault gives a setting that the file leaves out, or sets to zero, its default.
+// setDefault sets a setting that is zero, as the file omits it or sets it to zero, to its default.
 func setDefault[T comparable](v *T, def T) {
 	var zero T
 	if *v == zero {
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -20,23 +20,23 @@
 
 func TestParse_ErrorsNameLine(t *testing.T) {
 	for name, c := range map[string]struct{ text, says string }{
-		"unknown table": {"\n[quite]\n", `x.toml:2: unknown key "quite"`},
-		"unknown key":   {"[quiet]\nfold_after = \"5m\"\nfold = 3\n", `x.toml:3: unknown key "quiet.fold"`},
-		"no time":       {"[quiet]\nfold_after = \"soon\"\n", `x.toml:2: "soon" is no time`},
-		"a number":      {"[quiet]\n\nfold_after = 5\n", "x.toml:3: "},
-		"too short":     {"[quiet]\n# c\nfold_after = \"10ms\"\n", "x.toml:3: quiet.fold_after = 10ms is not from 1s"},
-		"below nothing": {"[quiet]\nfold_after = \"-5m\"\n", "x.toml:2: "},
-		"not set":       {"# c\n[quiet]\n", "x.toml:2: quiet.fold_after = 0s"},
-		"no TOML":       {"[quiet\n", "x.toml:1: "},
-		"rarely":        {"[knowledge]\nbytes = 9000\nevery = \"2h\"\n", "x.toml:3: knowledge.every = 2h0m0s"},
-		"no room":       {"[knowledge]\nbytes = 90\n", "x.toml:2: knowledge.bytes = 90"},
-		"no cluster":    {"[peers]\nfollow = 2\n", `x.toml:1: peers: cluster "" is empty`},
-		"beyond":        {"[peers]\ncluster = \"a\"\nexchange = \"10.0.0.1:80\"\n", `x.toml:3: peers: exchange = "10.0.0.1:80": it is not a loopback address`},
-		"a bad seed":    {"[peers]\ncluster = \"a\"\nseeds = [\"n1\"]\n", `x.toml:3: peers: seed "n1"`},
-		"reach":         {"[peers]\ncluster = \"a\"\n[[peers.reach]]\naddress = \"127.0.0.2:7946\"\nvia = \"n1\"\n", `peers: reach 1: via = "n1"`},
-		"reached twice": {"[peers]\ncluster = \"a\"\n[[peers.reach]]\naddress = \"127.0.0.2:1\"\nvia = \"127.0.0.1:1\"\n[[peers.reach]]\naddress = \"127.0.0.2:1\"\nvia = \"127.0.0.1:2\"\n", "reach 2: 127.0.0.2:1 is reached at 127.0.0.1:1 already"},
-		"follows none":  {"[peers]\ncluster = \"a\"\nfollow = 99\n", "x.toml:3: peers.follow = 99 is not from 1 to 16"},
-		"too long":      {strings.Repeat("#", maxFileBytes+1), "longer than"},
+		"unknown table":      {"\n[quite]\n", `x.toml:2: unknown key "quite"`},
+		"unknown key":        {"[quiet]\nfold_after = \"5m\"\nfold = 3\n", `x.toml:3: unknown key "quiet.fold"`},
+		"no duration":        {"[quiet]\nfold_after = \"soon\"\n", `x.toml:2: "soon" is no time`},
+		"a number":           {"[quiet]\n\nfold_after = 5\n", "x.toml:3: "},
+		"too short":          {"[quiet]\n# c\nfold_after = \"10ms\"\n", "x.toml:3: quiet.fold_after = 10ms is not from 1s"},
+		"negative":           {"[quiet]\nfold_after = \"-5m\"\n", "x.toml:2: "},
+		"not set":            {"# c\n[quiet]\n", "x.toml:2: quiet.fold_after = 0s"},
+		"no TOML":            {"[quiet\n", "x.toml:1: "},
+		"interval too long":  {"[knowledge]\nbytes = 9000\nevery = \"2h\"\n", "x.toml:3: knowledge.every = 2h0m0s"},
+		"snapshot too small": {"[knowledge]\nbytes = 90\n", "x.toml:2: knowledge.bytes = 90"},
+		"no cluster":         {"[peers]\nfollow = 2\n", `x.toml:1: peers: cluster "" is empty`},
+		"not loopback":       {"[peers]\ncluster = \"a\"\nexchange = \"10.0.0.1:80\"\n", `x.toml:3: peers: exchange = "10.0.0.1:80": it is not a loopback address`},
+		"a bad seed":         {"[peers]\ncluster = \"a\"\nseeds = [\"n1\"]\n", `x.toml:3: peers: seed "n1"`},
+		"invalid route":      {"[peers]\ncluster = \"a\"\n[[peers.reach]]\naddress = \"127.0.0.2:7946\"\nvia = \"n1\"\n", `peers: reach 1: via = "n1"`},
+		"duplicate route":    {"[peers]\ncluster = \"a\"\n[[peers.reach]]\naddress = \"127.0.0.2:1\"\nvia = \"127.0.0.1:1\"\n[[peers.reach]]\naddress = \"127.0.0.2:1\"\nvia = \"127.0.0.1:2\"\n", "reach 2: 127.0.0.2:1 is reached at 127.0.0.1:1 already"},
+		"too many followed":  {"[peers]\ncluster = \"a\"\nfollow = 99\n", "x.toml:3: peers.follow = 99 is not from 1 to 16"},
+		"too long":           {strings.Repeat("#", maxFileBytes+1), "longer than"},
 	} {
 		if _, err := Parse("x.toml", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: %v, want %q", name, err, c.says)
@@ -47,12 +47,12 @@
 	}
 }
 
-// A file of keys, whole or not at all.
+// A key file with an invalid line is rejected as a whole, and one without keys too.
 func TestPeers_Keys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	for text, want := range map[string]string{
 		"# now\nQUFBQUFBQUFBQUFBQUFBQQ==\n\n  QkJCQkJCQkJCQkJCQkJCQg==\n": "",
-		"QUFB\n": "keys:1: a key of 3 bytes", "# c\nnot base64\n": "keys:2: no key in base64", "\n# none\n": "it holds no key"} {
+		"QUFB\n": "keys:1: a key of 3 bytes", "# c\nnot base64\n": "keys:2: the key is not valid base64", "\n# none\n": "the file has no key"} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -66,7 +66,7 @@
 	}
 }
 
-const rule = "[[events.rule]]\nclass = \"safe\"\ndestination = \"1\"\n"
+const eventRule = "[[events.rule]]\nclass = \"safe\"\ndestination = \"1\"\n"
 
 func TestParse_Events(t *testing.T) {
 	f, err := Parse("x.toml", []byte("[events]\nremember = \"30s\"\n[events.destinations]\nnorth = 7\n[[events.rule]]\nname = \"a\"\ntype = \"t.*\"\nsubject = \"{who}\"\n"+
@@ -99,21 +99,21 @@
 	}
 }
 
-// Each error names the line of what is wrong, of the right one of several tables.
+// Each error names the line of the invalid setting, in the right table if several have the same name.
 func TestParse_EventAndDeliveryErrors(t *testing.T) {
 	const to = "[delivery]\nsource = \"/s\"\n[[delivery.to]]\n"
 	for says, text := range map[string]string{
-		`x.toml:2: events.remember = 10ms is not from 1s`:               "[events]\nremember = \"10ms\"\n" + rule,
-		`x.toml:2: events.deadline = 25h0m0s is over`:                   "[events]\ndeadline = \"25h\"\n" + rule,
-		`x.toml:2: events.remember_most = -1 is not from 1`:             "[events]\nremember_most = -1\n" + rule,
-		`x.toml:2: events.batch_bytes = 100 is not from 65536`:          "[events]\nbatch_bytes = 100\n" + rule,
-		`x.toml:3: events.destinations.north = 65536 is over`:           "[events]\n[events.destinations]\nnorth = 65536\n" + rule,
+		`x.toml:2: events.remember = 10ms is not from 1s`:               "[events]\nremember = \"10ms\"\n" + eventRule,
+		`x.toml:2: events.deadline = 25h0m0s is over`:                   "[events]\ndeadline = \"25h\"\n" + eventRule,
+		`x.toml:2: events.remember_most = -1 is not from 1`:             "[events]\nremember_most = -1\n" + eventRule,
+		`x.toml:2: events.batch_bytes = 100 is not from 65536`:          "[events]\nbatch_bytes = 100\n" + eventRule,
+		`x.toml:3: events.destinations.north = 65536 is over`:           "[events]\n[events.destinations]\nnorth = 65536\n" + eventRule,
 		`x.toml:1: events has neither a rule`:                           "[events]\n",
-		`x.toml:5: rule 2: class and destination are needed`:            "[events]\n" + rule + "[[events.rule]]\ntype = \"a\"\n",
-		`x.toml:5: rule 2 is never reached: all that it fits rule 1`:    "[events]\n" + rule + rule,
+		`x.toml:5: rule 2: class and destination are needed`:            "[events]\n" + eventRule + "[[events.rule]]\ntype = \"a\"\n",
+		`x.toml:5: rule 2 is never reached: rule 1 comes first`:         "[events]\n" + eventRule + eventRule,
 		`x.toml:2: rule 1: destination = "south" is neither`:            "[events]\n[[events.rule]]\nclass = \"safe\"\ndestination = \"south\"\n",
 		`x.toml:2: rule 1: deadline = 25h0m0s is over`:                  "[events]\n[[events.rule]]\nclass = \"safe\"\ndestination = \"1\"\ndeadline = \"25h\"\n",
-		`x.toml:2: default: it has no conditions`:                       "[events]\n[events.default]\ntype = \"a\"\nclass = \"safe\"\ndestination = \"1\"\n",
+		`x.toml:2: default: conditions are allowed in rules only`:       "[events]\n[events.default]\ntype = \"a\"\nclass = \"safe\"\ndestination = \"1\"\n",
 		`x.toml:2: default: class and destination`:                      "[events]\n[events.default]\nclass = \"safe\"\n",
 		`x.toml:3: unknown key "events.rule.typ"`:                       "[events]\n[[events.rule]]\ntyp = \"a\"\n",
 		`x.toml:1: delivery names no destinations`:                      "[delivery]\nsource = \"/s\"\n",
@@ -125,7 +125,7 @@
 		`x.toml:5: delivery.to 1: destination 70000 is over`:            to + "form = \"binary\"\ndestinations = [70000]\n",
 		`x.toml:5: delivery.to 1: path = "x"`:                           to + "form = \"binary\"\npath = \"x\"\n",
 		`x.toml:5: delivery.to 1: path = "/a\r\nb"`:                     to + "form = \"binary\"\npath = \"/a\\r\\nb\"\n",
-		`x.toml:3: delivery.to 1: validate asks in the name`:            to + "form = \"binary\"\nvalidate = true\n",
+		`x.toml:3: delivery.to 1: validate needs a printable origin`:    to + "form = \"binary\"\nvalidate = true\n",
 		`x.toml:5: delivery.to 1: origin and rate are for`:              to + "form = \"binary\"\norigin = \"a\"\n",
 		`x.toml:7: delivery.to 1: rate = -1`:                            to + "form = \"binary\"\nvalidate = true\norigin = \"a\"\nrate = -1\n",
 		`x.toml:1: delivery.source = ""`:                                "[delivery]\n[[delivery.to]]\nform = \"binary\"\n",
@@ -139,7 +139,7 @@
 	}
 }
 
-// The file that ships turns nothing on.
+// The shipped file turns nothing on, and the settings in its comments are valid.
 func TestLoad_ShippedFile(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/saffronyard.toml")
 	if err != nil {
@@ -150,7 +150,7 @@
 		t.Errorf("%+v %v", f, err)
 	}
 	var on []string
-	for _, l := range strings.Split(string(raw), "\n") { // and what it shows can be turned on
+	for _, l := range strings.Split(string(raw), "\n") { // lines that begin with "#: " are examples of settings
 		if rest, ok := strings.CutPrefix(l, "#: "); ok {
 			on = append(on, rest)
 		}
@@ -163,12 +163,12 @@
 func FuzzParse(f *testing.F) {
 	f.Add("[quiet]\nfold_after = \"5m\"\n")
 	f.Add("[quiet]\nfold_after = 5\n[x]\n")
-	f.Add("[events]\n" + rule + "[delivery]\nsource = \"/s\"\n[[delivery.to]]\nform = \"binary\"\n")
+	f.Add("[events]\n" + eventRule + "[delivery]\nsource = \"/s\"\n[[delivery.to]]\nform = \"binary\"\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		got, err := Parse("x.toml", []byte(text))
 		if err != nil {
 			if !strings.HasPrefix(err.Error(), "x.toml:") {
-				t.Errorf("an error without its place: %v", err)
+				t.Errorf("an error without a position: %v", err)
 			}
 			return
 		}
--- a/internal/features/peers.go
+++ b/internal/features/peers.go
@@ -9,39 +9,39 @@
 	"saffronyard.example/saffronyard/internal/peers"
 )
 
-// Peers is how this sender takes part among the others of its deployment.
+// Peers is the membership of this sender among the senders of its deployment, and the exchange of facts between them.
 type Peers struct {
-	Cluster  string   `toml:"cluster"`   // the deployment's name: others do not mix in
-	Listen   string   `toml:"listen"`    // of membership, TCP and UDP; a loopback address; default ":7946"
-	Exchange string   `toml:"exchange"`  // where others ask what is known; a loopback address; default ":7947"
-	Seeds    []string `toml:"seeds"`     // membership of some other senders
-	KeysFile string   `toml:"keys_file"` // keys of membership, a line each in base64, the first for sending; default: none
-	Follow   int      `toml:"follow"`    // so many are followed at once; from 1 to 16, default 3
-	Facts    int      `toml:"facts"`     // held of what each tells; from 100 to 1000000, default 50000
-	// Reach is where others are reached whose own addresses do not lead there; default: none
+	Cluster  string   `toml:"cluster"`   // the deployment's name; senders with another name are not members
+	Listen   string   `toml:"listen"`    // address of membership, TCP and UDP; a loopback address; default ":7946"
+	Exchange string   `toml:"exchange"`  // address at which other senders fetch facts; a loopback address; default ":7947"
+	Seeds    []string `toml:"seeds"`     // membership addresses of some other senders
+	KeysFile string   `toml:"keys_file"` // keys of membership, one per line in base64, the first for sending; default: no keys
+	Follow   int      `toml:"follow"`    // maximum number of peers followed at once; from 1 to 16, default 3
+	Facts    int      `toml:"facts"`     // maximum number of facts stored per followed peer; from 100 to 1000000, default 50000
+	// Reach has routes to senders that can't be reached at their own addresses; default: none
 	Reach []PeerReach `toml:"reach"`
 }
 
-// PeerReach is one of them.
+// PeerReach is the route to a sender that can't be reached at its own address.
 type PeerReach struct {
-	Address string `toml:"address"` // as it tells it: of its membership, or of its exchange
-	Via     string `toml:"via"`     // as this sender reaches it, TCP and UDP
+	Address string `toml:"address"` // the address that the sender announces: of its membership, or of its exchange
+	Via     string `toml:"via"`     // the address at which this sender reaches it, TCP and UDP
 }
 
-// Reaches are all of them.
-func (p *Peers) Reaches() []peers.Route { return reaches(p.Reach) }
+// Reaches returns the routes as package peers takes them.
+func (p *Peers) Reaches() []peers.Route { return routesOf(p.Reach) }
 
-func reaches(all []PeerReach) (is []peers.Route) {
+func routesOf(all []PeerReach) (routes []peers.Route) {
 	for _, r := range all {
-		is = append(is, peers.Route(r))
+		routes = append(routes, peers.Route(r))
 	}
-	return is
+	return routes
 }
 
-// Keys reads the file of keys; nil without one.
+// Keys reads the key file; nil without one.
 func (p *Peers) Keys() ([][]byte, error) { return readKeys("peers", p.KeysFile) }
 
-// readKeys reads a file of keys; there are none without one.
+// readKeys reads a key file; it returns nil if file is empty. An error names the table, or the file and the line.
 func readKeys(table, file string) ([][]byte, error) {
 	if file == "" {
 		return nil, nil
@@ -57,15 +57,15 @@
 		}
 		k, err := base64.StdEncoding.DecodeString(line)
 		if err != nil {
-			return nil, fmt.Errorf("%s:%d: no key in base64: %w", file, i+1, err)
+			return nil, fmt.Errorf("%s:%d: the key is not valid base64: %w", file, i+1, err)
 		}
 		if n := len(k); n != 16 && n != 24 && n != 32 {
-			return nil, settingError("%s:%d: a key of %d bytes; 16, 24 or 32 are wanted", file, i+1, n)
+			return nil, settingError("%s:%d: a key of %d bytes, not of 16, 24 or 32", file, i+1, n)
 		}
 		keys = append(keys, k)
 	}
 	if len(keys) == 0 {
-		return nil, settingError("%s: it holds no key", file)
+		return nil, settingError("%s: the file has no key", file)
 	}
 	return keys, nil
 }
@@ -90,11 +90,11 @@
 	}{{"cluster", func(c *peers.Config) { c.Cluster = p.Cluster }}, {"listen", func(c *peers.Config) { c.Listen = p.Listen }},
 		{"exchange", func(c *peers.Config) { c.Exchange = p.Exchange }}, {"seeds", func(c *peers.Config) { c.Seeds = p.Seeds }},
 		{"reach", func(c *peers.Config) { c.Routes = p.Reaches() }}} {
-		// Without a host it is the one that clients connect to, which the file does not know.
-		sound := peers.Config{Name: "n", Cluster: "c", Listen: "127.0.0.1:0", Exchange: "127.0.0.1:0"}
-		one.edit(&sound)
-		sound.Listen, sound.Exchange = peers.WithHost(sound.Listen, "127.0.0.1"), peers.WithHost(sound.Exchange, "127.0.0.1")
-		if err := sound.Check(); err != nil {
+		// An address without a host gets the host that clients connect to, which is not in the file; here it is 127.0.0.1.
+		valid := peers.Config{Name: "n", Cluster: "c", Listen: "127.0.0.1:0", Exchange: "127.0.0.1:0"}
+		one.edit(&valid)
+		valid.Listen, valid.Exchange = peers.WithHost(valid.Listen, "127.0.0.1"), peers.WithHost(valid.Exchange, "127.0.0.1")
+		if err := valid.Check(); err != nil {
 			return doc.errorAt("peers", 0, one.key, "%w", err)
 		}
 	}
--- a/internal/features/position.go
+++ b/internal/features/position.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// SettingError is a setting that can't be as it is. Its text names the setting and what it may be.
+// SettingError is an invalid setting. Its text names the setting and the allowed values.
 type SettingError struct {
 	text  string
 	cause error
@@ -20,7 +20,7 @@
 // Error returns the text for the operator.
 func (e *SettingError) Error() string { return e.text }
 
-// Unwrap returns the error of the package that the setting is for, nil where it was checked here.
+// Unwrap returns the error of the package that checked the setting; nil if it was checked here.
 func (e *SettingError) Unwrap() error { return e.cause }
 
 // PositionError is an error at a line of the operators' file.
@@ -36,18 +36,18 @@
 // Unwrap returns the error without its position.
 func (e *PositionError) Unwrap() error { return e.Err }
 
-// document is the text of an operators' file, for the positions of errors in it.
+// document is the text of the operators' file, in which errors are located.
 type document struct {
 	path string
 	raw  []byte
 }
 
-// errorAt makes an error at a key of the n-th table of a name, or at the table's header if the key is not there.
+// errorAt returns an error at a key of the n-th table of a name, counted from 0, or at the table's header if the table has no such key.
 func (d document) errorAt(table string, n int, key, format string, args ...any) error {
 	return &PositionError{Path: d.path, Line: d.line(table, n, key), Err: settingError(format, args...)}
 }
 
-// line returns the line, from 1, of a key of the n-th table of a name.
+// line returns the line, from 1, of a key of the n-th table of a name: that of the table's header without the key, and 1 without the table.
 func (d document) line(table string, n int, key string) int {
 	at, in := 1, false
 	for i, text := range strings.Split(string(d.raw), "\n") {
--- a/internal/features/resend.go
+++ b/internal/features/resend.go
@@ -10,23 +10,23 @@
 // Resend is a rule by which undelivered messages are resent.
 type Resend struct {
 	Name     string        `toml:"name"`
-	Members  []string      `toml:"members"` // default: all, as for reasons and classes
+	Members  []string      `toml:"members"` // default: all; the same holds for reasons and classes
 	Reasons  []string      `toml:"reasons"`
 	Classes  []string      `toml:"classes"`
-	WellFor  tomlfile.Span `toml:"well_for"` // the receiver has been healthy for so long; to 24h, default 30s
-	From     string        `toml:"from"`     // "01:00", with to: only then; UTC
-	To       string        `toml:"to"`
-	ByHand   bool          `toml:"by_hand"`  // never by itself
-	Share    float64       `toml:"share"`    // of the pace that the receiver takes; default 0.2
-	Newest   bool          `toml:"newest"`   // first; default: the oldest
-	Most     int           `toml:"most"`     // times; from 1 to 100, default 3
-	Age      tomlfile.Span `toml:"age"`      // it is resent until so long after it ended first; default: as long as it is stored
-	Deadline tomlfile.Span `toml:"deadline"` // it may then take so long; from 1s to 1h, default 28s
-	Then     string        `toml:"then"`     // what went so often, or is too old: "keep" or "drop"; default "keep"
+	WellFor  tomlfile.Span `toml:"well_for"` // how long the receiver must have been healthy; up to 24h, default 30s
+	From     string        `toml:"from"`     // start of the daily window of resends, such as "01:00", in UTC; default: at any time
+	To       string        `toml:"to"`       // end of the window
+	ByHand   bool          `toml:"by_hand"`  // messages are resent only by an operator, not automatically
+	Share    float64       `toml:"share"`    // fraction of the rate that the receiver accepts; default 0.2
+	Newest   bool          `toml:"newest"`   // the newest messages are resent first; default: the oldest
+	Most     int           `toml:"most"`     // maximum number of resends of a message; from 1 to 100, default 3
+	Age      tomlfile.Span `toml:"age"`      // maximum time since a message first ended; default: as long as it is stored
+	Deadline tomlfile.Span `toml:"deadline"` // of a resent message, from its resend; from 1s to 1h, default 28s
+	Then     string        `toml:"then"`     // what happens to a message beyond most or age: "keep" or "drop"; default "keep"
 }
 
-// checkResend checks the rules by which messages are resent.
-func (u *Undelivered) checkResend(doc document, on bool) error {
+// checkResend validates the rules and fills in their defaults. hasWork is whether the file has [work], which rules need.
+func (u *Undelivered) checkResend(doc document, hasWork bool) error {
 	for i := range u.Resend {
 		r := &u.Resend[i]
 		setDefault(&r.WellFor, tomlfile.Span(30*time.Second))
@@ -38,13 +38,13 @@
 			return doc.errorAt("undelivered.resend", i, key, "undelivered.resend %d: %w", i+1, settingError(format, args...))
 		}
 		if r.Then != "keep" && r.Then != "drop" {
-			return at("then", "then = %q; there are keep and drop", r.Then)
+			return at("then", "then = %q is neither keep nor drop", r.Then)
 		}
 		if r.WellFor.D() > 24*time.Hour {
 			return at("well_for", "well_for = %v is over 24h", r.WellFor.D())
 		}
 		if (r.From == "") != (r.To == "") {
-			return at("from", "from and to go together")
+			return at("from", "from and to must be set together")
 		}
 		for _, t := range []string{r.From, r.To} {
 			if t != "" {
@@ -58,8 +58,8 @@
 				return at("reasons", "%w", err)
 			}
 		}
-		if !on {
-			return at("name", "kept messages go again as background work: the file has no [work]")
+		if !hasWork {
+			return at("name", "messages are resent by background work, and the file has no [work]")
 		}
 	}
 	if i, err := undelivered.CheckRules(u.Rules()); err != nil {
@@ -79,7 +79,7 @@
 			rule.Reasons = append(rule.Reasons, undelivered.Reason(name))
 		}
 		if r.From != "" {
-			rule.From, _ = parseTimeOfDay(r.From) // checked as the file was read
+			rule.From, _ = parseTimeOfDay(r.From) // validated when the file was read
 			rule.To, _ = parseTimeOfDay(r.To)
 		}
 		rules = append(rules, rule)
--- a/internal/features/summary.go
+++ b/internal/features/summary.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Lines tells what the file turns on, a line each, as 'saffronyard check' prints it and the log has it at the start.
+// Lines returns a description of the functions that the file turns on. 'saffronyard check' prints it, and it is logged at the start.
 func (f *Features) Lines() []string {
 	lines := slices.Concat(f.Quiet.lines(), f.Events.lines(), f.Delivery.lines(), f.Undelivered.lines(), f.Knowledge.lines(), f.Peers.lines(),
 		f.Undelivered.ruleLines(), f.Fleet.lines(), f.Work.lines(), f.DNS.lines())
@@ -26,7 +26,7 @@
 	if e == nil {
 		return nil
 	}
-	return []string{fmt.Sprintf("events: CloudEvents are taken in at POST /events by %d rules; ends are remembered for %v, %d at most", len(e.Rules), e.Remember.D(), e.RememberMost)}
+	return []string{fmt.Sprintf("events: CloudEvents are accepted at POST /events by %d rules; outcomes are remembered for %v, at most %d", len(e.Rules), e.Remember.D(), e.RememberMost)}
 }
 
 func (d *Delivery) lines() (lines []string) {
@@ -55,7 +55,7 @@
 	if folder == "" {
 		folder = "the state folder's undelivered"
 	}
-	return []string{fmt.Sprintf("undelivered: kept in %s, %d bytes at most, for %v", folder, u.Bytes, u.Age.D())}
+	return []string{fmt.Sprintf("undelivered: stored in %s, at most %d bytes, for %v", folder, u.Bytes, u.Age.D())}
 }
 
 func (u *Undelivered) ruleLines() (lines []string) {
@@ -63,11 +63,11 @@
 		return nil
 	}
 	for _, r := range u.Resend {
-		when := fmt.Sprintf("once the receiver has been well for %v", r.WellFor.D())
+		when := fmt.Sprintf("once the receiver has been healthy for %v", r.WellFor.D())
 		if r.ByHand {
 			when = "by hand"
 		}
-		lines = append(lines, fmt.Sprintf("undelivered: rule %s: sent again %s, at %v of the receiver's pace, %d times at most, then %s", r.Name, when, r.Share, r.Most, r.Then))
+		lines = append(lines, fmt.Sprintf("undelivered: rule %s: resent %s, at %v of the receiver's rate, at most %d times, then %s", r.Name, when, r.Share, r.Most, r.Then))
 	}
 	return lines
 }
@@ -76,16 +76,16 @@
 	if k == nil {
 		return nil
 	}
-	return []string{fmt.Sprintf("knowledge: what is known of receivers is written down every %v, in %d bytes at most", k.Every.D(), k.Bytes)}
+	return []string{fmt.Sprintf("knowledge: a snapshot of the observations of receivers is written every %v, at most %d bytes", k.Every.D(), k.Bytes)}
 }
 
 func (p *Peers) lines() []string {
 	if p == nil {
 		return nil
 	}
-	keys := "in clear"
+	keys := "unencrypted"
 	if p.KeysFile != "" {
 		keys = "with the keys in " + p.KeysFile
 	}
-	return []string{fmt.Sprintf("peers: of cluster %s, membership at %s %s, %d seeds; what is known is told at %s; %d peers are followed", p.Cluster, p.Listen, keys, len(p.Seeds), p.Exchange, p.Follow)}
+	return []string{fmt.Sprintf("peers: cluster %s, membership at %s %s, %d seeds; facts are exchanged at %s; at most %d peers are followed", p.Cluster, p.Listen, keys, len(p.Seeds), p.Exchange, p.Follow)}
 }
--- a/internal/features/undelivered.go
+++ b/internal/features/undelivered.go
@@ -9,9 +9,9 @@
 // Undelivered is the store of undelivered messages.
 type Undelivered struct {
 	Folder string        `toml:"folder"` // default: "undelivered" in the sender's state folder
-	Bytes  int64         `toml:"bytes"`  // of all entries; default 268435456
-	Age    tomlfile.Span `toml:"age"`    // an entry is dropped so long after it ended; default 168h
-	Resend []Resend      `toml:"resend"` // rules by which they are resent, the first that matches; default: none, by hand only
+	Bytes  int64         `toml:"bytes"`  // maximum size of all entries; default 268435456
+	Age    tomlfile.Span `toml:"age"`    // time after the end of a message at which its entry is dropped; default 168h
+	Resend []Resend      `toml:"resend"` // rules of resends, of which the first that matches applies; default: no automatic resends
 }
 
 const (
@@ -21,7 +21,7 @@
 	maxUndeliveredAge   = 366 * 24 * time.Hour
 )
 
-// check checks the table; hasWork is whether the file has [work], without which nothing is sent again by rule.
+// check validates the table and fills in its defaults. hasWork is whether the file has [work], without which no rule can resend messages.
 func (u *Undelivered) check(doc document, hasWork bool) error {
 	if u == nil {
 		return nil
--- a/internal/features/work.go
+++ b/internal/features/work.go
@@ -10,47 +10,47 @@
 	"saffronyard.example/saffronyard/internal/work"
 )
 
-// Work is how background work runs.
+// Work is the scheduling of background work.
 type Work struct {
 	Folder      string             `toml:"folder"`       // default: "work" in the sender's state folder
-	Workers     int                `toml:"workers"`      // slices at once; from 1 to 64, default 2
-	Jobs        int                `toml:"jobs"`         // held at most; from 10 to 10000000, default 100000
-	OwnerJobs   int                `toml:"owner_jobs"`   // of one owner; default: half of jobs
-	Bytes       int64              `toml:"bytes"`        // of jobs that outlast the process; from 65536 to 2^40, default 16777216
-	Slow        tomlfile.Span      `toml:"slow"`         // a slice that takes longer is named; from 100ms to 1h, default 30s
-	Budget      map[string]float64 `toml:"budget"`       // a second, of all work, by currency; what is not named is not bounded
-	OwnerBudget map[string]float64 `toml:"owner_budget"` // of each owner
-	Weights     map[string]float64 `toml:"weights"`      // of owners; default 1
+	Workers     int                `toml:"workers"`      // concurrent slices; from 1 to 64, default 2
+	Jobs        int                `toml:"jobs"`         // maximum number of jobs; from 10 to 10000000, default 100000
+	OwnerJobs   int                `toml:"owner_jobs"`   // maximum number of jobs of one owner; default: half of jobs
+	Bytes       int64              `toml:"bytes"`        // of persistent jobs; from 65536 to 2^40, default 16777216
+	Slow        tomlfile.Span      `toml:"slow"`         // a slice that takes longer is reported; from 100ms to 1h, default 30s
+	Budget      map[string]float64 `toml:"budget"`       // of all work, per second and by currency; a missing currency is unbounded
+	OwnerBudget map[string]float64 `toml:"owner_budget"` // of each owner, likewise
+	Weights     map[string]float64 `toml:"weights"`      // by owner; default 1
 	Kinds       []WorkKind         `toml:"kind"`
 	Targets     WorkTargets        `toml:"targets"`
 }
 
-// WorkKind is what one kind of work may do.
+// WorkKind are the limits of one kind of work.
 type WorkKind struct {
 	Name    string             `toml:"name"`
-	Budget  map[string]float64 `toml:"budget"`  // a second, guaranteed to it
-	Running int                `toml:"running"` // slices at once; default: as many as there are workers
-	From    string             `toml:"from"`    // "01:00": it runs from then
-	To      string             `toml:"to"`      // to then
-	Zone    string             `toml:"zone"`    // of these times; default "UTC"
+	Budget  map[string]float64 `toml:"budget"`  // guaranteed, per second
+	Running int                `toml:"running"` // concurrent slices; default: as many as there are workers
+	From    string             `toml:"from"`    // start of the daily window in which it runs, such as "01:00"
+	To      string             `toml:"to"`      // end of the window
+	Zone    string             `toml:"zone"`    // time zone of the window; default "UTC"
 }
 
-// WorkTargets are what live work is to have; background work steps back beyond.
+// WorkTargets are the load limits above which background work is throttled in favour of message delivery.
 type WorkTargets struct {
-	TurnLate    tomlfile.Span `toml:"turn_late"`    // how late the loop's turns are; default 5ms
-	Calls       float64       `toml:"calls"`        // calls out, of the slots; default 0.8
-	Held        float64       `toml:"held"`         // messages held, of their room; default 0.5
-	Journal     float64       `toml:"journal"`      // of its room; default 0.7
-	DiskLatency tomlfile.Span `toml:"disk_latency"` // of writing the journal; default 50ms
+	TurnLate    tomlfile.Span `toml:"turn_late"`    // delay of the event loop's turns; default 5ms
+	Calls       float64       `toml:"calls"`        // calls in flight, as a fraction of the slots; default 0.8
+	Held        float64       `toml:"held"`         // pending messages, as a fraction of their capacity; default 0.5
+	Journal     float64       `toml:"journal"`      // as a fraction of its capacity; default 0.7
+	DiskLatency tomlfile.Span `toml:"disk_latency"` // of journal writes; default 50ms
 }
 
 func (t *WorkTargets) setDefaults() {
-	usual := work.DefaultTargets()
-	setDefault(&t.TurnLate, tomlfile.Span(usual.TurnLate))
-	setDefault(&t.Calls, usual.Calls)
-	setDefault(&t.Held, usual.Pending)
-	setDefault(&t.Journal, usual.Journal)
-	setDefault(&t.DiskLatency, tomlfile.Span(usual.DiskLatency))
+	defaults := work.DefaultTargets()
+	setDefault(&t.TurnLate, tomlfile.Span(defaults.TurnLate))
+	setDefault(&t.Calls, defaults.Calls)
+	setDefault(&t.Held, defaults.Pending)
+	setDefault(&t.Journal, defaults.Journal)
+	setDefault(&t.DiskLatency, tomlfile.Span(defaults.DiskLatency))
 }
 
 func (w *Work) check(doc document) error {
@@ -79,7 +79,7 @@
 		v   float64
 	}{{"calls", w.Targets.Calls}, {"held", w.Targets.Held}, {"journal", w.Targets.Journal}} {
 		if !(n.v > 0 && n.v <= 1) {
-			return doc.errorAt("work.targets", 0, n.key, "work.targets.%s = %v is not above 0, and up to 1", n.key, n.v)
+			return doc.errorAt("work.targets", 0, n.key, "work.targets.%s = %v is not above 0 and at most 1", n.key, n.v)
 		}
 	}
 	for table, m := range map[string]map[string]float64{"budget": w.Budget, "owner_budget": w.OwnerBudget} {
@@ -89,7 +89,7 @@
 	}
 	for owner, v := range w.Weights {
 		if !(v > 0 && v <= 1000) {
-			return doc.errorAt("work.weights", 0, owner, "work.weights.%s = %v is not above 0, and up to 1000", owner, v)
+			return doc.errorAt("work.weights", 0, owner, "work.weights.%s = %v is not above 0 and at most 1000", owner, v)
 		}
 	}
 	return w.checkKinds(doc)
@@ -104,11 +104,11 @@
 		}
 		switch {
 		case k.Name == "" || seen[k.Name]:
-			return at("name", "name = %q is empty, or there twice", k.Name)
+			return at("name", "name = %q is empty or a duplicate", k.Name)
 		case k.Running < 0 || k.Running > 64:
 			return at("running", "running = %d is not from 0 to 64", k.Running)
 		case (k.From == "") != (k.To == ""):
-			return at("from", "from and to go together")
+			return at("from", "from and to must be set together")
 		}
 		seen[k.Name] = true
 		if _, err := parseRates(k.Budget); err != nil {
@@ -121,12 +121,12 @@
 	return nil
 }
 
-// parseRates reads a budget: so much a second by currency, of which a second's can be saved up.
+// parseRates parses a budget: the rate per second by currency, with a burst of one second's rate.
 func parseRates(m map[string]float64) (r work.Rates, err error) {
 	for name, v := range m {
 		i := slices.Index(work.CurrencyNames(), name)
 		if i < 0 {
-			return r, settingError("%q is no currency; there are %q", name, work.CurrencyNames())
+			return r, settingError("%q is not a currency; the currencies are %q", name, work.CurrencyNames())
 		}
 		if !(v > 0) || math.IsInf(v, 0) {
 			return r, settingError("%s = %v is not above 0", name, v)
@@ -136,11 +136,11 @@
 	return r, nil
 }
 
-// parseTimeOfDay reads a time of day, "01:00".
+// parseTimeOfDay parses a time of day such as "01:00".
 func parseTimeOfDay(text string) (time.Duration, error) {
 	t, err := time.Parse("15:04", text)
 	if err != nil {
-		return 0, settingError("%q is no time of day such as \"01:00\"", text)
+		return 0, settingError("%q is not a time of day such as \"01:00\"", text)
 	}
 	return time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute, nil
 }
@@ -167,7 +167,7 @@
 
 // Settings returns the settings of the scheduler.
 func (w *Work) Settings() work.Settings {
-	all, _ := parseRates(w.Budget) // checked as the file was read, as all of these
+	all, _ := parseRates(w.Budget) // all rates and windows were validated when the file was read
 	owners, _ := parseRates(w.OwnerBudget)
 	s := work.Settings{Limits: work.Limits{Jobs: w.Jobs, Bytes: w.Bytes * 4, OwnerJobs: w.OwnerJobs, Depth: 3}, Rates: all, Owners: owners,
 		Weights: w.Weights, Kinds: map[string]work.Kind{}, Breaker: work.DefaultBreaker()}
@@ -179,7 +179,7 @@
 	return s
 }
 
-// Pressure returns the load above which background work steps back.
+// Pressure returns the load above which background work is throttled.
 func (w *Work) Pressure() work.Targets {
 	t := w.Targets
 	return work.Targets{TurnLate: t.TurnLate.D(), Calls: t.Calls, Pending: t.Held, Journal: t.Journal, DiskLatency: t.DiskLatency.D()}
@@ -189,7 +189,7 @@
 	if w == nil {
 		return nil
 	}
-	line := fmt.Sprintf("work: %d slices at once, %d jobs at most", w.Workers, w.Jobs)
+	line := fmt.Sprintf("work: at most %d concurrent slices and %d jobs", w.Workers, w.Jobs)
 	for i, name := range work.CurrencyNames() {
 		if v, ok := w.Budget[name]; ok {
 			line += fmt.Sprintf("; %v %s a second", v, work.Currency(i))
