--- a/internal/nameserver/helpers_test.go
+++ b/internal/nameserver/helpers_test.go
@@ -146,9 +146,8 @@
 	return m
 }
 
-func replaceWith(t testing.TB, name, addr string) *dns.Msg {
-	return setAddressUpdate(t, "example.", name, addr)
-}
+// setAddr is setAddrIn for the zone example.
+func setAddr(t testing.TB, name, addr string) *dns.Msg { return setAddrIn(t, "example.", name, addr) }
 
 func addressesOf(s *Service, name string) []string {
 	var out []string
--- a/internal/nameserver/histories_test.go
+++ b/internal/nameserver/histories_test.go
@@ -50,7 +50,7 @@
 				switch (client + i) % 4 {
 				case 0, 1:
 					in = op{set: fmt.Sprintf("127.1.%d.%d", client, i)}
-					m := replaceWith(t, "hooks.example.", in.set)
+					m := setAddr(t, "hooks.example.", in.set)
 					if i%3 == 0 {
 						in.prerequisite = last
 						rr, _ := dns.NewRR("hooks.example. 0 IN A " + last)
--- a/internal/nameserver/secondary_test.go
+++ b/internal/nameserver/secondary_test.go
@@ -196,44 +196,42 @@
 	return parseZone(t, strings.Replace(strings.Replace(zoneText, "h 10 60 10", fmt.Sprintf("h %d 1 1", serial), 1), "127.0.0.2", addr, 1))
 }
 
-func fullTransfer(z *zone.Zone) []dns.RR { return append(z.List(), z.SOA()) }
+func axfr(z *zone.Zone) []dns.RR { return append(z.List(), z.SOA()) }
 
 // A primary with invalid answers, such as truncated transfers, old serials, wrong signatures or none, does not change the endpoints of
 // members. They follow once its answers are valid again.
 func TestSecondary_FaultyPrimary(t *testing.T) {
 	keys := testKeys(t)
 	good, later := zoneAt(t, 10, "127.0.0.2"), zoneAt(t, 20, "127.0.0.3")
-	forged := zoneAt(t, 20, "127.0.0.66")
+	bad := zoneAt(t, 20, "127.0.0.66")
 	fast := zone.Bounds{MinRefresh: 30 * time.Millisecond, MaxRefresh: 30 * time.Millisecond, MinRetry: 30 * time.Millisecond, MaxRetry: 30 * time.Millisecond, MinExpire: time.Hour}
 	wrong := mustParseKeys(t, "xfer. hmac-sha512 "+secret("another"))
 	for name, fault := range map[string]struct {
 		kind string // the type of request that must be received twice to show that the first answer was processed
 		do   func(l *fakePrimary)
 	}{
-		"cut short":               {"IXFR", func(l *fakePrimary) { l.setAnswersLocked(20, fullTransfer(forged), 2, 1, true) }},
-		"a single SOA":            {"IXFR", func(l *fakePrimary) { l.setAnswersLocked(20, fullTransfer(forged)[:1], 1, 0, true) }},
-		"an old serial":           {"SOA", func(l *fakePrimary) { l.setAnswersLocked(9, fullTransfer(forged), 2, 0, true) }},
-		"a zone without SOA":      {"IXFR", func(l *fakePrimary) { l.setAnswersLocked(20, forged.List()[1:], 2, 0, true) }},
-		"signed with another key": {"SOA", func(l *fakePrimary) { l.keys.Set(wrong); l.setAnswersLocked(20, fullTransfer(forged), 2, 0, true) }},
-		"not signed":              {"SOA", func(l *fakePrimary) { l.setAnswersLocked(20, fullTransfer(forged), 2, 0, false) }},
+		"cut short":               {"IXFR", func(l *fakePrimary) { l.setAnswersLocked(20, axfr(bad), 2, 1, true) }},
+		"a single SOA":            {"IXFR", func(l *fakePrimary) { l.setAnswersLocked(20, axfr(bad)[:1], 1, 0, true) }},
+		"an old serial":           {"SOA", func(l *fakePrimary) { l.setAnswersLocked(9, axfr(bad), 2, 0, true) }},
+		"a zone without SOA":      {"IXFR", func(l *fakePrimary) { l.setAnswersLocked(20, bad.List()[1:], 2, 0, true) }},
+		"signed with another key": {"SOA", func(l *fakePrimary) { l.keys.Set(wrong); l.setAnswersLocked(20, axfr(bad), 2, 0, true) }},
+		"not signed":              {"SOA", func(l *fakePrimary) { l.setAnswersLocked(20, axfr(bad), 2, 0, false) }},
 		"a transfer not signed": {"IXFR", func(l *fakePrimary) {
-			l.setAnswersLocked(20, fullTransfer(forged), 2, 0, false)
+			l.setAnswersLocked(20, axfr(bad), 2, 0, false)
 			unsigned := l.transfer
-			l.setAnswersLocked(20, fullTransfer(forged), 2, 0, true)
+			l.setAnswersLocked(20, axfr(bad), 2, 0, true)
 			l.transfer = unsigned
 		}},
 		"another zone": {"AXFR", func(l *fakePrimary) { l.setAnswersLocked(20, []dns.RR{other(t), other(t)}, 2, 0, true) }},
 		"records outside of the zone": {"IXFR", func(l *fakePrimary) {
-			l.setAnswersLocked(20, append([]dns.RR{forged.SOA(), rrOf(t, "x.other. 1 IN A 127.0.0.66")}, forged.SOA()), 9, 0, true)
-		}},
-		"records after its end": {"AXFR", func(l *fakePrimary) {
-			l.setAnswersLocked(20, slices.Concat(fullTransfer(forged)[:3], fullTransfer(forged)), 100, 0, true)
+			l.setAnswersLocked(20, append([]dns.RR{bad.SOA(), rrOf(t, "x.other. 1 IN A 127.0.0.66")}, bad.SOA()), 9, 0, true)
 		}},
+		"records after its end": {"AXFR", func(l *fakePrimary) { l.setAnswersLocked(20, slices.Concat(axfr(bad)[:3], axfr(bad)), 100, 0, true) }},
 		"differences that do not apply": {"AXFR", func(l *fakePrimary) {
-			l.setAnswersLocked(20, []dns.RR{forged.SOA(), good.SOA(), rrOf(t, "gone.example. 1 IN A 127.0.0.66"), forged.SOA(), forged.SOA()}, 9, 0, true)
+			l.setAnswersLocked(20, []dns.RR{bad.SOA(), good.SOA(), rrOf(t, "gone.example. 1 IN A 127.0.0.66"), bad.SOA(), bad.SOA()}, 9, 0, true)
 		}},
 		"it refuses": {"SOA", func(l *fakePrimary) {
-			l.setAnswersLocked(20, fullTransfer(forged), 2, 0, true)
+			l.setAnswersLocked(20, axfr(bad), 2, 0, true)
 			l.serial = func(q *dns.Msg) *dns.Msg {
 				r := new(dns.Msg).SetRcode(q, dns.RcodeRefused)
 				r.SetTsig("xfer.", dns.HmacSHA512, 300, time.Now().Unix())
@@ -241,18 +239,18 @@
 			}
 		}},
 		"rubbish": {"IXFR", func(l *fakePrimary) {
-			l.setAnswersLocked(20, fullTransfer(forged), 2, 0, true)
+			l.setAnswersLocked(20, axfr(bad), 2, 0, true)
 			l.transfer = func(_ *dns.Msg, c net.Conn) { c.Write([]byte(strings.Repeat("\x01\xff", 500))) }
 		}},
 		"it closes at once": {"IXFR", func(l *fakePrimary) {
-			l.setAnswersLocked(20, fullTransfer(forged), 2, 0, true)
+			l.setAnswersLocked(20, axfr(bad), 2, 0, true)
 			l.transfer = func(_ *dns.Msg, c net.Conn) {}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := newFakePrimary(t, keys)
-			l.setAnswers(10, fullTransfer(good), 100, 0, true)
+			l.setAnswers(10, axfr(good), 100, 0, true)
 			s := startService(t, &Config{Folder: t.TempDir(), Keys: keys, Spans: membership.DefaultFollowerConfig(),
 				Zones:   []ZoneConfig{{Name: "example.", Primary: l.addr, Key: "xfer.", Bounds: &fast}},
 				Members: []membership.Member{{Destination: 7, Name: "hooks.example.", Port: 80, Weight: 1}}})
@@ -268,7 +266,7 @@
 			l.waitForRequest(fault.kind) // the answer to the first request has been processed
 			f.waitForServing(t, "127.0.0.2")
 			l.keys.Set(keys)
-			l.setAnswers(30, fullTransfer(later.WithSerial(30)), 2, 0, true)
+			l.setAnswers(30, axfr(later.WithSerial(30)), 2, 0, true)
 			f.waitForServing(t, "127.0.0.3")
 		})
 	}
@@ -303,7 +301,7 @@
 	f := recordEndpoints(t, s)
 	l.waitForRequest("AXFR")
 	l.waitForRequest("AXFR")
-	l.setAnswers(10, fullTransfer(z), 100, 0, false)
+	l.setAnswers(10, axfr(z), 100, 0, false)
 	f.waitForServing(t, "127.0.0.2")
 	l.mu.Lock()
 	valid := l.serial
@@ -339,7 +337,7 @@
 	if got := s.Report(); got.Members[0].Answer != "SERVFAIL" || !got.Members[0].Retained || got.Zones[0].State != "expired" {
 		t.Errorf("%+v", got)
 	}
-	l.setAnswers(10, fullTransfer(z), 100, 0, false)
+	l.setAnswers(10, axfr(z), 100, 0, false)
 	expired(false)
 	f.waitForServing(t, "127.0.0.2")
 }
@@ -348,7 +346,7 @@
 func TestNotifier(t *testing.T) {
 	keys := testKeys(t)
 	l := newFakePrimary(t, keys)
-	l.setAnswers(10, fullTransfer(zoneAt(t, 10, "127.0.0.2")), 100, 0, true)
+	l.setAnswers(10, axfr(zoneAt(t, 10, "127.0.0.2")), 100, 0, true)
 	slow := zone.DefaultBounds()
 	slow.MinRefresh = time.Minute
 	s := startService(t, &Config{Listen: "127.0.0.1:0", Folder: t.TempDir(), Keys: keys, Spans: membership.DefaultFollowerConfig(),
@@ -356,7 +354,7 @@
 		Members: []membership.Member{{Destination: 7, Name: "hooks.example.", Port: 80, Weight: 1}}})
 	f := recordEndpoints(t, s)
 	f.waitForServing(t, "127.0.0.2")
-	l.setAnswers(20, fullTransfer(zoneAt(t, 20, "127.0.0.3")), 100, 0, true)
+	l.setAnswers(20, axfr(zoneAt(t, 20, "127.0.0.3")), 100, 0, true)
 	for key, want := range map[string]int{"": dns.RcodeRefused, "ops.": dns.RcodeRefused, "xfer.": dns.RcodeSuccess} {
 		if r := roundTrip(t, s.Address(), "udp", key, keys, new(dns.Msg).SetNotify("example.")); r.Rcode != want {
 			t.Errorf("key %q: %v", key, r)
--- a/internal/nameserver/server_test.go
+++ b/internal/nameserver/server_test.go
@@ -163,7 +163,7 @@
 	var errorLog strings.Builder
 	s.server.log = slog.New(slog.NewTextHandler(&errorLog, &slog.HandlerOptions{Level: slog.LevelError}))
 	ring := NewKeyring(c.Keys)
-	for _, m := range []*dns.Msg{new(dns.Msg).SetQuestion("hooks.example.", dns.TypeA), replaceWith(f, "hooks.example.", "127.0.0.9"), new(dns.Msg).SetNotify("example."),
+	for _, m := range []*dns.Msg{new(dns.Msg).SetQuestion("hooks.example.", dns.TypeA), setAddr(f, "hooks.example.", "127.0.0.9"), new(dns.Msg).SetNotify("example."),
 		new(dns.Msg).SetAxfr("example."), new(dns.Msg).SetIxfr("example.", 10, "a.", "b.")} {
 		raw, _ := m.Pack()
 		f.Add(raw)
@@ -227,7 +227,7 @@
 	})
 	b.Run("update", func(b *testing.B) {
 		for i := range b.N {
-			m := replaceWith(b, "hooks.example.", fmt.Sprintf("127.2.%d.%d", i>>8&255, i&255))
+			m := setAddr(b, "hooks.example.", fmt.Sprintf("127.2.%d.%d", i>>8&255, i&255))
 			m.Id = dns.Id()
 			ring.Sign(m, "ops.", time.Now().Unix())
 			client := dns.Client{Timeout: testTimeout, TsigProvider: ring} // the library signs only one message per connection correctly
--- a/internal/nameserver/service_test.go
+++ b/internal/nameserver/service_test.go
@@ -17,7 +17,7 @@
 	s := startService(t, c)
 	f := recordEndpoints(t, s)
 	f.waitForServing(t, "127.0.0.2")
-	if r := roundTrip(t, s.Address(), "tcp", "ops.", c.Keys, replaceWith(t, "hooks.example.", "127.0.0.3")); r.Rcode != dns.RcodeSuccess {
+	if r := roundTrip(t, s.Address(), "tcp", "ops.", c.Keys, setAddr(t, "hooks.example.", "127.0.0.3")); r.Rcode != dns.RcodeSuccess {
 		t.Fatal(r)
 	}
 	f.waitForServing(t, "127.0.0.3")
--- a/internal/nameserver/store_test.go
+++ b/internal/nameserver/store_test.go
@@ -202,8 +202,8 @@
 	return z
 }
 
-// setAddressUpdate returns an update message, as unpacked from wire format, that sets the only address of a name.
-func setAddressUpdate(t testing.TB, origin, name, addr string) *dns.Msg {
+// setAddrIn returns an update message for a zone, as unpacked from wire format, that sets the only address of a name.
+func setAddrIn(t testing.TB, origin, name, addr string) *dns.Msg {
 	t.Helper()
 	m := new(dns.Msg).SetUpdate(origin)
 	rr, err := dns.NewRR(fmt.Sprintf("%s 60 IN A %s", name, addr))
@@ -250,7 +250,7 @@
 	}
 	for i := range updates {
 		z.store.maxJournalBytes = 400 // a new snapshot every few updates
-		if err := z.update(setAddressUpdate(t, "example.", "hooks.example.", fmt.Sprintf("127.0.1.%d", i+1)), &g); err != nil {
+		if err := z.update(setAddrIn(t, "example.", "hooks.example.", fmt.Sprintf("127.0.1.%d", i+1)), &g); err != nil {
 			refused = append(refused, i)
 			continue
 		}
@@ -333,7 +333,7 @@
 			for i := range 20 {
 				g := grantAll()
 				z.store.maxJournalBytes = 400
-				if err := z.update(setAddressUpdate(t, "example.", "hooks.example.", fmt.Sprintf("127.0.1.%d", i+1)), &g); err != nil {
+				if err := z.update(setAddrIn(t, "example.", "hooks.example.", fmt.Sprintf("127.0.1.%d", i+1)), &g); err != nil {
 					refused = append(refused, i)
 					continue
 				}
@@ -367,7 +367,7 @@
 			t.Fatal(err)
 		}
 		for i := range 3 {
-			if err := z.update(setAddressUpdate(t, "example.", "hooks.example.", fmt.Sprintf("127.0.1.%d", i+1)), &g); err != nil {
+			if err := z.update(setAddrIn(t, "example.", "hooks.example.", fmt.Sprintf("127.0.1.%d", i+1)), &g); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/nameserver/transfer_out_test.go
+++ b/internal/nameserver/transfer_out_test.go
@@ -51,7 +51,7 @@
 		t.Fatal("the transferred zone differs", err)
 	}
 	for i := range 3 {
-		if r := roundTrip(t, s.Address(), "tcp", "ops.", c.Keys, replaceWith(t, "hooks.example.", fmt.Sprintf("127.0.1.%d", i))); r.Rcode != dns.RcodeSuccess {
+		if r := roundTrip(t, s.Address(), "tcp", "ops.", c.Keys, setAddr(t, "hooks.example.", fmt.Sprintf("127.0.1.%d", i))); r.Rcode != dns.RcodeSuccess {
 			t.Fatal(r)
 		}
 	}
@@ -82,7 +82,7 @@
 	restartedConfig.Listen = secondaryConfig.Zones[0].Primary
 	restartedConfig.Zones[0].Notify, restartedConfig.Zones[0].NotifyKey = []string{secondaryService.Address()}, "xfer."
 	s = startService(t, restartedConfig)
-	if r := roundTrip(t, s.Address(), "tcp", "ops.", c.Keys, replaceWith(t, "hooks.example.", "127.0.1.77")); r.Rcode != dns.RcodeSuccess {
+	if r := roundTrip(t, s.Address(), "tcp", "ops.", c.Keys, setAddr(t, "hooks.example.", "127.0.1.77")); r.Rcode != dns.RcodeSuccess {
 		t.Fatal(r)
 	}
 	f.waitForServing(t, "127.0.1.77")
--- a/internal/nameserver/update_test.go
+++ b/internal/nameserver/update_test.go
@@ -57,7 +57,7 @@
 		}
 	}
 	// A replay: the same octets are sent again after another update has changed the zone.
-	m := replaceWith(t, "hooks.example.", "127.0.0.5")
+	m := setAddr(t, "hooks.example.", "127.0.0.5")
 	m.SetTsig("ops.", dns.HmacSHA256, 300, time.Now().Unix())
 	raw, _, err := dns.TsigGenerateWithProvider(m, ring, "", false)
 	if err != nil {
@@ -76,7 +76,7 @@
 		}
 		conn.Close()
 		if i == 0 {
-			if r := roundTrip(t, s.Address(), "tcp", "ops.", c.Keys, replaceWith(t, "hooks.example.", "127.0.0.6")); r.Rcode != dns.RcodeSuccess {
+			if r := roundTrip(t, s.Address(), "tcp", "ops.", c.Keys, setAddr(t, "hooks.example.", "127.0.0.6")); r.Rcode != dns.RcodeSuccess {
 				t.Fatal(r)
 			}
 		}
--- a/internal/nameserver/zone_file_test.go
+++ b/internal/nameserver/zone_file_test.go
@@ -75,7 +75,7 @@
 	}
 	defer s.Close()
 	z := s.zones["example."]
-	if err := z.update(setAddressUpdate(t, "example.", "a.example.", "127.0.2.1"), &g); err != nil {
+	if err := z.update(setAddrIn(t, "example.", "a.example.", "127.0.2.1"), &g); err != nil {
 		t.Fatal(err)
 	}
 	replaceFile(t, path, zoneText+"b 300 IN A 127.0.2.2\n")
@@ -86,7 +86,7 @@
 	if a, b := addressesOf(s, "a.example."), addressesOf(s, "b.example."); len(a) != 1 || len(b) != 1 || !strings.Contains(string(text), "127.0.2.1") || !strings.Contains(string(text), "127.0.2.2") {
 		t.Fatalf("%v %v\n%s", a, b, text)
 	}
-	if err := z.update(setAddressUpdate(t, "example.", "c.example.", "127.0.2.3"), &g); err != nil {
+	if err := z.update(setAddrIn(t, "example.", "c.example.", "127.0.2.3"), &g); err != nil {
 		t.Fatal(err)
 	}
 	d.beforeExchange = func() { // between the last read and the exchange
@@ -102,7 +102,7 @@
 		}
 	}
 	// A file that can't be parsed is not overwritten.
-	if err := z.update(setAddressUpdate(t, "example.", "e.example.", "127.0.2.5"), &g); err != nil {
+	if err := z.update(setAddrIn(t, "example.", "e.example.", "127.0.2.5"), &g); err != nil {
 		t.Fatal(err)
 	}
 	replaceFile(t, path, "half a thou")
