--- a/internal/nameserver/secondary_test.go
+++ b/internal/nameserver/secondary_test.go
@@ -210,7 +210,7 @@
 		kind string // the type of request that must be received twice to show that the first answer was processed
 		do   func(l *fakePrimary)
 	}{
-		"cut short":               {"IXFR", func(l *fakePrimary) { l.setAnswersLocked(20, axfr(bad), 2, 1, true) }},
+		"truncated":               {"IXFR", func(l *fakePrimary) { l.setAnswersLocked(20, axfr(bad), 2, 1, true) }},
 		"a single SOA":            {"IXFR", func(l *fakePrimary) { l.setAnswersLocked(20, axfr(bad)[:1], 1, 0, true) }},
 		"an old serial":           {"SOA", func(l *fakePrimary) { l.setAnswersLocked(9, axfr(bad), 2, 0, true) }},
 		"a zone without SOA":      {"IXFR", func(l *fakePrimary) { l.setAnswersLocked(20, bad.List()[1:], 2, 0, true) }},
--- a/internal/nameserver/server_test.go
+++ b/internal/nameserver/server_test.go
@@ -206,15 +206,15 @@
 	defer s.Close()
 	ring := NewKeyring(c.Keys)
 	var conn *dns.Conn
-	asked := 0
+	sent := 0
 	exchange := func(b *testing.B, m *dns.Msg) {
-		if asked%(maxTCPQueries/2) == 0 { // the server closes a connection after maxTCPQueries messages
+		if sent%(maxTCPQueries/2) == 0 { // the server closes a connection after maxTCPQueries messages
 			var err error
 			if conn, err = dns.DialTimeout("tcp", s.Address(), testTimeout); err != nil {
 				b.Fatal(err)
 			}
 		}
-		asked++
+		sent++
 		client := dns.Client{Net: "tcp", Timeout: testTimeout, TsigProvider: ring}
 		if r, _, err := client.ExchangeWithConn(m, conn); err != nil || r.Rcode != dns.RcodeSuccess {
 			b.Fatal(r, err)
--- a/internal/nameserver/service_test.go
+++ b/internal/nameserver/service_test.go
@@ -70,18 +70,18 @@
 	add := func(text string) func(*dns.Msg) {
 		return func(m *dns.Msg) { m.Insert([]dns.RR{rrOf(t, text)}) }
 	}
-	gone := func(name string) func(*dns.Msg) {
+	removeName := func(name string) func(*dns.Msg) {
 		return func(m *dns.Msg) { m.RemoveName([]dns.RR{&dns.ANY{Hdr: dns.RR_Header{Name: name}}}) }
 	}
 	update(add("x.b.w.example. 60 IN TXT hides")) // b.w exists now, so the wildcard does not apply to a.b.w
 	f.waitForServing(t, "127.0.0.30", "127.0.0.40")
-	update(gone("x.b.w.example."))
+	update(removeName("x.b.w.example."))
 	f.waitForServing(t, "127.0.0.20", "127.0.0.30", "127.0.0.40")
-	update(gone("*.w.example."))
+	update(removeName("*.w.example."))
 	f.waitForServing(t, "127.0.0.30", "127.0.0.40")
 	update(add("*.example. 60 IN A 127.0.0.50")) // neither b.w nor w exists, so this wildcard applies to a.b.w and to new
 	f.waitForServing(t, "127.0.0.30", "127.0.0.40", "127.0.0.50")
-	update(gone("*.example."))
+	update(removeName("*.example."))
 	f.waitForServing(t, "127.0.0.30", "127.0.0.40")
 	update(add("target.example. 60 IN A 127.0.0.31"))
 	f.waitForServing(t, "127.0.0.30", "127.0.0.31", "127.0.0.40")
--- a/internal/zone/codec.go
+++ b/internal/zone/codec.go
@@ -74,7 +74,7 @@
 			}
 			n := int(binary.BigEndian.Uint32(rest))
 			if rest = rest[4:]; n > len(rest) {
-				return nil, 0, fmt.Errorf("%w: a record is cut off", ErrTruncated)
+				return nil, 0, fmt.Errorf("%w: a record is truncated", ErrTruncated)
 			}
 			rr, at, err := dns.UnpackRR(rest[:n], 0)
 			if err != nil || at != n {
--- a/internal/zone/delta.go
+++ b/internal/zone/delta.go
@@ -125,7 +125,7 @@
 
 // Rebase applies the manual edits from base to edited to the current version now. Each record set that was edited is taken from
 // edited, all other sets from now. The serial is that of edited if it is newer than now's, else the next serial after now's. changed
-// is false, and after is now, if no record was edited and the serial of edited is not newer.
+// is false, and after is now, if the edits do not change the records of now and the serial of edited is not newer.
 func Rebase(base, edited, now *Zone) (after *Zone, changed bool, err error) {
 	type setID struct {
 		name string
--- a/internal/zone/update_test.go
+++ b/internal/zone/update_test.go
@@ -93,17 +93,17 @@
 func TestUpdateTable(t *testing.T) {
 	ok := dns.RcodeSuccess
 	for _, c := range []struct {
-		section string
-		pre, up []string
-		rcode   int
-		adds    []string // added records, without the SOA
-		takes   []string // removed records, without the SOA
+		section     string
+		pre, up     []string
+		rcode       int
+		wantAdded   []string // added records, without the SOA
+		wantRemoved []string // removed records, without the SOA
 	}{
 		{"2.4.1 RRset exists, any data: it does", []string{"www ANY A"}, []string{"n 60 IN A 192.0.2.9"}, ok, []string{"n.example. 60 IN A 192.0.2.9"}, nil},
 		{"2.4.1 it does not", []string{"www ANY AAAA"}, []string{"n 60 IN A 192.0.2.9"}, dns.RcodeNXRrset, nil, nil},
 		{"2.4.2 RRset exists with these data", []string{"www IN A 192.0.2.3", "www IN A 192.0.2.2"}, []string{"n 60 IN A 192.0.2.9"}, ok, []string{"n.example. 60 IN A 192.0.2.9"}, nil},
 		{"2.4.2 one is missing in the message", []string{"www IN A 192.0.2.3"}, []string{"n 60 IN A 192.0.2.9"}, dns.RcodeNXRrset, nil, nil},
-		{"2.4.2 one is other", []string{"www IN A 192.0.2.3", "www IN A 192.0.2.4"}, []string{"n 60 IN A 192.0.2.9"}, dns.RcodeNXRrset, nil, nil},
+		{"2.4.2 one record differs", []string{"www IN A 192.0.2.3", "www IN A 192.0.2.4"}, []string{"n 60 IN A 192.0.2.9"}, dns.RcodeNXRrset, nil, nil},
 		{"2.4.2 names within are compared without case", []string{"alias IN CNAME WWW.Example."}, []string{"n 60 IN A 192.0.2.9"}, ok, []string{"n.example. 60 IN A 192.0.2.9"}, nil},
 		{"2.4.3 RRset does not exist", []string{"www NONE AAAA"}, []string{"n 60 IN A 192.0.2.9"}, ok, []string{"n.example. 60 IN A 192.0.2.9"}, nil},
 		{"2.4.3 it does", []string{"www NONE A"}, []string{"n 60 IN A 192.0.2.9"}, dns.RcodeYXRrset, nil, nil},
@@ -119,7 +119,7 @@
 		{"3.2.5 another class", []string{"www CH A"}, nil, dns.RcodeFormatError, nil, nil},
 		{"3.2.5 class of the zone, type ANY", []string{"www IN ANY"}, nil, dns.RcodeFormatError, nil, nil},
 		{"3.4.1.3 outside of the zone", nil, []string{"www.other. 60 IN A 192.0.2.9"}, dns.RcodeNotZone, nil, nil},
-		{"3.4.1.3 the second is bad: nothing of it", nil, []string{"n 60 IN A 192.0.2.9", "n 60 IN ANY"}, dns.RcodeFormatError, nil, nil},
+		{"3.4.1.3 the second record is bad: none is applied", nil, []string{"n 60 IN A 192.0.2.9", "n 60 IN ANY"}, dns.RcodeFormatError, nil, nil},
 		{"3.4.1.3 add of AXFR", nil, []string{"n 60 IN AXFR"}, dns.RcodeFormatError, nil, nil},
 		{"3.4.1.3 add without data", nil, []string{"n 60 IN A"}, dns.RcodeFormatError, nil, nil},
 		{"3.4.1.3 class ANY with a time to live", nil, []string{"www 1 ANY A"}, dns.RcodeFormatError, nil, nil},
@@ -150,7 +150,7 @@
 		{"3.4.2.4 delete the SOA: ignored", nil, []string{"@ NONE SOA ns.example. host.example. 10 3600 600 86400 60"}, ok, nil, nil},
 		{"3.4.2 in the order of the message", nil, []string{"www ANY A", "www 300 IN A 192.0.2.9"}, ok,
 			[]string{"www.example. 300 IN A 192.0.2.9"}, []string{"www.example. 300 IN A 192.0.2.2", "www.example. 300 IN A 192.0.2.3"}},
-		{"3.4.2 what comes and goes leaves nothing", nil, []string{"n 300 IN A 192.0.2.9", "n ANY ANY"}, ok, nil, nil},
+		{"3.4.2 add and delete in one message: nothing changes", nil, []string{"n 300 IN A 192.0.2.9", "n ANY ANY"}, ok, nil, nil},
 	} {
 		t.Run(c.section, func(t *testing.T) {
 			z := parse(t, base)
@@ -167,10 +167,10 @@
 			}
 			d := Diff(z, after)
 			added, removed := texts(d.Added), texts(d.Removed)
-			if !slices.Equal(added, sortedTexts(c.adds)) || !slices.Equal(removed, sortedTexts(c.takes)) {
-				t.Errorf("added %q, want %q; removed %q, want %q", added, c.adds, removed, c.takes)
+			if !slices.Equal(added, sortedTexts(c.wantAdded)) || !slices.Equal(removed, sortedTexts(c.wantRemoved)) {
+				t.Errorf("added %q, want %q; removed %q, want %q", added, c.wantAdded, removed, c.wantRemoved)
 			}
-			if want := len(c.adds)+len(c.takes) > 0; changed != want || (after.Serial() == 11) != want || !want && after != z {
+			if want := len(c.wantAdded)+len(c.wantRemoved) > 0; changed != want || (after.Serial() == 11) != want || !want && after != z {
 				t.Errorf("changed %v, serial %d", changed, after.Serial())
 			}
 		})
