--- a/internal/sender/journal.go
+++ b/internal/sender/journal.go
@@ -13,42 +13,41 @@
 // The journal's file, in the state folder, and its bounds.
 const (
 	journalFileName = "messages.journal"
-	// maxNameBytes bounds ids, keys and endpoint names, or what is written of a message would have no bound.
+	// maxNameBytes limits ids, keys and endpoint names, so that the records on a message have a bounded size.
 	maxNameBytes = 128
 	// compactionRetryInterval is the pause between compactions while they fail.
 	compactionRetryInterval = 200 * time.Millisecond
-	// maxRates bounds a record of rates, and ratesReserve the bytes that it takes.
+	// maxRates is the maximum number of rates in a record, and ratesReserve the space reserved for that record in bytes.
 	maxRates     = 100
 	ratesReserve = 32 * maxRates
-	// maxOutageReserve is the bytes that outages may take beside the rates, and outageBudgetDivisor the part of the journal's
-	// budget that they may take at most.
+	// Outages may take maxOutageReserve bytes besides the rates, and at most the journal's budget divided by
+	// outageBudgetDivisor.
 	maxOutageReserve    = 4 << 10
 	outageBudgetDivisor = 32
 )
 
-// journalFile is the file that is appended to; tests put one in place that fails.
+// journalFile is the file that records are appended to; tests replace it by one that fails.
 type journalFile interface {
 	io.WriteCloser
 	Truncate(size int64) error
 }
 
-// journal keeps accepted messages, the usual rates, the outages and the endpoint list over a kill of the process. It belongs
-// to the loop. It is one file of lines, each a checksum and a JSON record (appendLine), so that a process that is killed leaves
-// at most a torn last line. Records are buffered and written by flush, which does not sync: a power failure may lose the last of
-// them.
+// journal preserves accepted messages, the usual rates, the outages and the endpoint list if the process is killed. Only the loop
+// uses it. Each line of its file is a checksum and a JSON record (appendLine), so that a process that is killed leaves at most a
+// torn last line. Records are buffered and written by flush, which does not call fsync: a power failure may lose the last records.
 //
-// While it is failed nothing is written until a compaction succeeds, which is tried every compactionRetryInterval.
+// After a failed write nothing is written until a compaction succeeds, which is tried at most every compactionRetryInterval.
 type journal struct {
 	path           string
 	file           journalFile
 	budget         int64        // bytes that the old and the new file may take together
-	size           int64        // of the file
-	reserved       int64        // upper bound of a compacted file and all that may follow on its messages
+	size           int64        // of the file in bytes
+	reserved       int64        // upper bound of a compacted file and all further records on its messages
 	buf            bytes.Buffer // records that are not written yet
-	line           []byte       // of the message that is being inserted; reused
+	line           []byte       // encoded record of the message that is being inserted; reused
 	failed         bool         // the last write failed: nothing more is written until a compaction succeeds
-	lastCompaction time.Time    // when the last one was tried
-	corruptLines   int          // lines of the earlier process's file that could not be read, but for a torn last one
+	lastCompaction time.Time    // when a compaction was last tried
+	corruptLines   int          // unreadable lines of the earlier process's file, except a torn last line
 
 	rates          map[uint32]float64 // usual calls a second, by destination
 	outages        outageSnapshot
@@ -56,12 +55,13 @@
 	endpoints      storedList
 
 	byID  map[string]*storedMessage // messages that are not finished
-	order []*storedMessage          // in the order in which they were accepted, with some that are finished
-	ended int                       // how many of those
+	order []*storedMessage          // in the order in which they were accepted, including some that are finished
+	ended int                       // finished messages in order
 }
 
-// openJournal reads what an earlier process left in dir and begins a compacted file. budget is the bytes that the old and the
-// new file may take together. Its error is a file that can't be read; one that can't be written leaves the journal failed.
+// openJournal reads the journal that an earlier process left in dir and starts a compacted file. budget is the bytes that the old
+// and the new file may take together. It returns an error if the file can't be read; if no file can be written, the journal is
+// returned in the failed state.
 func openJournal(dir string, budget int64) (*journal, error) {
 	j := &journal{
 		path: filepath.Join(dir, journalFileName), budget: budget,
@@ -79,20 +79,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	// On a full disk it goes on without: the old file stays as it is, and nothing new is taken or sent
-	// until a compacted one can be written.
+	// A failed compaction, on a full disk for example, is no error here: the old file stays unchanged, and no message is
+	// accepted or sent until a compacted file can be written.
 	j.compact()
 	return j, nil
 }
 
-// index adds a message to those that are held.
+// index adds a message to the pending ones.
 func (j *journal) index(m *storedMessage) {
 	j.byID[m.ID] = m
 	j.order = append(j.order, m)
 	j.reserved += m.cost
 }
 
-// unindex forgets a message that is settled, or was not accepted after all.
+// unindex removes a message that is finished or was not accepted after all.
 func (j *journal) unindex(m *storedMessage) {
 	if j.byID[m.ID] == m {
 		delete(j.byID, m.ID)
@@ -104,7 +104,7 @@
 	}
 }
 
-// pending is the messages that are not settled, in the order in which they were accepted.
+// pending returns the messages that are not finished, in the order in which they were accepted.
 func (j *journal) pending() []*storedMessage {
 	kept := make([]*storedMessage, 0, len(j.byID))
 	for _, m := range j.order {
@@ -116,7 +116,7 @@
 	return kept
 }
 
-// insertAndFlush writes a message down at once; without room for it nothing is kept.
+// insertAndFlush inserts a message and writes it at once; a message that can't be written is not kept.
 func (j *journal) insertAndFlush(rec record) (*storedMessage, error) {
 	m, err := j.insert(rec)
 	if err != nil {
@@ -129,8 +129,8 @@
 	return m, nil
 }
 
-// insert buffers a message that is about to be accepted; flush writes it. Room is reserved for all that may follow on it, so
-// that its end can always be written. The error is errJournalFull, or that of a compaction.
+// insert buffers the record of a message that is about to be accepted; flush writes it. Space is reserved for all further records
+// on the message, so that its end can always be written. The error is errJournalFull, or that of a compaction.
 func (j *journal) insert(rec record) (*storedMessage, error) {
 	rec.Op = opAccept
 	var err error
@@ -168,8 +168,8 @@
 	}
 }
 
-// flush writes the buffer. After a failed write the file may lack records, so nothing more is appended to it: the way on is a
-// compaction, which writes the state that the records led to.
+// flush writes the buffer. After a failed write the file may lack records, so nothing more is appended to it until a compaction
+// has written the complete state.
 func (j *journal) flush() error {
 	if j.buf.Len() == 0 {
 		return nil
@@ -180,13 +180,13 @@
 	}
 	if j.failed || j.size+int64(j.buf.Len())+j.reserved > j.budget {
 		j.buf.Reset()
-		return j.compact() // it holds what was noted, too
+		return j.compact() // the new file includes the effect of the buffered records
 	}
 	n, err := j.file.Write(j.buf.Bytes())
 	j.buf.Reset()
 	if err != nil {
-		// What was written of it is taken back: a message among it is refused to its client now, and must not
-		// come up again if the process is killed before a compaction.
+		// Remove what was written partially: the messages in it are now rejected, and must not reappear if the
+		// process is killed before a compaction.
 		j.failed = true
 		j.file.Truncate(j.size)
 		return fmt.Errorf("journal: %w", err)
--- a/internal/sender/journal_codec.go
+++ b/internal/sender/journal_codec.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// decodeLine reads a line, its line feed included, into rec; false if its checksum or its JSON is wrong.
+// decodeLine decodes a line, including its line feed, into rec; false if the checksum or the JSON is wrong.
 func decodeLine(line []byte, rec *record) bool {
 	if len(line) < 10 {
 		return false
@@ -18,7 +18,7 @@
 	return err == nil && uint32(sum) == crc32.ChecksumIEEE(text) && json.Unmarshal(text, rec) == nil
 }
 
-// writeLine writes a record's line and gives its length in bytes.
+// writeLine writes a record's line and returns its length in bytes.
 func writeLine(w io.Writer, rec *record) (int, error) {
 	line, err := appendLine(nil, rec)
 	if err != nil {
@@ -27,8 +27,8 @@
 	return w.Write(line)
 }
 
-// appendLine adds a record's line: the CRC-32 (IEEE) of its JSON as eight hexadecimal digits, a blank, the JSON, a line feed. The
-// JSON of records on messages is written by hand, since several are written for each message.
+// appendLine appends a record's line: the CRC-32 (IEEE) of its JSON as eight hexadecimal digits, a space, the JSON, a line feed.
+// Records on messages are encoded without encoding/json for speed, since several are written for each message.
 func appendLine(b []byte, r *record) ([]byte, error) {
 	begin := len(b)
 	b = append(b, "00000000 "...)
@@ -50,31 +50,31 @@
 	return append(b, '\n'), nil
 }
 
-// recordEncoder appends a record's JSON: that of encoding/json with the tags of record, fields of zero value left out.
+// recordEncoder appends a record's JSON as encoding/json would encode it with the tags of record, without fields of zero value.
 type recordEncoder struct{ b []byte }
 
-// text adds a string under a name, which is given as JSON with its comma and colon.
+// text appends a string field if it is not empty. name is the field's name as JSON, with the comma before and the colon after it.
 func (e *recordEncoder) text(name, v string) {
 	if v != "" {
 		e.b = appendString(append(e.b, name...), v)
 	}
 }
 
-// number adds an integer.
+// number appends an integer field if it is not 0.
 func (e *recordEncoder) number(name string, v int64) {
 	if v != 0 {
 		e.b = strconv.AppendInt(append(e.b, name...), v, 10)
 	}
 }
 
-// flag adds a text if v is set.
+// flag appends text if v is set.
 func (e *recordEncoder) flag(text string, v bool) {
 	if v {
 		e.b = append(e.b, text...)
 	}
 }
 
-// attempts adds an array of attempts.
+// attempts appends an array of attempts.
 func (e *recordEncoder) attempts(all []attemptRecord) {
 	if len(all) == 0 {
 		return
@@ -89,7 +89,7 @@
 	e.b = append(e.b, ']')
 }
 
-// appendRecord adds the JSON of a record on a message: all fields but rates, outages and endpoint list.
+// appendRecord appends the JSON of a record on a message: all fields except rates, outages and endpoint list.
 func appendRecord(b []byte, r *record) []byte {
 	e := recordEncoder{appendString(append(b, `{"op":`...), r.Op)}
 	e.b = appendString(append(e.b, `,"id":`...), r.ID)
@@ -131,7 +131,7 @@
 	return append(e.b, '}')
 }
 
-// appendAttempt adds the JSON of an attempt.
+// appendAttempt appends the JSON of an attempt.
 func appendAttempt(b []byte, t *attemptRecord) []byte {
 	b = strconv.AppendInt(append(b, `{"at":`...), int64(t.At), 10)
 	e := recordEncoder{appendString(append(b, `,"endpoint":`...), t.Endpoint)}
@@ -143,7 +143,7 @@
 	return append(e.b, '}')
 }
 
-// appendString adds a JSON string. Names are plain ASCII but for those of a list or a settings file.
+// appendString appends a JSON string. Only names from an endpoint list or a settings file may be other than plain ASCII.
 func appendString(b []byte, s string) []byte {
 	for i := range len(s) {
 		if c := s[i]; c < 0x20 || c > 0x7e || c == '"' || c == '\\' {
--- a/internal/sender/journal_compaction.go
+++ b/internal/sender/journal_compaction.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// compact writes a new file of what is still needed and renames it over the old one. A kill in between leaves the old file
-// whole, and beside it at most a new one that nobody reads.
+// compact writes the current state to a new file and renames that over the old one. A kill in between leaves the old file intact
+// and at most an incomplete new file, which is never read.
 func (j *journal) compact() error {
 	err := j.rewrite()
 	j.failed, j.lastCompaction = err != nil, time.Now()
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// rewrite writes the new file, puts it in the old one's place and goes on with it.
+// rewrite writes the new file, renames it over the old one and makes it the file that records are appended to.
 func (j *journal) rewrite() error {
 	f, err := os.OpenFile(j.path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// writeState writes all that the journal holds: rates and outages, the endpoint list, and the messages that are pending, which it gives
-// with the size of it all.
+// writeState writes the journal's state: rates and outages, the endpoint list, and the pending messages. It returns those messages and
+// the total size in bytes.
 func (j *journal) writeState(to io.Writer) (pending []*storedMessage, size int64, err error) {
 	w := bufio.NewWriterSize(to, 1<<16)
 	write := func(rec *record) error {
@@ -71,7 +71,7 @@
 	return pending, size, w.Flush()
 }
 
-// compacted is the one record that stands for all on a message.
+// compacted returns the single record that replaces all records on a message.
 func (m *storedMessage) compacted() *record {
 	rec := m.record
 	rec.Outcome, rec.RetryAfterMS, rec.AwaitsRecorder, rec.At = m.outcome, m.retryAfterMS, m.awaitsRecorder, m.endedAt
--- a/internal/sender/journal_endpoints.go
+++ b/internal/sender/journal_endpoints.go
@@ -8,41 +8,40 @@
 	"saffronyard.example/saffronyard/internal/membership"
 )
 
-// listRecord is the endpoint list as discovery told it last, or what has changed in it. The journal keeps it: a process that
-// restarts knows from its first moment which endpoints the earlier one was told to leave, and asks only for what came since.
-// The configuration has a list as well, which may be as old as the deployment; and discovery may turn callers away for seconds
-// when many restart at once.
+// listRecord is the endpoint list as last received from discovery, or changes to it. The journal stores it so that a restarted
+// process sends nothing to the endpoints that had been reported as draining or deleted, and requests only newer changes. The list in
+// the configuration may be as old as the deployment, and discovery may reject calls for seconds when many senders restart at once.
 type listRecord struct {
-	From    string   `json:"from"` // discovery's address: versions are each address's own
+	From    string   `json:"from"` // discovery's address: versions of different addresses are not comparable
 	Version int64    `json:"version"`
-	Full    bool     `json:"whole,omitempty"` // what was kept before does not count
+	Full    bool     `json:"whole,omitempty"` // replaces the stored list
 	Servers []Target `json:"servers,omitempty"`
 }
 
 const (
-	maxStoredListBytes = 64 << 10 // bytes of a list that is kept, and a sixteenth of the journal's room at most
-	listRecordOverhead = 256      // of its record beside the lines
+	maxStoredListBytes = 64 << 10 // the longest list that is stored, limited also to a sixteenth of the journal's budget
+	listRecordOverhead = 256      // bytes of a list's record besides its lines
 )
 
-// storedList is the endpoint list that the journal holds.
+// storedList is the endpoint list in the journal.
 type storedList struct {
 	from     string
 	version  int64
-	lines    map[string]storedTarget // nil: none is kept
-	size     int64                   // of all lines as they are written
+	lines    map[string]storedTarget // by endpoint id; nil: no list is stored
+	size     int64                   // of all lines as they are written, in bytes
 	maxBytes int64
 
-	unwritten bool // the journal's file does not have it yet
+	unwritten bool // the list is not in the journal's file yet
 }
 
-// storedTarget is a line of it and its size in bytes.
+// storedTarget is a line of the list and its size in bytes.
 type storedTarget struct {
 	Target
 	size int64
 }
 
-// apply takes in a record of the list. A list that gets longer than maxBytes is given up as a whole: half a list would have
-// endpoints gone that are not.
+// apply applies a record to the list. A list that becomes longer than maxBytes is dropped completely: in a truncated list, endpoints
+// that still exist would be missing.
 func (l *storedList) apply(r *listRecord) {
 	if r.Full || l.lines == nil {
 		l.lines, l.size = map[string]storedTarget{}, 0
@@ -52,12 +51,12 @@
 		l.size -= l.lines[t.ID].size
 		delete(l.lines, t.ID)
 		if t.State != membership.Deleted {
-			raw, _ := json.Marshal(t) // text and numbers only: a weight from a list is finite
+			raw, _ := json.Marshal(t) // can't fail: text and numbers only, and a weight from a list is finite
 			l.lines[t.ID] = storedTarget{t, int64(len(raw)) + 1}
 			l.size += int64(len(raw)) + 1
 		}
 		if r.Full && l.size > l.maxBytes {
-			break // it only grows
+			break // further lines only make it longer
 		}
 	}
 	if r.Version < 0 || l.size > l.maxBytes {
@@ -65,8 +64,8 @@
 	}
 }
 
-// init takes a list that was not told by discovery but read at the start, so that changes to it can be kept. Nothing is
-// written: until there are changes the next process reads it as well.
+// init sets the list to one that was read at the start rather than received from discovery, so that changes to it can be stored.
+// It writes nothing: until there are changes, the next process reads the same list at its start.
 func (l *storedList) init(from string, known Targets) {
 	if l.from != from || l.version != known.Version || len(l.lines) == 0 {
 		l.apply(&listRecord{From: from, Version: known.Version, Full: true, Servers: known.Servers})
@@ -74,12 +73,13 @@
 	}
 }
 
-// diff is the record that brings the stored list to where an update from an address does; nil if it is there already.
+// diff returns the record that applies an update from an address to the stored list; nil if the update changes nothing, or if it
+// has only changes to a list that is not stored.
 func (l *storedList) diff(from string, u membership.Update) *listRecord {
 	r := &listRecord{From: from, Version: u.Version}
 	if l.lines == nil || l.from != from || u.VersionsReset {
 		if !u.Full {
-			return nil // changes alone, to a list that is not known
+			return nil // only changes, to a list that is not stored
 		}
 		r.Full, r.Servers = true, u.Servers
 		return r
@@ -104,7 +104,7 @@
 	return r
 }
 
-// record is the whole list, in the order of ids; nil if none is kept.
+// record returns the complete list, ordered by id; nil if no list is stored.
 func (l *storedList) record() *listRecord {
 	if len(l.lines) == 0 {
 		return nil
@@ -117,9 +117,9 @@
 	return r
 }
 
-// startingPoint is the list to begin with at an address, and the version after which to ask there, -1 for the whole list. Of
-// two lists from one address the newer counts. A stored list from another address is not comparable: then the configuration's
-// counts, but endpoints that were draining stay so until the whole list has come.
+// startingPoint returns the list to start with at an address, and the version after which to request changes there, -1 to request the
+// complete list. Of two lists from the same address the newer is used. A stored list from another address is not comparable: then the
+// configuration's list is used, but endpoints that were draining remain so until the complete list has been received.
 func (l *storedList) startingPoint(known Targets, from string) (Targets, int64) {
 	known.Full = true
 	version := known.Version
@@ -145,8 +145,8 @@
 	return known, version
 }
 
-// initList has the journal keep what changes in the list that the sender begins with. From another address, or without any
-// list, discovery's whole list comes first.
+// initList sets the list that the sender starts with, so that changes to it are stored. It does nothing if askFrom is -1, that is if
+// the complete list is requested from discovery first because there is no list or it is from another address.
 func (j *journal) initList(from string, first Targets, askFrom int64) {
 	if askFrom < 0 {
 		return
@@ -166,12 +166,12 @@
 	j.endpoints.apply(r)
 	j.reserved += j.endpoints.size
 	switch {
-	case j.endpoints.lines == nil: // given up
+	case j.endpoints.lines == nil: // dropped
 		r = &listRecord{From: from, Version: -1, Full: true}
-	case j.endpoints.unwritten: // changes alone would be changes to nothing
+	case j.endpoints.unwritten: // the file has no list that changes could apply to
 		r = j.endpoints.record()
 	}
-	if r == nil { // nothing is left of it
+	if r == nil { // the list is empty
 		return
 	}
 	j.endpoints.unwritten = false
--- a/internal/sender/journal_endpoints_test.go
+++ b/internal/sender/journal_endpoints_test.go
@@ -20,7 +20,7 @@
 	return list
 }
 
-// states is a list as id=state, in the order of ids.
+// states returns a list as id=state, ordered by id.
 func states(list []Target) (all []string) {
 	for _, t := range list {
 		all = append(all, t.ID+"="+t.State)
@@ -29,7 +29,7 @@
 	return all
 }
 
-// What a process begins with after one that had heard news: the newer of both lists, at the same address.
+// A restarted process starts with the newer of the stored list and the configuration's, if both are from the same address.
 func TestStoredList_SurvivesRestart(t *testing.T) {
 	const here, there = "127.0.0.1:1", "127.0.0.1:2"
 	known := Targets{Version: 3, Servers: servingList("a", "b")}
@@ -40,13 +40,13 @@
 		want    []string
 		version int64
 	}{
-		{"nothing was heard", nil, here, []string{"a=SERVING", "b=SERVING"}, 3},
-		{"a drain, an end and a new one, after the configuration's list",
+		{"no update", nil, here, []string{"a=SERVING", "b=SERVING"}, 3},
+		{"an endpoint drained, one deleted and one added, after the configuration's list",
 			[]membership.Update{{Version: 5, Servers: append(servingList("c"), Target{ID: "a", State: membership.Draining}, Target{ID: "b", State: membership.Deleted})}},
 			here, []string{"a=DRAINING", "c=SERVING"}, 5},
-		{"a whole list that lacks one", []membership.Update{{Version: 5, Full: true, Servers: servingList("a", "b")}, {Version: 6, Full: true, Servers: servingList("b")}},
+		{"a complete list without one endpoint", []membership.Update{{Version: 5, Full: true, Servers: servingList("a", "b")}, {Version: 6, Full: true, Servers: servingList("b")}},
 			here, []string{"b=SERVING"}, 6},
-		{"an older one than the configuration's", []membership.Update{{Version: 2, Full: true, Servers: servingList("z")}}, here, []string{"a=SERVING", "b=SERVING"}, 3},
+		{"an older list than the configuration's", []membership.Update{{Version: 2, Full: true, Servers: servingList("z")}}, here, []string{"a=SERVING", "b=SERVING"}, 3},
 		{"from another address", []membership.Update{{Version: 90, Full: true, Servers: append(servingList("b", "c"), Target{ID: "a", State: membership.Draining})}},
 			there, []string{"a=DRAINING", "b=SERVING"}, -1},
 	} {
@@ -61,10 +61,10 @@
 			j = openTest(t, dir, 1<<20)
 			list, version := j.endpoints.startingPoint(known, c.from)
 			if got := states(list.Servers); !slices.Equal(got, c.want) || version != c.version {
-				t.Errorf("%s, %s: %v after %d, want %v after %d", c.name, how, got, version, c.want, c.version)
+				t.Errorf("%s, %s: list %v at version %d, want %v at version %d", c.name, how, got, version, c.want, c.version)
 			}
 			if len(j.byID) != 1 {
-				t.Errorf("%s, %s: the journal holds %d messages", c.name, how, len(j.byID))
+				t.Errorf("%s, %s: the journal has %d messages", c.name, how, len(j.byID))
 			}
 		}
 	}
@@ -73,8 +73,7 @@
 	}
 }
 
-// A list that is too long is not kept in part, takes nothing from the room for messages, and is kept again once it is
-// shorter.
+// A list that is too long is dropped completely, takes no space from messages, and is stored again once it is short enough.
 func TestStoredList_TooLong(t *testing.T) {
 	j := openTest(t, t.TempDir(), 1<<20)
 	free := j.reserved
@@ -85,29 +84,29 @@
 	j.saveList("x", membership.Update{Version: 1, Full: true, Servers: servingList("a")})
 	j.saveList("x", membership.Update{Version: 2, Full: true, Servers: many})
 	if j.endpoints.record() != nil || j.reserved != free {
-		t.Errorf("%d lines are kept in %d bytes", len(j.endpoints.lines), j.reserved-free)
+		t.Errorf("%d lines are stored in %d bytes, want none", len(j.endpoints.lines), j.reserved-free)
 	}
-	j.saveList("x", membership.Update{Version: 3, Servers: servingList("b")}) // to a list that is not known
+	j.saveList("x", membership.Update{Version: 3, Servers: servingList("b")}) // changes to a list that is not stored
 	if list, _ := j.endpoints.startingPoint(Targets{}, "x"); len(list.Servers) != 0 {
-		t.Errorf("half a list is kept: %v", list.Servers)
+		t.Errorf("an incomplete list is stored: %v", list.Servers)
 	}
 	j.saveList("x", membership.Update{Version: 4, Full: true, Servers: servingList("a", "b")})
 	if list, version := j.endpoints.startingPoint(Targets{}, "x"); len(list.Servers) != 2 || version != 4 {
-		t.Errorf("%d lines after %d", len(list.Servers), version)
+		t.Errorf("%d lines at version %d", len(list.Servers), version)
 	}
 	most := many[:j.endpoints.maxBytes*3/4/(j.endpoints.size/2)]
-	for version := range int64(2) { // the same lines, all changed, are no longer than before
+	for version := range int64(2) { // a change of every line must not count the old lines too
 		for i := range most {
 			most[i].State = []string{membership.Serving, membership.Draining}[version]
 		}
 		j.saveList("x", membership.Update{Version: 5 + version, Full: true, Servers: slices.Clone(most)})
 		if list, _ := j.endpoints.startingPoint(Targets{}, "x"); len(list.Servers) != len(most) {
-			t.Errorf("%d of %d lines are kept", len(list.Servers), len(most))
+			t.Errorf("%d of %d lines are stored", len(list.Servers), len(most))
 		}
 	}
 }
 
-// A record of the list that is spoilt costs that record and no message.
+// A corrupt record of the list loses that record only, and no message.
 func TestStoredList_CorruptRecord(t *testing.T) {
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
@@ -128,19 +127,18 @@
 			t.Fatal(err)
 		}
 		if k := openTest(t, dir, 1<<20); k.byID["m"] == nil || k.endpoints.record() != nil || k.corruptLines != 1 {
-			t.Fatalf("byte %d spoilt: %d messages, the list %v, %d lines said to be spoilt", n, len(k.byID), k.endpoints.record(), k.corruptLines)
+			t.Fatalf("byte %d corrupted: %d messages, list %v, %d corrupt lines reported", n, len(k.byID), k.endpoints.record(), k.corruptLines)
 		}
 	}
 }
 
-// A journal with a line that can't be read is named in one line of the log, with what is left of it; one torn by a kill is
-// as usual, and is not.
+// A journal with an unreadable line is reported in one log line; a last line torn by a kill is normal and is not reported.
 func TestJournal_CorruptLinesAreLogged(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		tail string
 		want int
-	}{{"spoilt", "00000000 {\"op\":\"take\"}\n", 1}, {"torn", "00000000 {\"op\":", 0}} {
+	}{{"corrupt", "00000000 {\"op\":\"take\"}\n", 1}, {"torn", "00000000 {\"op\":", 0}} {
 		s := &Config{StateDir: t.TempDir(), Discovery: "127.0.0.1:1", Limits: Limits{Sockets: 256, DiskMB: 3}}
 		j := openTest(t, s.StateDir, 1<<20)
 		takeTest(t, j, "m")
@@ -157,13 +155,13 @@
 			t.Fatal(err)
 		}
 		if got := strings.Count(lines.String(), "can't be read"); got != c.want || sender.journal.byID["m"] == nil {
-			t.Errorf("%s: %d lines name it, want %d:\n%s", c.name, got, c.want, lines.String())
+			t.Errorf("%s: %d log lines report it, want %d:\n%s", c.name, got, c.want, lines.String())
 		}
 	}
 }
 
-// Many senders restart, and each asks for the list at a time of its own: until then an endpoint that the earlier process
-// was told to leave gets nothing, whatever the configuration's older list says, and the messages of the journal go out.
+// When many senders restart, each delays its request for the list. Until the list arrives, an endpoint that drained under the
+// earlier process gets no call, whatever the configuration's older list says, and the messages of the journal are sent elsewhere.
 func TestStoredList_DrainSurvivesRestart(t *testing.T) {
 	t.Parallel()
 	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
@@ -178,6 +176,6 @@
 	})
 	goesTo(t, other, old)
 	if q := st.Receive(t, p.Lists); q != "after=9&wait_ms=0" {
-		t.Errorf("discovery is asked for %q", q)
+		t.Errorf("the query to discovery is %q", q)
 	}
 }
--- a/internal/sender/journal_outages.go
+++ b/internal/sender/journal_outages.go
@@ -10,20 +10,21 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// A process that restarts while a receiver is out of service, or recovers, finds accepted messages for it and knows nothing of
-// that: it would send them all at once, and so would every other process of a release. So the journal keeps, beside the usual
-// rates and as often, who is out and since when, and the next process begins there.
+// A process that restarts while a receiver is out of service or recovering finds accepted messages for that receiver. Without a
+// record of the outage it would send them all at once, and so would every other process that a release restarts. Therefore the
+// journal stores, each time it stores the usual rates, which receivers are out of service and since when, and the next process
+// starts from that state.
 
-// outage is a receiver that is out of service, or recovers. Times are the clock's.
+// outage is a receiver that is out of service or recovering. Times are those of the sender's clock.
 type outage struct {
 	Dest            uint32        `json:"dest"`
-	Endpoint        string        `json:"endpoint,omitempty"` // of a route apart
+	Endpoint        string        `json:"endpoint,omitempty"` // set if the receiver is a single route
 	Began           time.Duration `json:"began"`
-	RecoveringSince time.Duration `json:"back,omitempty"` // it has answered again since then
+	RecoveringSince time.Duration `json:"back,omitempty"` // when it started to answer again; 0 if it has not
 	Rate            float64       `json:"rate,omitempty"` // calls a second usually served there, by this sender
 }
 
-// outageSnapshot is all outages as of a time.
+// outageSnapshot is all outages at one time.
 type outageSnapshot struct {
 	at   time.Duration
 	list []outage
@@ -32,13 +33,13 @@
 // roundRate rounds to three decimals, as rates are stored.
 func roundRate(r float64) float64 { return math.Round(r*1000) / 1000 }
 
-// truncated is the outages where the most is sent, as many as fit into maxBytes.
+// truncated returns the outages with the highest rates, as many as fit into maxBytes.
 func (o outageSnapshot) truncated(maxBytes int) outageSnapshot {
 	kept := outageSnapshot{at: o.at}
 	byRate := slices.Clone(o.list)
 	slices.SortStableFunc(byRate, func(x, y outage) int { return cmp.Compare(y.Rate, x.Rate) })
 	for _, out := range byRate {
-		raw, err := json.Marshal(out) // a rate that is no number is none
+		raw, err := json.Marshal(out) // fails for a rate that is no finite number; that outage is left out
 		if maxBytes -= len(raw) + 1; err == nil && maxBytes < 0 {
 			break
 		}
@@ -49,7 +50,7 @@
 	return kept
 }
 
-// saveRates writes the rates of the busiest destinations and the outages, in place of those written before.
+// saveRates writes the rates of the busiest destinations and the outages; they replace those written before.
 func (j *journal) saveRates(rates []brain.UsualRate, outs outageSnapshot) error {
 	slices.SortFunc(rates, func(a, b brain.UsualRate) int { return cmp.Compare(b.Rate, a.Rate) })
 	j.rates, j.outages = map[uint32]float64{}, outs.truncated(j.maxOutageBytes)
@@ -62,7 +63,7 @@
 	return j.flush()
 }
 
-// ratesRecord is the record of the rates and outages.
+// ratesRecord returns the record of the rates and outages.
 func (j *journal) ratesRecord() *record {
 	return &record{Op: opRates, Rates: j.rates, At: j.outages.at, Outages: j.outages.list}
 }
--- a/internal/sender/journal_record.go
+++ b/internal/sender/journal_record.go
@@ -8,23 +8,23 @@
 	"saffronyard.example/saffronyard/internal/cloudevents"
 )
 
-// followUpBytes is what all records on one message's attempts and end may come to, beside its first.
+// followUpBytes is the maximum size in bytes of all records on a message after its first: its attempts and its end.
 func followUpBytes(id string) int64 { return 1536 + 14*int64(len(id)) }
 
 // The operations of a record, as the file has them.
 const (
-	opAccept   = "take"  // a message is accepted; in a compacted file with what came of it so far
+	opAccept   = "take"  // a message is accepted; in a compacted file, with its state so far
 	opSend     = "send"  // an attempt begins
-	opEnd      = "end"   // an attempt ended, and not the message with it
+	opEnd      = "end"   // an attempt ended, but not the message
 	opOver     = "over"  // the message ended
-	opNotified = "told"  // the platform has acknowledged the notice of its end
-	opRecorded = "kept"  // the recorder has it
+	opNotified = "told"  // the platform has acknowledged the notice of the message's end
+	opRecorded = "kept"  // the recorder has stored the message
 	opRates    = "rates" // the usual rates, and the outages
-	opList     = "list"  // the endpoint list, or what has changed in it
+	opList     = "list"  // the endpoint list, or changes to it
 )
 
-// record is one line of the journal. Which fields it has goes by Op. Times are the clock's, in Unix nanoseconds. The JSON
-// names are the stored format: they do not change, and unknown ones are passed over.
+// record is one line of the journal. Op determines which fields are set. Times are those of the sender's clock, in Unix
+// nanoseconds. The JSON names are the stored format: they must not change, and unknown ones are ignored.
 type record struct {
 	Op string `json:"op"`
 	ID string `json:"id"` // of the message; "" for opRates and opList
@@ -35,32 +35,32 @@
 	Class     string             `json:"class,omitempty"`    // by name, as settings may change between two processes
 	Tenant    string             `json:"tenant,omitempty"`   // by name
 	Dest      uint32             `json:"dest,omitempty"`     // destination
-	Deadline  time.Duration      `json:"deadline,omitempty"` // a time
-	Body      []byte             `json:"body,omitempty"`     // of an event its data
-	Effect    string             `json:"effect,omitempty"`   // what its class said of repeats (effectNames)
+	Deadline  time.Duration      `json:"deadline,omitempty"` // a time, not a duration
+	Body      []byte             `json:"body,omitempty"`     // of an event: its data
+	Effect    string             `json:"effect,omitempty"`   // idempotency of its class when it was accepted (effectNames)
 	KeyWindow time.Duration      `json:"window,omitempty"`   // how long its receiver remembers the key
-	KeyInZone bool               `json:"in_zone,omitempty"`  // it remembers the key in each zone apart
+	KeyInZone bool               `json:"in_zone,omitempty"`  // its receiver remembers the key separately in each zone
 	Event     *cloudevents.Event `json:"event,omitempty"`    // of an event: its attributes
-	Identity  *eventIdentity     `json:"ident,omitempty"`    // of an event
+	Identity  *eventIdentity     `json:"ident,omitempty"`    // of an event: its identity
 
 	// opAccept of a later incarnation, or in a compacted file: the attempts so far.
 	Attempts        []attemptRecord `json:"tries,omitempty"`
-	Incarnation     int             `json:"life,omitempty"`   // 0 unless the recorder's message goes again
-	EarlierAttempts int             `json:"before,omitempty"` // how many of the attempts are those of earlier incarnations
+	Incarnation     int             `json:"life,omitempty"`   // 0 unless it is an undelivered message that is sent again
+	EarlierAttempts int             `json:"before,omitempty"` // how many of the attempts belong to earlier incarnations
 
 	// opSend and opEnd.
 	Attempt        int            `json:"try,omitempty"`      // opEnd: which attempt, from 0
 	Sent           *attemptRecord `json:"sent,omitempty"`     // opSend: the new attempt
-	NeverRan       bool           `json:"never,omitempty"`    // opEnd: it surely never ran
-	Recalled       bool           `json:"recalled,omitempty"` // opEnd: it was recalled, and counts as no attempt
-	AttemptOutcome string         `json:"out,omitempty"`      // opEnd, with a recorder: how it ended (undelivered.Outcome)
+	NeverRan       bool           `json:"never,omitempty"`    // opEnd: the attempt certainly never ran
+	Recalled       bool           `json:"recalled,omitempty"` // opEnd: the attempt was recalled and is not counted
+	AttemptOutcome string         `json:"out,omitempty"`      // opEnd, with a recorder: how the attempt ended (undelivered.Outcome)
 
 	// opOver, or opAccept in a compacted file.
 	Outcome        string        `json:"how,omitempty"`
 	RetryAfterMS   int64         `json:"retry_ms,omitempty"` // outcomeHandedBack: after how long its client may submit it again
-	AwaitsRecorder bool          `json:"keep,omitempty"`     // it goes to the recorder
-	Notified       bool          `json:"told,omitempty"`     // no notice of it is owed
-	At             time.Duration `json:"at,omitempty"`       // when it ended, if it goes to the recorder; opRates: the time of the outages
+	AwaitsRecorder bool          `json:"keep,omitempty"`     // the recorder has not stored the message yet
+	Notified       bool          `json:"told,omitempty"`     // no notice has to be sent any more
+	At             time.Duration `json:"at,omitempty"`       // when the message ended, if it goes to the recorder; opRates: the time of the outages
 
 	// opRates.
 	Rates   map[uint32]float64 `json:"rates,omitempty"`   // usual calls a second, by destination
@@ -70,40 +70,40 @@
 	List *listRecord `json:"list,omitempty"`
 }
 
-// attemptRecord is an attempt of a message. It may have run, unless it is marked NeverRan.
+// attemptRecord is an attempt to deliver a message. It may have run unless NeverRan is set.
 type attemptRecord struct {
 	At       time.Duration `json:"at"`
 	Endpoint string        `json:"endpoint"`
 	Zone     int           `json:"zone,omitempty"`
-	ZoneName string        `json:"in,omitempty"`       // where a key is remembered in its zone only
-	NeverRan bool          `json:"never,omitempty"`    // it surely never ran
+	ZoneName string        `json:"in,omitempty"`       // set if a key is remembered only in the zone of the attempt
+	NeverRan bool          `json:"never,omitempty"`    // it certainly never ran
 	Recalled bool          `json:"recalled,omitempty"` // it was recalled before anything was written
 	Outcome  string        `json:"out,omitempty"`      // with a recorder: how it ended (undelivered.Outcome)
 }
 
-// The ends of a message. Those that a notice tells of are the words of the platform's notices.
+// The outcomes of a message. Those that a notice reports are the platform's own words for them.
 const (
 	outcomeDelivered  = "delivered"
-	outcomeAnswered   = "answered" // refused or failed in the answer to its client, or withdrawn
+	outcomeAnswered   = "answered" // rejected or failed in the response to its client, or withdrawn
 	outcomeGivenUp    = "given_up"
 	outcomeHandedBack = "handed_back"
 )
 
-// storedMessage is a message as the journal holds it: its first record, and what the others have made of it.
+// storedMessage is a message in the journal: its first record, and the state that results from the later records.
 type storedMessage struct {
 	record
-	outcome        string        // its end; "" while it has none
-	retryAfterMS   int64         // of one that was handed back
-	awaitsRecorder bool          // the recorder has not taken it yet
-	notified       bool          // no notice is owed
+	outcome        string        // "" until the message has ended
+	retryAfterMS   int64         // if it was handed back
+	awaitsRecorder bool          // the recorder has not stored the message yet
+	notified       bool          // no notice has to be sent any more
 	endedAt        time.Duration // if it goes to the recorder
-	cost           int64         // bytes that it may take in the file, with all that may follow on it
+	cost           int64         // maximum size in bytes of all its records in the file
 }
 
-// finished reports whether a message is over and nobody is owed anything on it.
+// finished reports whether a message has ended, no notice has to be sent and the recorder need not store it any more.
 func (m *storedMessage) finished() bool { return m.outcome != "" && m.notified && !m.awaitsRecorder }
 
-// apply takes in a further record on the message.
+// apply applies a further record to the message.
 func (m *storedMessage) apply(r *record) {
 	switch r.Op {
 	case opSend:
@@ -128,12 +128,12 @@
 	}
 }
 
-// firstPossibleRun is the first attempt that may have run; false if none may.
+// firstPossibleRun returns the first attempt that may have run; false if none may have.
 func (m *storedMessage) firstPossibleRun() (attemptRecord, bool) {
 	return m.firstPossibleRunBefore(len(m.Attempts))
 }
 
-// firstPossibleRunBefore is the first of the first n attempts that may have run.
+// firstPossibleRunBefore returns the first of the first n attempts that may have run; false if none may have.
 func (m *storedMessage) firstPossibleRunBefore(n int) (attemptRecord, bool) {
 	for _, t := range m.Attempts[:min(n, len(m.Attempts))] {
 		if !t.NeverRan {
@@ -143,7 +143,7 @@
 	return attemptRecord{}, false
 }
 
-// attemptsMade is how many attempts count as such: not those that were recalled before anything was written, nor those of
+// attemptsMade returns the number of attempts, without those that were recalled before anything was written and without those of
 // earlier incarnations.
 func (m *storedMessage) attemptsMade() int {
 	own := m.Attempts[min(m.EarlierAttempts, len(m.Attempts)):]
@@ -156,8 +156,8 @@
 	return n
 }
 
-// orderKeyHash is the module's number for the ordering key, 0 for none. Two keys with one number are served as one, which
-// keeps both orders.
+// orderKeyHash returns the module's number for the ordering key, 0 for none. Keys with the same number are treated as one key, which
+// preserves the order of each.
 func (m *storedMessage) orderKeyHash() uint64 {
 	if m.OrderKey == "" {
 		return 0
--- a/internal/sender/journal_recovery.go
+++ b/internal/sender/journal_recovery.go
@@ -5,14 +5,14 @@
 	"io"
 )
 
-// replay reads an earlier process's file. Lines whose checksum is wrong are counted and passed over, all others count; a last
-// line without its line feed was torn by a kill and is not counted.
+// replay reads the file of an earlier process. Lines that can't be decoded, for example because of a wrong checksum, are counted and
+// skipped; a last line without a line feed was torn by a kill and is not counted.
 func (j *journal) replay(r io.Reader) error {
 	lines := bufio.NewReaderSize(r, 1<<16)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err == io.EOF {
-			return nil // a line without its end was not written whole
+			return nil // a line without a line feed was not completely written
 		}
 		if err != nil {
 			return err
@@ -32,7 +32,7 @@
 				j.reserved += j.endpoints.size
 			}
 		case rec.Op == opAccept:
-			if m != nil { // an id is used again only once its message is over
+			if m != nil { // an id is reused only once its message has ended
 				j.unindex(m)
 			}
 			j.index(&storedMessage{
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -40,7 +40,7 @@
 	j.update(a, record{Op: opEnd, Attempt: 0, NeverRan: true})
 	j.update(a, record{Op: opSend, Sent: &attemptRecord{At: 20, Endpoint: "s", Zone: 1}}) // no outcome: it may have run
 	j.update(a, record{Op: opSend, Sent: &attemptRecord{At: 30, Endpoint: "s"}})
-	j.update(a, record{Op: opEnd, Attempt: 2, NeverRan: true, Recalled: true}) // it counts as no attempt
+	j.update(a, record{Op: opEnd, Attempt: 2, NeverRan: true, Recalled: true}) // not counted as an attempt
 	j.update(b, record{Op: opOver, Outcome: outcomeDelivered})
 	j.update(c, record{Op: opOver, Outcome: outcomeHandedBack, RetryAfterMS: 500})
 	j.update(d, record{Op: opOver, Outcome: outcomeGivenUp})
@@ -51,22 +51,22 @@
 	check := func(j *journal) {
 		t.Helper()
 		if len(j.byID) != 2 || len(j.order) != 2 {
-			t.Fatalf("holds %d messages", len(j.byID))
+			t.Fatalf("the journal has %d messages", len(j.byID))
 		}
 		m := j.byID["a"]
 		first, may := m.firstPossibleRun()
 		if !may || first.At != 20 || first.Zone != 1 || len(m.Attempts) != 3 || m.attemptsMade() != 2 || string(m.Body) != "body a" || m.Key != "ka" || m.Dest != 3 || m.Deadline != 99 {
-			t.Errorf("a is %+v", m)
+			t.Errorf("message a is %+v", m)
 		}
 		if m := j.byID["c"]; m.outcome != outcomeHandedBack || m.retryAfterMS != 500 {
-			t.Errorf("c is %+v", m)
+			t.Errorf("message c is %+v", m)
 		}
 	}
 	check(openTest(t, dir, 1<<20)) // as after a kill: nothing was closed
 	check(openTest(t, dir, 1<<20)) // and from the compacted file
 }
 
-// What the module knows of rates is kept beside the messages, the newest only, and within a bound.
+// The journal stores the module's usual rates beside the messages: only the newest ones, and at most maxRates.
 func TestJournal_Rates(t *testing.T) {
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
@@ -91,7 +91,7 @@
 	}
 }
 
-// A kill may tear the last record at any byte; nothing before it is lost, and a damaged line hides no other.
+// A kill may tear the last record at any byte: no earlier record is lost. A corrupt line does not affect other lines.
 func TestJournal_TornWrites(t *testing.T) {
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
@@ -108,11 +108,11 @@
 		}
 		torn := openTest(t, dir, 1<<20)
 		if len(torn.byID) != 1 || torn.byID["a"] == nil {
-			t.Fatalf("cut at %d: holds %d messages", n, len(torn.byID))
+			t.Fatalf("cut at %d: the journal has %d messages", n, len(torn.byID))
 		}
 		takeTest(t, torn, "c")
 		if again := openTest(t, dir, 1<<20); len(again.byID) != 2 {
-			t.Fatalf("cut at %d: what was written after it is lost", n)
+			t.Fatalf("cut at %d: a message that was written afterwards is lost", n)
 		}
 	}
 	damaged := bytes.Replace(raw, []byte(`"id":"a"`), []byte(`"id":"x"`), 1)
@@ -120,12 +120,11 @@
 		t.Fatal(err)
 	}
 	if j := openTest(t, dir, 1<<20); len(j.byID) != 1 || j.byID["b"] == nil {
-		t.Errorf("a damaged line: holds %d messages", len(j.byID))
+		t.Errorf("with a corrupt line the journal has %d messages", len(j.byID))
 	}
 }
 
-// Old and new file together stay within the budget, however long it goes on; without room for a message
-// it is refused, and one that ends makes room again.
+// The old and the new file together never exceed the budget. A message without room is rejected, and one that ends frees its room.
 func TestJournal_StaysWithinBudget(t *testing.T) {
 	const budget = 64 << 10
 	dir := t.TempDir()
@@ -149,7 +148,7 @@
 			}
 		}
 		if j.size+j.reserved > budget {
-			t.Fatalf("after %d: %d bytes and a compaction of up to %d", i, j.size, j.reserved)
+			t.Fatalf("after message %d: the file has %d bytes and a compaction up to %d", i, j.size, j.reserved)
 		}
 		if i%3 == 0 && len(held) > 0 {
 			j.update(held[0], record{Op: opOver, Outcome: outcomeDelivered})
@@ -157,21 +156,21 @@
 		}
 	}
 	if refused == 0 || len(held) == 0 || refused == 3000 {
-		t.Errorf("%d refused, %d held", refused, len(held))
+		t.Errorf("%d rejected, %d pending", refused, len(held))
 	}
 	if err := j.close(); err != nil {
 		t.Fatal(err)
 	}
 	if again := openTest(t, dir, budget); len(again.byID) != len(held) {
-		t.Errorf("%d of %d came back", len(again.byID), len(held))
+		t.Errorf("%d of %d messages were recovered", len(again.byID), len(held))
 	}
 	if _, err := os.Stat(filepath.Join(dir, journalFileName+".new")); !os.IsNotExist(err) {
-		t.Errorf("the new file is left: %v", err)
+		t.Errorf("the new file of a compaction still exists: %v", err)
 	}
 }
 
-// A disk that takes nothing more: work is refused, nothing is lost that was written, and when there is
-// room again the state is written whole.
+// On a full disk messages are rejected and nothing that was written before is lost; once there is space again, the complete state is
+// written.
 func TestJournal_FullDisk(t *testing.T) {
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
@@ -182,17 +181,17 @@
 	}
 	j.file.Close()
 	j.file = full
-	// No new file can be made either: a folder stands in its place.
+	// No new file can be created either: a directory has its name.
 	if err := os.MkdirAll(filepath.Join(j.path+".new", "x"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	j.update(a, record{Op: opSend, Sent: &attemptRecord{At: 5}})
 	if err := j.flush(); err == nil {
-		t.Fatal("a full disk took a record")
+		t.Fatal("a record was written to a full disk")
 	}
 	for range 2 {
 		if _, err := j.insertAndFlush(record{ID: "b"}); err == nil {
-			t.Fatal("a message was taken on a full disk")
+			t.Fatal("a message was accepted on a full disk")
 		}
 	}
 	if err := os.RemoveAll(j.path + ".new"); err != nil {
@@ -202,11 +201,11 @@
 	takeTest(t, j, "c")
 	again := openTest(t, dir, 1<<20)
 	if m := again.byID["a"]; len(again.byID) != 2 || m == nil || len(m.Attempts) != 1 {
-		t.Errorf("came back with %d messages, a is %+v", len(again.byID), m)
+		t.Errorf("recovered %d messages, message a is %+v", len(again.byID), m)
 	}
 }
 
-// failingDisk is a file on a disk that takes so many bytes more, and then some of a write.
+// failingDisk is a file on a disk with a capacity in bytes; the write that exceeds it fails after a part has been written.
 type failingDisk struct {
 	*os.File
 	capacity int
@@ -222,8 +221,7 @@
 	return n, nil
 }
 
-// A write that fails at any byte leaves nothing of itself: a message among it is refused to its client, and does
-// not come up again in the next process.
+// A write that fails at any byte leaves no record: the messages in it are rejected, and must not reappear in the next process.
 func TestJournal_FailedWriteIsTakenBack(t *testing.T) {
 	for room := 0; ; room += 7 {
 		dir := t.TempDir()
@@ -242,19 +240,19 @@
 		err = j.flush()
 		if err == nil {
 			if room == 0 {
-				t.Fatal("nothing failed")
+				t.Fatal("no write failed")
 			}
-			return // all of it found room
+			return // there was room for all of it
 		}
 		j.unindex(b)
 		j.unindex(c)
 		if again := openTest(t, dir, 1<<20); len(again.byID) != 1 || again.byID["a"] == nil {
-			t.Fatalf("with room for %d bytes %d messages came back", room, len(again.byID))
+			t.Fatalf("with room for %d bytes %d messages were recovered", room, len(again.byID))
 		}
 	}
 }
 
-// Lines written by hand say what encoding/json would: any name, number and body is read again as it was.
+// Lines that are encoded without encoding/json decode to the same record, for any names, numbers and bodies.
 func TestJournal_LinesRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	text := func() string {
@@ -303,18 +301,18 @@
 	}
 }
 
-// What has ended is not held until a compaction, which may be far off on a large disk; the order stays.
+// Ended messages are released before the next compaction, which may be far off on a large disk; the order of the others is preserved.
 func TestJournal_ReleasesEndedMessages(t *testing.T) {
 	j := openTest(t, t.TempDir(), 1<<30)
 	first := takeTest(t, j, "first")
 	for i := range 20_000 {
 		j.update(takeTest(t, j, fmt.Sprint(i)), record{Op: opOver, Outcome: outcomeDelivered})
 		if len(j.order) > 2000 {
-			t.Fatalf("after %d messages %d are held", i, len(j.order))
+			t.Fatalf("after %d messages %d are in memory", i, len(j.order))
 		}
 	}
 	last := takeTest(t, j, "last")
 	if kept := j.pending(); len(kept) != 2 || kept[0] != first || kept[1] != last {
-		t.Errorf("%d are held", len(kept))
+		t.Errorf("%d messages are pending, or not in order", len(kept))
 	}
 }
--- a/internal/sender/outages.go
+++ b/internal/sender/outages.go
@@ -7,7 +7,7 @@
 	"saffronyard.example/saffronyard/internal/knowledge"
 )
 
-// currentOutages is the outages that the journal is to keep.
+// currentOutages returns the outages that are to be stored in the journal.
 func (s *Sender) currentOutages(now time.Duration) outageSnapshot {
 	o := outageSnapshot{at: now}
 	for _, k := range s.brain.Outages() {
@@ -27,7 +27,7 @@
 	return o
 }
 
-// restoredOutages tells the module of the outages that the earlier process wrote down last.
+// restoredOutages returns the events that inform the module of the outages that the earlier process stored last.
 func (s *Sender) restoredOutages(now time.Duration) []brain.Event {
 	var events []brain.Event
 	for _, o := range s.journal.outages.list {
--- a/internal/sender/outages_test.go
+++ b/internal/sender/outages_test.go
@@ -12,7 +12,7 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// resumed makes a sender over a folder and has it take up what that holds; nobody listens to it.
+// resumed creates a sender and lets it resume what its state folder contains; it does not listen.
 func resumed(t *testing.T, p *st.Platform, edit func(*Config)) *Sender {
 	t.Helper()
 	s := newTest(t, p, edit)
@@ -20,7 +20,7 @@
 	return s
 }
 
-// leaveMessages has an earlier process leave messages in a journal, and who was out as it wrote that down last.
+// leaveMessages writes a journal as an earlier process leaves it: with messages, and with the outages that it stored last.
 func leaveMessages(t *testing.T, dir string, messages int, outs outageSnapshot, edit func(n int, r *record)) {
 	t.Helper()
 	j := openTest(t, dir, 1<<20)
@@ -41,8 +41,9 @@
 	}
 }
 
-// A process that was restarted while a receiver was out, or came back, sent all that it found taken on for it at once. Seven in
-// ten of a fleet that did so sent a cold receiver up to 204 calls more than its budget allows (brain, TestTheFleetsRamp).
+// A process that restarted while a receiver was out of service or recovering sent all accepted messages for that receiver at once.
+// When seven in ten senders of a fleet did so, a cold receiver got up to 204 calls more than its budget allows (measured in a test of
+// package brain).
 func TestOutages_SurviveRestart(t *testing.T) {
 	t.Parallel()
 	now := newClock().now()
@@ -50,7 +51,7 @@
 	tests := []struct {
 		name string
 		outs outageSnapshot
-		want brain.Health // of destination 0, as the next process has it
+		want brain.Health // of destination 0 in the next process
 	}{
 		{"out", outageSnapshot{ago(time.Second), []outage{{Dest: 0, Began: ago(9 * time.Second), Rate: 4}}}, brain.Unhealthy},
 		{"comes back", outageSnapshot{ago(time.Second), []outage{{Dest: 0, Began: ago(9 * time.Second), RecoveringSince: ago(2 * time.Second), Rate: 4}}}, brain.WarmingUp},
@@ -69,7 +70,7 @@
 			leaveMessages(t, dir, 12, tt.outs, nil)
 			s := resumed(t, p, func(c *Config) { c.StateDir = dir })
 			if s.pending != 12 {
-				t.Fatalf("%d messages are taken up", s.pending)
+				t.Fatalf("%d messages are resumed", s.pending)
 			}
 			got := brain.HealthUnknown
 			for _, k := range s.brain.Outages() {
@@ -79,13 +80,13 @@
 				}
 			}
 			if got != tt.want {
-				t.Errorf("it is %v, want %v", got, tt.want)
+				t.Errorf("the destination is %v, want %v", got, tt.want)
 			}
 		})
 	}
 }
 
-// What the journal keeps of outages is what the module says, through a compaction too, and has a bound.
+// The journal stores the outages that the module reports, up to a limit in bytes, and a compaction preserves them.
 func TestOutages_InJournal(t *testing.T) {
 	dir := t.TempDir()
 	o := outageSnapshot{at: 5 * time.Second}
@@ -100,16 +101,16 @@
 			t.Fatalf("%+v, rates %v", j.outages, j.rates)
 		}
 		if raw, _ := json.Marshal(j.outages.list); len(raw) > maxOutageReserve {
-			t.Errorf("%d bytes are kept", len(raw))
+			t.Errorf("the outages take %d bytes", len(raw))
 		}
 		j.close()
 	}
 	if small := openTest(t, t.TempDir(), 12<<10); small.reserved > 4<<10 {
-		t.Errorf("of 12 KiB %d bytes are put by", small.reserved)
+		t.Errorf("of a budget of 12 KiB %d bytes are reserved", small.reserved)
 	}
 }
 
-// A sender writes down what it sees itself: calls that fail one after the other are enough.
+// A sender stores an outage that it has observed itself: consecutive failed calls are enough.
 func TestOutages_AreRecorded(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Reset)
@@ -125,7 +126,7 @@
 	leave()
 }
 
-// waitForText waits until a file holds a text.
+// waitForText waits until a file contains a text.
 func waitForText(t *testing.T, path, text string) {
 	t.Helper()
 	for over := time.Now().Add(st.Wait); ; time.Sleep(10 * time.Millisecond) {
@@ -134,7 +135,7 @@
 			return
 		}
 		if time.Now().After(over) {
-			t.Fatalf("%s does not come to hold %s", path, text)
+			t.Fatalf("%s does not contain %s in time", path, text)
 		}
 	}
 }
--- a/internal/sender/stored_data_test.go
+++ b/internal/sender/stored_data_test.go
@@ -16,15 +16,15 @@
 	"saffronyard.example/saffronyard/internal/membership"
 )
 
-// The files under testdata/stored were written by the program as it was before its names were changed (eea23b3). What an
-// operator's disk holds has to mean the same to every later version, and every later version writes the same bytes.
+// The files under testdata/stored were written by the program as of commit eea23b3, before many identifiers were renamed. Stored data
+// must mean the same to every later version, and every later version must write the same bytes.
 const (
-	storedKilled    = "testdata/stored/killed.journal"    // every record, a spoilt line, and a torn last one
-	storedCompacted = "testdata/stored/compacted.journal" // the same once an open has compacted it; what each holds stands in FILE.golden
+	storedKilled    = "testdata/stored/killed.journal"    // every kind of record, a corrupt line, and a torn last line
+	storedCompacted = "testdata/stored/compacted.journal" // the same after openJournal has compacted it; FILE.golden lists the content of each
 	storedBudget    = 1 << 20
 )
 
-// writeStoredJournal brings messages into each state that a journal can hold, beside the rates, outages and the endpoint list.
+// writeStoredJournal writes a journal with messages in each state that is stored, and with rates, outages and the endpoint list.
 func writeStoredJournal(t *testing.T, dir string) *journal {
 	t.Helper()
 	j, err := openJournal(dir, storedBudget)
@@ -98,7 +98,7 @@
 	return j
 }
 
-// listJournal is all that a journal holds, a line each.
+// listJournal returns the content of a journal as text.
 func listJournal(t *testing.T, j *journal) string {
 	t.Helper()
 	var b strings.Builder
@@ -128,7 +128,7 @@
 	return raw
 }
 
-// A journal of the earlier program is read as that one read it, as it was left by a kill and as compacted.
+// A journal of the earlier program is read with the same meaning, both as left by a kill and as compacted.
 func TestStoredData_JournalOfEarlierProgram(t *testing.T) {
 	for _, tt := range []struct {
 		name, file string
@@ -141,28 +141,28 @@
 			}
 			j := openTest(t, dir, storedBudget)
 			if j.corruptLines != tt.unreadable {
-				t.Errorf("%d lines are said to be unreadable, want %d", j.corruptLines, tt.unreadable)
+				t.Errorf("%d lines are reported as unreadable, want %d", j.corruptLines, tt.unreadable)
 			}
 			if got, want := listJournal(t, j), string(readTestdata(t, tt.file+".golden")); got != want {
-				t.Errorf("it holds\n%s\nwant\n%s", got, want)
+				t.Errorf("the journal contains\n%s\nwant\n%s", got, want)
 			}
 			if err := j.close(); err != nil {
 				t.Fatal(err)
 			}
 			if got := readTestdata(t, j.path); !bytes.Equal(got, readTestdata(t, storedCompacted)) {
-				t.Errorf("it is compacted to\n%s", got)
+				t.Errorf("the journal is compacted to\n%s", got)
 			}
 		})
 	}
 }
 
-// What is written is byte for byte what the earlier program wrote, so that it reads it after a rollback.
+// The journal is byte for byte what the earlier program wrote, so that the earlier program can read it after a rollback.
 func TestStoredData_JournalBytesAreUnchanged(t *testing.T) {
 	j := writeStoredJournal(t, t.TempDir())
 	if err := j.close(); err != nil {
 		t.Fatal(err)
 	}
 	if got, want := readTestdata(t, j.path), readTestdata(t, storedKilled); !bytes.HasPrefix(want, got) || len(got) == 0 {
-		t.Errorf("written is\n%s\nwant the begin of\n%s", got, want)
+		t.Errorf("the journal is\n%s\nwant a prefix of\n%s", got, want)
 	}
 }
