--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -11,24 +11,24 @@
 	"saffronyard.example/saffronyard/internal/membership"
 )
 
-// loopEvent is what the loop takes in: all that other goroutines have for it passes Sender.post as one of these.
+// loopEvent is an event that another goroutine passes to the loop through Sender.post.
 //
 //sumtype:decl
 type loopEvent interface{ isEvent() }
 
 type (
-	// timerFired is that the module's timer has run out.
+	// timerFired reports that the module's timer has expired.
 	timerFired struct{}
 	// listUpdate is an update of the endpoint list by one of its sources.
 	listUpdate struct {
 		from membership.Source
 		Targets
 	}
-	// listFailure is that discovery could not be asked.
+	// listFailure reports that the endpoint list could not be fetched from discovery.
 	listFailure struct{ err error }
-	// noticesDelivered is that the platform has acknowledged a batch of notices.
+	// noticesDelivered reports that the platform has acknowledged a batch of notices.
 	noticesDelivered struct{ notices []notice }
-	// extensionMessage is an event of an extension's own, which only extensions read.
+	// extensionMessage is an event from an extension, which is passed only to extensions.
 	extensionMessage struct{ extensionEvent }
 )
 
@@ -44,7 +44,7 @@
 func (recorderDone) isEvent()     {}
 func (extensionMessage) isEvent() {}
 
-// pendingAnswer is an answer that its client gets once what it says is in the journal.
+// pendingAnswer is a response that is sent to its client only after the journal has been written.
 type pendingAnswer struct {
 	client chan response
 	answer response
@@ -53,7 +53,7 @@
 // post hands an event to the loop; false if ctx has ended before there was room for it. Any goroutine but the loop's may call it.
 func (s *Sender) post(ctx context.Context, e loopEvent) bool {
 	select {
-	case s.events <- e: // there is room as a rule, and looking for that alone costs little
+	case s.events <- e: // usually there is room, and this select is cheaper than the one with ctx
 		return true
 	default:
 	}
@@ -65,8 +65,8 @@
 	}
 }
 
-// turn takes in an event and all others that wait, maxEventsPerTurn at most, and has the module decide once. Once the sender is
-// stopping nothing is decided any more: what comes in is only written down.
+// turn handles an event and all others that are queued, at most maxEventsPerTurn, and lets the module decide once. Once the sender
+// is stopping nothing is decided any more: events are only recorded in the journal.
 func (s *Sender) turn(ctx context.Context, first loopEvent) {
 	var events []brain.Event
 	for e, n := first, 0; e != nil && n < maxEventsPerTurn; n++ {
@@ -89,8 +89,8 @@
 	s.step(ctx, events)
 }
 
-// handle applies one event to the sender's state and translates it for the module; nil if the module need not know. What
-// extensions have for the module is left in s.eventsOfExtensions.
+// handle applies one event to the sender's state and returns the module's event for it; nil if there is none. The events that
+// extensions have for the module are appended to s.eventsOfExtensions.
 func (s *Sender) handle(e loopEvent) brain.Event {
 	switch e := e.(type) {
 	case timerFired:
@@ -121,9 +121,11 @@
 	return nil
 }
 
-// flush writes the journal and reports whether it could. What fails here fails again at the next message, which is refused.
+// flush writes the journal and reports whether that succeeded. A failure is only logged: if it persists, the next message fails too
+// and is rejected.
 func (s *Sender) flush() bool {
-	// How an event ended is written before the journal forgets it: between the two it is held, and known as over.
+	// The end of an event is written to the deduplication file before the journal drops the event: after a kill in between, the
+	// journal still has the event and its end is on record.
 	for _, x := range s.extensions {
 		if err := x.beforeFlush(); err != nil {
 			s.log.Warn("an extension failed before the journal was written", "err", err)
@@ -136,15 +138,15 @@
 	return err == nil
 }
 
-// step has the module decide, writes its decisions down, and only then acts on them. The order is the contract with clients: a
-// message stands in the journal before it is answered 202, and an attempt before its call begins.
+// step lets the module decide, writes its decisions to the journal, and only then acts on them. The order is the contract with
+// clients: a message must be in the journal before it is answered 202, and an attempt before its call begins.
 func (s *Sender) step(ctx context.Context, events []brain.Event) {
 	now := s.clock.now()
 	if len(s.deferredEvents) > 0 {
 		events, s.deferredEvents = append(s.deferredEvents, events...), nil
 	}
 	actions := s.brain.Step(now, events)
-	s.recall(actions) // before the disk, which may be slow: these do not wait
+	s.recall(actions) // before the write to the disk, which may be slow: recalls must not wait for it
 	s.recordDecisions(now, actions)
 	written := s.flush()
 	s.answerClients()
@@ -158,18 +160,18 @@
 	s.endTurn(ctx)
 }
 
-// recall takes back the permit of calls that the module would not make now.
+// recall revokes the permits of calls that the module would not make any more.
 func (s *Sender) recall(actions []brain.Action) {
 	for _, a := range actions {
 		if r, ok := a.(brain.Revoke); ok {
 			if m := s.messages[r.Message]; m != nil && m.calls.recall(r.Attempt) {
-				s.log.Debug("a call is recalled", "message", m.ID, "why", r.Reason.String())
+				s.log.Debug("call recalled", "message", m.ID, "why", r.Reason.String())
 			}
 		}
 	}
 }
 
-// recordDecisions puts into the journal's buffer what the module has decided: attempts that begin and messages that end.
+// recordDecisions buffers the module's decisions for the journal: attempts that begin and messages that end.
 func (s *Sender) recordDecisions(now time.Duration, actions []brain.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -185,7 +187,7 @@
 	}
 }
 
-// recordAttempt puts an attempt at an endpoint into the journal's buffer.
+// recordAttempt buffers the record of an attempt at an endpoint.
 func (s *Sender) recordAttempt(now time.Duration, m *message, e *calls.Endpoint) {
 	sent := &attemptRecord{At: now, Endpoint: e.ID[:min(len(e.ID), maxNameBytes)], Zone: e.Zone}
 	if s.config.Settings.Classes[m.class].IdempotencyKeyZonal && e.Zone < len(s.config.Zones) {
@@ -194,7 +196,7 @@
 	s.journal.update(m.storedMessage, record{Op: opSend, Sent: sent})
 }
 
-// answerClients gives the answers that waited for the journal.
+// answerClients sends the responses that had to wait for the write to the journal.
 func (s *Sender) answerClients() {
 	for _, a := range s.pendingAnswers {
 		a.client <- a.answer
@@ -202,8 +204,8 @@
 	s.pendingAnswers = s.pendingAnswers[:0]
 }
 
-// acknowledgeSubmitted answers the clients of messages that are in the journal now; it gives the messages that could not be
-// written, which are not taken on.
+// acknowledgeSubmitted answers the clients of messages that are in the journal now; it returns the messages that could not be
+// written and are therefore not accepted.
 func (s *Sender) acknowledgeSubmitted(events []brain.Event, written bool) (unwritten []*message) {
 	for _, e := range events {
 		submitted, ok := e.(brain.Message)
@@ -220,7 +222,7 @@
 	return unwritten
 }
 
-// perform acts on the module's decisions. Calls that are not written down are not begun.
+// perform acts on the module's decisions. No call is made if its attempt could not be written to the journal.
 func (s *Sender) perform(ctx context.Context, actions []brain.Action, written bool) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -232,7 +234,7 @@
 			}
 		case brain.CloseIdleConns:
 			s.pool.CloseIdle(s.endpoints.ByNumber[a.Endpoint], 0)
-		case brain.SetTimer: // each is earlier than the one set before
+		case brain.SetTimer: // always earlier than the timer that it replaces
 			s.timer.Reset(max(0, a.At-s.clock.now()))
 		case brain.WatchEndpoints:
 			select {
@@ -246,7 +248,7 @@
 	}
 }
 
-// endTurn lets the extensions know that a turn is over.
+// endTurn calls the extensions at the end of a turn.
 func (s *Sender) endTurn(ctx context.Context) {
 	s.changedObservations = s.brain.ChangedObservations()
 	for _, x := range s.extensions {
--- a/internal/sender/message.go
+++ b/internal/sender/message.go
@@ -7,32 +7,32 @@
 	"saffronyard.example/saffronyard/internal/calls"
 )
 
-// message is one that the module holds: accepted, or on its way to that.
+// message is a message that the module manages: accepted, or being accepted.
 type message struct {
 	*storedMessage
 	number          brain.MessageID
-	class           int             // among the module's: its own, or the stricter one that it goes on by (see Config.classOf)
-	earlierAttempts int             // those made by earlier processes
-	attempts        int             // those made by this one
-	reply           chan response   // its client waits there; nil once answered
-	alsoWaiting     []chan response // others that submitted the same event meanwhile
+	class           int             // index among the module's classes: its own, or the stricter one that applies to it (see Config.classOf)
+	earlierAttempts int             // attempts made by earlier processes
+	attempts        int             // attempts made by this process
+	reply           chan response   // to the client that submitted it; nil once answered
+	alsoWaiting     []chan response // to other clients that submitted the same event meanwhile
 	calls           inFlightCalls
 	ended           bool
-	waiting         bool // it counts in the fleet's backlog
+	waiting         bool // counted in the fleet's backlog
 }
 
-// inFlightCalls is the calls of a message that are under way, by the module's number of the attempt: one as a rule, two with a
-// hedged one.
+// inFlightCalls is a message's calls in flight, each with the module's number of the attempt: usually one, two while a call is
+// hedged.
 type inFlightCalls []inFlightCall
 
-// inFlightCall is a call under way and its permit to be written.
+// inFlightCall is a call in flight and the permit to write its request.
 type inFlightCall struct {
 	attempt int
 	*calls.Permit
-	recalled bool // the module has taken its permit back
+	recalled bool // the module has revoked the permit
 }
 
-// cancel calls an attempt off, if it is in flight.
+// cancel cancels an attempt if it is in flight.
 func (c inFlightCalls) cancel(attempt int) {
 	for _, o := range c {
 		if o.attempt == attempt {
@@ -41,7 +41,7 @@
 	}
 }
 
-// recall takes back the permit to write an attempt; false if it is written already, or not in flight.
+// recall revokes the permit to write an attempt; false if the attempt is written already, or not in flight.
 func (c inFlightCalls) recall(attempt int) bool {
 	for i := range c {
 		if c[i].attempt == attempt {
@@ -52,17 +52,17 @@
 	return false
 }
 
-// recalled reports whether an attempt that ended as not sent did so as it was recalled.
+// recalled reports whether an attempt ended as not sent because it was recalled.
 func (c inFlightCalls) recalled(attempt int) bool {
 	return slices.ContainsFunc(c, func(o inFlightCall) bool { return o.attempt == attempt && o.recalled })
 }
 
-// rejectedByPolicy reports whether the fleet's policy was against an attempt as it was about to be written.
+// rejectedByPolicy reports whether the fleet's policy denied an attempt just before it was written.
 func (c inFlightCalls) rejectedByPolicy(attempt int) bool {
 	return slices.ContainsFunc(c, func(o inFlightCall) bool { return o.attempt == attempt && o.Denied() })
 }
 
-// finish takes an attempt out and releases what it holds.
+// finish removes an attempt and releases its resources.
 func (c *inFlightCalls) finish(attempt int) {
 	c.cancel(attempt)
 	for _, o := range *c {
@@ -73,7 +73,7 @@
 	*c = slices.DeleteFunc(*c, func(o inFlightCall) bool { return o.attempt == attempt })
 }
 
-// callMessage is what a call carries of the message.
+// callMessage returns the part of the message that a call sends.
 func (m *message) callMessage() calls.Message {
 	return calls.Message{ID: m.ID, Key: m.Key, Class: m.Class, Tenant: m.Tenant, Body: m.Body, Event: m.Event}
 }
--- a/internal/sender/observations.go
+++ b/internal/sender/observations.go
@@ -7,7 +7,7 @@
 	"saffronyard.example/saffronyard/internal/knowledge"
 )
 
-// newObservation begins an observation of a receiver or route that the list names; false if it does not.
+// newObservation returns an empty observation of a receiver or route; false if the endpoint list does not contain it.
 func (s *Sender) newObservation(of knowledge.Subject) (e brain.Observation, listed bool) {
 	e.Destination = brain.DestinationID(of.Destination)
 	if of.Endpoint == "" {
@@ -22,7 +22,7 @@
 	return e, true
 }
 
-// applyFacts puts facts into the module's observation.
+// applyFacts sets the fields of the module's observation from facts.
 func applyFacts(e *brain.Observation, facts []knowledge.Fact, now time.Duration) {
 	for _, f := range facts {
 		age := max(0, now-f.ObservedAt)
@@ -41,7 +41,7 @@
 	}
 }
 
-// factsOf gives the facts in the module's observation of a receiver or route.
+// factsOf returns the facts in the module's observation of a receiver or route.
 func factsOf(k brain.Observation, endpoint string, now time.Duration) []knowledge.Fact {
 	var all []knowledge.Fact
 	add := func(kind knowledge.Kind, age time.Duration, v knowledge.Value) {
@@ -66,16 +66,16 @@
 	return all
 }
 
-// knownFacts is all that the module has observed, as facts of this sender's own. It is worked out once for one time.
+// knownFacts returns all that the module has observed, as this sender's own facts. The result is cached and reused for the same now.
 func (s *Sender) knownFacts(now time.Duration) []knowledge.Fact {
-	if s.knownFactsAt == now && s.knownFactsCache != nil { // several features ask in one look
+	if s.knownFactsAt == now && s.knownFactsCache != nil { // several extensions call this in one tick
 		return s.knownFactsCache
 	}
 	s.knownFactsAt, s.knownFactsCache = now, s.factsFrom(s.brain.Observations(), now)
 	return s.knownFactsCache
 }
 
-// factsFrom gives the facts in some of the module's observations.
+// factsFrom returns the facts in some of the module's observations.
 func (s *Sender) factsFrom(known []brain.Observation, now time.Duration) []knowledge.Fact {
 	var all []knowledge.Fact
 	for _, k := range known {
--- a/internal/sender/ordering_test.go
+++ b/internal/sender/ordering_test.go
@@ -11,14 +11,14 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// orderedClass adds a class that keeps an order.
+// orderedClass adds an ordered class.
 func orderedClass(c *Config) {
 	c.Classes = append(c.Classes, "ordered")
 	c.Settings.Classes = append(c.Settings.Classes, brain.Class{LatencyTarget: 2500 * time.Millisecond, Deadline: 20 * time.Second,
 		Idempotency: brain.Idempotent, Ordered: true, Value: 1, LateValue: 0.5})
 }
 
-// gatedDestinations is two destinations; calls to the first are answered when release is closed.
+// gatedDestinations starts two destinations; calls to the first are answered once release is closed.
 func gatedDestinations(t *testing.T) (first, second *st.Endpoint, p *st.Platform, release chan struct{}) {
 	release = make(chan struct{})
 	first = st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
@@ -29,7 +29,7 @@
 	return first, second, st.NewPlatform(t, first.Addr, second.Addr), release
 }
 
-// inTurn wants b, of the same key as a, to wait for a's end while c, that has no key, does not wait.
+// inTurn checks that b, with the same key as a, waits for a's end, while c, which has no key, does not wait.
 func inTurn(t *testing.T, addr string, first, second *st.Endpoint, release chan struct{}) {
 	t.Helper()
 	if c := first.Next(t); c.ID != "a" {
@@ -39,11 +39,11 @@
 		t.Fatalf("%s %s", resp.Status, text)
 	}
 	if c := second.Next(t); c.ID != "c" {
-		t.Errorf("%s was sent while an earlier message of its key was out", c.ID)
+		t.Errorf("%s was sent while an earlier message with its key was in flight", c.ID)
 	}
 	close(release)
 	if c := second.Next(t); c.ID != "b" {
-		t.Errorf("after the first of its key came %s", c.ID)
+		t.Errorf("after the first message of the key %s was sent", c.ID)
 	}
 }
 
@@ -56,8 +56,7 @@
 	}
 }
 
-// The messages of a key go out one at a time, in the sequence in which they were taken on, whatever their
-// destinations.
+// Messages with the same key are sent one at a time, in the order in which they were accepted, whatever their destinations.
 func TestOrderingKey(t *testing.T) {
 	t.Parallel()
 	first, second, p, release := gatedDestinations(t)
@@ -67,7 +66,7 @@
 	inTurn(t, addr, first, second, release)
 }
 
-// A restart keeps the order: the key stands in the journal, also in a compacted one.
+// The order survives a restart: the key is in the journal, also in a compacted one.
 func TestOrderingKey_SurvivesRestart(t *testing.T) {
 	t.Parallel()
 	first, second, p, release := gatedDestinations(t)
@@ -89,7 +88,7 @@
 	inTurn(t, addr, first, second, release)
 }
 
-// A key of the order that can't be kept is refused; in a class without an order it means nothing.
+// An ordering key that is too long to be stored is rejected; in a class without an order the key is ignored.
 func TestOrderingKey_Bounds(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
--- a/internal/sender/permit_test.go
+++ b/internal/sender/permit_test.go
@@ -12,8 +12,8 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// lateDials has connects of a sender hang, while they are held, until their call is called off or for so long: what a
-// test does in between has been heard long before.
+// lateDials delays the connects of a sender, while blocked is set, until their call is cancelled or for the time late: long enough
+// for the sender to process what a test does meanwhile.
 type lateDials struct {
 	blocked atomic.Bool
 	pending atomic.Int32
@@ -42,8 +42,8 @@
 
 func slowConnects(c *Config) { c.ConnectTimeout = st.Wait }
 
-// A wait that is told while a call to the same destination still connects holds for that call, too: one to the endpoint
-// that asked for it, and one to another.
+// When a response demands a wait, calls to the same destination that still connect must wait too: those to the endpoint that
+// demanded it, and those to another endpoint.
 func TestPermit_RetryAfterWhileConnecting(t *testing.T) {
 	t.Parallel()
 	for _, endpoints := range []int{1, 2} {
@@ -52,7 +52,7 @@
 			const wait = 3 * time.Second
 			ask, told := make(chan struct{}), make(chan time.Time, 1)
 			answer := func(c st.Call, nc net.Conn) bool {
-				if c.ID != "first" { // and each call connects
+				if c.ID != "first" { // so that each call connects
 					return st.Status(200, "Connection: close")(c, nc)
 				}
 				<-ask
@@ -67,7 +67,7 @@
 				case c := <-other.Calls:
 					return c.ID
 				case <-time.After(st.Wait):
-					t.Fatal("nothing came")
+					t.Fatal("timed out waiting for a call")
 					panic("unreachable")
 				}
 			}
@@ -91,13 +91,13 @@
 			close(ask)
 			from := st.Receive(t, told)
 			if id := next(); time.Since(from) < wait {
-				t.Errorf("%s was sent %v after a wait of %v was told", id, time.Since(from), wait)
+				t.Errorf("%s was sent %v after a response that demanded a wait of %v", id, time.Since(from), wait)
 			}
 		})
 	}
 }
 
-// An endpoint that drains while a call to it connects gets nothing; the message goes to another one.
+// An endpoint that drains while a call to it connects gets no request; the message is sent to another endpoint.
 func TestPermit_DrainWhileConnecting(t *testing.T) {
 	t.Parallel()
 	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
@@ -118,8 +118,8 @@
 	}
 }
 
-// A call that was decided on before an outage, and still connects, loses its leave as the outage is seen: its message
-// goes as others do then, one at a time. Without that it would wait for its connection until its time is over.
+// A call that was decided on before an outage, and still connects, loses its permit when the outage is detected: its message is sent
+// as others are then, one at a time. Otherwise it would wait for its connection until its deadline.
 func TestPermit_OutageWhileConnecting(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
@@ -139,11 +139,11 @@
 	st.Submit(t, addr, st.Submission{ID: "second", Class: "unsafe", Destination: 0, Deadline: 12 * time.Second})
 	st.Receive(t, dials.begun)
 	dials.blocked.Store(false)
-	for i := range 8 { // as many failures in a row as are an outage
+	for i := range 8 { // enough consecutive failures for an outage
 		id := "f" + strconv.Itoa(i)
 		st.Submit(t, addr, st.Submission{ID: id, Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 		if c := e.Next(t); c.ID != id {
-			t.Fatalf("%s came before %s", c.ID, id)
+			t.Fatalf("%s was sent before %s", c.ID, id)
 		}
 	}
 	if c := e.Next(t); c.ID != "second" {
@@ -151,8 +151,8 @@
 	}
 }
 
-// A repeat is decided on while its key is remembered, and its connection comes up when it no longer is: it is not
-// written. (A receiver that vanishes lets connections come up when it is back, a second or more later.)
+// A repeat that is decided on within the key window must not be written if its connection is established only after the window.
+// (If a receiver vanishes, connects to it succeed once it is back, a second or more later.)
 func TestPermit_KeyWindowEndsWhileConnecting(t *testing.T) {
 	t.Parallel()
 	const window = 800 * time.Millisecond
@@ -170,7 +170,7 @@
 				began <- time.Now()
 				return nil
 			}
-			time.Sleep(time.Until((<-began).Add(window + 100*time.Millisecond))) // it comes up after that
+			time.Sleep(time.Until((<-began).Add(window + 100*time.Millisecond))) // the connect succeeds after the window
 			return nil
 		}
 	})
@@ -183,6 +183,6 @@
 		t.Error("no repeat was tried")
 	}
 	if len(e.Calls) != 0 {
-		t.Error("it was sent again after its key was forgotten")
+		t.Error("the message was sent again after its key window")
 	}
 }
--- a/internal/sender/repeatrules.go
+++ b/internal/sender/repeatrules.go
@@ -6,12 +6,12 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// The journal holds names of classes, and a process may start under other settings than the one before it: a class may be
-// gone, or have another idempotency, another window for repeats, or another scope of it. What a message was accepted under was
-// promised to its client, and what the settings say now holds at its destination: the stricter of both stands. So each message
-// carries the rule that it was accepted by, and the module is given a class more for each that differs.
+// The journal stores classes by name, and a process may start with other settings than the one before it: a class may have been
+// removed, or may have another idempotency, another key window, or another scope of the key. The rule at acceptance was promised to
+// the client, and the current settings describe the destination, so the stricter of both applies. Therefore each message's record
+// contains the rule under which the message was accepted, and the module gets an additional class for each rule that differs.
 
-// setRepeatRule writes into a record what its class says of repeats as the message is accepted.
+// setRepeatRule stores the class's rule on repeats in the record of a message that is being accepted.
 func (r *record) setRepeatRule(c brain.Class) {
 	r.Effect = effectNames[c.Idempotency]
 	if c.Idempotency == brain.IdempotentByKey {
@@ -21,14 +21,15 @@
 
 var effectNames = [...]string{brain.Idempotent: "safe", brain.IdempotentByKey: "keyed", brain.NonIdempotent: "unsafe"}
 
-// effectByName is the idempotency that a record names; false if it names none, as those of earlier versions do.
+// effectByName returns the idempotency that a record names; false if it names none, as in records of earlier versions.
 func effectByName(name string) (brain.Idempotency, bool) {
 	i := slices.Index(effectNames[:], name)
 	return brain.Idempotency(max(0, i)), i >= 0
 }
 
-// classOf is the class by which a message from the journal goes on: its own, or a stricter one that is added behind those of
-// the settings. Of a message whose class is gone and whose record names no effect nothing is known: it is not repeated.
+// classOf returns the index of the class that applies to a message from the journal: its own, or a stricter one that is appended to
+// those of the settings. A message whose class has been removed and whose record names no effect is not repeated, as nothing is
+// known about its idempotency.
 func (c *Config) classOf(m *storedMessage) int {
 	var effective brain.Class
 	index := indexOf(c.Classes, m.Class, -1)
@@ -42,7 +43,7 @@
 		}
 	}
 	if known {
-		if accepted == brain.IdempotentByKey { // a window, or a scope, that the settings have no longer may still be the one that holds
+		if accepted == brain.IdempotentByKey { // the window and the scope at acceptance may be the stricter ones
 			if effective.Idempotency != brain.IdempotentByKey || m.KeyWindow < effective.IdempotencyKeyTTL {
 				effective.IdempotencyKeyTTL = m.KeyWindow
 			}
@@ -50,7 +51,7 @@
 		}
 		effective.Idempotency = max(effective.Idempotency, accepted)
 	}
-	if effective.Idempotency == brain.IdempotentByKey && m.Key == "" { // accepted where it needed none: nobody drops its repeats
+	if effective.Idempotency == brain.IdempotentByKey && m.Key == "" { // accepted without a key: the receiver can't detect repeats
 		effective.Idempotency = brain.NonIdempotent
 	}
 	if index >= 0 && effective == c.Settings.Classes[index] {
@@ -65,7 +66,7 @@
 	return len(c.Settings.Classes) - 1
 }
 
-// minValue is the lowest value of the classes of the settings.
+// minValue returns the lowest value of the classes of the settings.
 func (c *Config) minValue() float64 {
 	least := 1.0
 	for i, is := range c.Settings.Classes[:min(len(c.Classes), len(c.Settings.Classes))] {
@@ -76,8 +77,8 @@
 	return least
 }
 
-// zoneOf is the number of the zone in which an attempt may have run, -1 for one that is gone. The journal keeps it by name
-// where it matters, as a number would be another zone's under other settings.
+// zoneOf returns the number of the zone in which an attempt may have run, -1 if that zone no longer exists. The journal stores the
+// zone by name where it matters, as the same number may mean another zone under other settings.
 func (c *Config) zoneOf(t attemptRecord) int {
 	if t.ZoneName == "" {
 		return t.Zone
--- a/internal/sender/repeatrules_test.go
+++ b/internal/sender/repeatrules_test.go
@@ -8,9 +8,9 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// What stands in the journal goes on by the stricter of what it was taken on under and what the settings say now, whichever
-// place its class has among them. A class that was gone had its messages given up untried, and one that had become safe to
-// repeat had them repeated.
+// A message from the journal is handled by the stricter of the rule at its acceptance and the current settings, whatever the index of
+// its class in them. Messages of a class that had been removed were given up without an attempt, and those of a class that had become
+// idempotent were repeated.
 func TestRepeatRules_OfEarlierProcess(t *testing.T) {
 	t.Parallel()
 	const window = 7500 * time.Millisecond // of class keyed in the settings
@@ -18,12 +18,12 @@
 		name    string
 		class   string
 		key     string
-		effect  string // as journalled, "" by an earlier version
+		effect  string // as stored in the journal, "" by an earlier version
 		window  time.Duration
-		tried   time.Duration // so long before its subtest begins, which may wait for others for longer than a window; 0 for never
-		answers int           // of the endpoint, to each call
+		tried   time.Duration // time from an attempt to the start of the subtest, which may wait for others for longer than a window; 0: no attempt
+		answers int           // status of the endpoint's response to each call
 		calls   int
-		end     string // its notice; "" for none
+		end     string // outcome in the notice; "" for no notice
 	}{
 		{"as it was", "keyed", "k", "keyed", window, 0, 200, 1, ""},
 		{"of an earlier version", "keyed", "k", "", 0, 0, 200, 1, ""},
@@ -62,15 +62,15 @@
 			for range tt.calls {
 				e.Next(t)
 			}
-			st.Submit(t, addr, st.Submission{ID: "next", Class: "keyed", Destination: 0, Deadline: 15 * time.Second}) // a class of the settings is none of these
+			st.Submit(t, addr, st.Submission{ID: "next", Class: "keyed", Destination: 0, Deadline: 15 * time.Second}) // a class of the settings is not affected
 			if c := e.Next(t); c.ID != "next" {
-				t.Errorf("a further call of %s", c.ID)
+				t.Errorf("unexpected call of %s", c.ID)
 			}
 		})
 	}
 }
 
-// Rules that are alike are one class of the module's more, and settings that are given stay as they are.
+// Equal rules share one additional class of the module, and the given settings are not changed.
 func TestRepeatRules_AddedClasses(t *testing.T) {
 	c := &Config{Classes: []string{"a", "b"}, Zones: []string{"x", "y"}}
 	c.Settings.Classes = []brain.Class{{Idempotency: brain.Idempotent, Value: 2}, {Idempotency: brain.IdempotentByKey, IdempotencyKeyTTL: time.Second, IdempotencyKeyZonal: true, Value: 3}}
@@ -81,7 +81,7 @@
 	}{
 		{record{Class: "a", Effect: "safe"}, 0},
 		{record{Class: "b", Effect: "keyed", KeyWindow: time.Second, KeyInZone: true, Key: "k"}, 1},
-		{record{Class: "b", Effect: "keyed", KeyWindow: time.Minute, Key: "k"}, 1}, // the scope that holds now is the narrower
+		{record{Class: "b", Effect: "keyed", KeyWindow: time.Minute, Key: "k"}, 1}, // the current window and scope are stricter
 		{record{Class: "gone", Effect: "unsafe"}, 2},
 		{record{Class: "other", Key: "k"}, 2},
 		{record{Class: "a", Effect: "keyed", KeyWindow: time.Second, Key: "k"}, 3},
@@ -90,11 +90,11 @@
 		{record{Class: "gone", Effect: "unsafe", OrderKey: "o"}, 5},
 	} {
 		if got := c.classOf(&storedMessage{record: tt.m}); got != tt.want {
-			t.Errorf("%d: %+v goes on by class %d, want %d: %+v", i, tt.m, got, tt.want, c.Settings.Classes)
+			t.Errorf("%d: %+v gets class %d, want %d: %+v", i, tt.m, got, tt.want, c.Settings.Classes)
 		}
 	}
 	if len(given) != 2 || given[0].Idempotency != brain.Idempotent || c.Settings.Classes[5].Ordered != true {
-		t.Error("the settings that were given have changed")
+		t.Error("the given settings have changed")
 	}
 	for _, tt := range []struct {
 		t    attemptRecord
--- a/internal/sender/resume.go
+++ b/internal/sender/resume.go
@@ -8,9 +8,9 @@
 	"saffronyard.example/saffronyard/internal/membership"
 )
 
-// resume gives the module what an earlier process left, before any client is heard. The list in the configuration may be older
-// than what that process was told, and an endpoint on it may have drained since: nothing is sent until discovery has answered
-// once, or firstListTimeout is over.
+// resume passes the state that an earlier process left to the module, before any client is served. The list in the configuration may
+// be older than the one that process had, and an endpoint on it may have drained since: nothing is sent until discovery has answered
+// once, or firstListTimeout has passed.
 func (s *Sender) resume(ctx context.Context) {
 	s.step(ctx, s.initialListEvents())
 	events := s.awaitFirstList()
@@ -36,8 +36,8 @@
 	s.step(ctx, events)
 }
 
-// awaitFirstList waits for discovery's first answer, or failure, for firstListTimeout at most, and gives what has come for the module
-// meanwhile. Among many senders the module asks for the list at a time of its own, which is not waited for.
+// awaitFirstList waits for discovery's first answer or failure, at most for firstListTimeout, and returns the events for the module that
+// have arrived meanwhile. It does not wait if the module has not requested the list yet: with many senders each delays its request.
 func (s *Sender) awaitFirstList() []brain.Event {
 	if !s.listRequested {
 		return nil
@@ -50,7 +50,7 @@
 			if ev := s.handle(e); ev != nil {
 				events = append(events, ev)
 			}
-			switch e := e.(type) { // other events count, and do not stand for it; the names' list was in before
+			switch e := e.(type) { // other events are handled too, but don't end the wait; the names' list has been applied before
 			case listUpdate:
 				if e.from == membership.Discovery {
 					return events
@@ -65,7 +65,7 @@
 	}
 }
 
-// resumeEnded takes up a message that is over and on which somebody is owed something: the platform its notice, or the recorder.
+// resumeEnded resumes a message that has ended, but whose notice is not acknowledged or which the recorder has not stored.
 func (s *Sender) resumeEnded(m *storedMessage) {
 	if !m.notified {
 		s.pendingNotices = append(s.pendingNotices, m.notice())
@@ -75,12 +75,12 @@
 	case s.recorder != nil:
 		s.recorder.cost += m.cost
 		s.recorder.waiting = append(s.recorder.waiting, m)
-	case m.Incarnation == 0: // the recorder was turned off
+	case m.Incarnation == 0: // the recorder has been turned off since
 		s.journal.update(m, record{Op: opRecorded})
 	}
 }
 
-// resumeMessage takes up a message that has not ended and gives the module's event.
+// resumeMessage resumes a message that has not ended and returns the module's event for it.
 func (s *Sender) resumeMessage(m *storedMessage) brain.Event {
 	first, mayHaveRun := m.firstPossibleRun()
 	class := s.config.classOf(m)
@@ -89,7 +89,7 @@
 		MayHaveRun: mayHaveRun, FirstRunAt: first.At, FirstRunZone: s.config.zoneOf(first), Resumed: true}
 }
 
-// register gives a message the number by which the module knows it.
+// register adds a message to those that the sender manages and returns its number in the module.
 func (s *Sender) register(st *storedMessage, answer chan response, class int) brain.MessageID {
 	s.lastID++
 	m := &message{storedMessage: st, number: s.lastID, class: class, earlierAttempts: len(st.Attempts), reply: answer}
--- a/internal/sender/send.go
+++ b/internal/sender/send.go
@@ -9,8 +9,8 @@
 	"saffronyard.example/saffronyard/internal/calls"
 )
 
-// send begins one call, in a goroutine that posts its callResult. An attempt that could not be written to the journal is not
-// made: after a kill nobody would know that the message may have run.
+// send starts one call, in a goroutine that posts its callResult. An attempt that could not be written to the journal is not
+// made: after a kill there would be no record that the message may have run.
 func (s *Sender) send(ctx context.Context, a brain.Send, written bool) {
 	m, e := s.messages[a.Message], s.endpoints.ByNumber[a.Endpoint]
 	if m == nil || e == nil {
@@ -41,11 +41,11 @@
 	}()
 }
 
-// keyWindowMargin is how long before its idempotency key is forgotten a repeat is written at the latest: it has to get there.
+// keyWindowMargin is how long before the end of the key window a repeat must be written, so that it arrives within the window.
 const keyWindowMargin = 50 * time.Millisecond
 
-// writeTimeout is how long the n-th attempt of a message may take to be written. The module judges a repeat as of now; a
-// connection may come up much later, when the key of an attempt that may have run is remembered no more.
+// writeTimeout returns the time within which the n-th attempt of a message must be written. The module allows a repeat as of now, but
+// its connection may be established much later, when the receiver no longer remembers the key of an attempt that may have run.
 func (s *Sender) writeTimeout(m *message, n int, timeout time.Duration) time.Duration {
 	class := s.config.Settings.Classes[m.class]
 	if class.Idempotency != brain.IdempotentByKey {
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// After SIGTERM the sender goes on as ever for the grace period: clients come for a while yet, and what is delivered now does
-	// not wait for the next process. Then no call begins, and it waits for those in flight until the shutdown timeout, which counts
-	// from SIGTERM too. The platform kills what is left at 3.7 s.
+	// After SIGTERM the sender serves normally for the grace period: clients still connect for a while, and a message delivered now
+	// does not wait for the next process. Then it starts no more calls, and waits for those in flight until the shutdown timeout,
+	// which is counted from SIGTERM too. The platform kills the process at 3.7 s.
 	defaultGracePeriod     = 2200 * time.Millisecond
 	defaultShutdownTimeout = 3200 * time.Millisecond
 
-	eventQueueSize      = 1024                   // events on their way to the loop
-	maxEventsPerTurn    = 256                    // events that one turn takes in
+	eventQueueSize      = 1024                   // events queued for the loop
+	maxEventsPerTurn    = 256                    // events handled in one turn
 	tickInterval        = time.Second            // between the loop's ticks
-	endpointsPerTick    = 1000                   // listed endpoints for each tick between two looks at their rates
-	firstListTimeout    = 300 * time.Millisecond // the endpoint list is waited for so long at the start
-	journalDiskFraction = 0.9                    // of the disk's limit: the rest is for what the file system adds
+	endpointsPerTick    = 1000                   // listed endpoints per additional tick between two saves of their rates
+	firstListTimeout    = 300 * time.Millisecond // the longest wait for the endpoint list at the start
+	journalDiskFraction = 0.9                    // of the disk limit: the rest is for the file system's overhead
 )
 
-// Sender is one message sender. The loop owns its fields; the exceptions are Reload, PeerKeys and Background, for any goroutine.
+// Sender is one message sender. The loop owns its fields; only Reload, PeerKeys and Background may be called by any goroutine.
 type Sender struct {
 	config      *Config
 	log         *slog.Logger
@@ -39,18 +39,18 @@
 	endpoints   calls.EndpointList
 	discovery   *discovery
 	sources     sources
-	initialList Targets // the endpoint list to begin with
-	watchFrom   int64   // the version after which discovery is asked first; -1: for the whole list
+	initialList Targets // the endpoint list to start with
+	watchFrom   int64   // version after which the first call to discovery asks for changes; -1: for the complete list
 	server      *server
 	extensions  []extension // features that take part in each turn
 
-	events        chan loopEvent // what other goroutines have for the loop
+	events        chan loopEvent // from other goroutines to the loop
 	timer         *time.Timer    // the module's
-	watchRequests chan struct{}  // has discovery asked for the list
-	listRequested bool           // that has been done once
-	stopping      bool           // nothing is decided any more: what comes in is only written down
+	watchRequests chan struct{}  // triggers a request for the list to discovery
+	listRequested bool           // the list has been requested at least once
+	stopping      bool           // nothing is decided any more: events are only recorded in the journal
 
-	// Messages that are accepted or on their way to that, until they have ended and none of their calls is in flight.
+	// Messages that are accepted or being accepted, until they have ended and none of their calls is in flight.
 	messages map[brain.MessageID]*message
 	byID     map[string]*message
 	lastID   brain.MessageID
@@ -58,30 +58,30 @@
 	inFlight int // calls
 
 	notices         chan []notice  // to postNotices
-	pendingNotices  []notice       // those that the platform has not acknowledged, the oldest first
-	noticesInFlight bool           // postNotices has a batch of them
+	pendingNotices  []notice       // those that the platform has not acknowledged, oldest first
+	noticesInFlight bool           // postNotices is sending a batch of them
 	eventDedup      *eventDedup    // nil where no events are accepted
 	recorder        *recorderQueue // nil without a recorder
 
-	// Of the turn under way.
-	pendingAnswers      []pendingAnswer     // for clients whose messages the turn ends, to be given once that is written
-	batches             []batch             // calls that the turn begins with several messages
-	eventsOfExtensions  []brain.Event       // what the extensions have for the module
+	// State of the current turn.
+	pendingAnswers      []pendingAnswer     // for clients whose messages end in the turn, sent once the journal is written
+	batches             []batch             // calls with several messages that start in the turn
+	eventsOfExtensions  []brain.Event       // from the extensions for the module
 	changedObservations []brain.Observation // of receivers, as the module reports them
 	deferredEvents      []brain.Event       // for the module's next step: endpoints that drain, messages that could not be written
 
-	knownFactsAt    time.Duration // when knownFactsCache was worked out
+	knownFactsAt    time.Duration // the time for which knownFactsCache is valid
 	knownFactsCache []knowledge.Fact
 
 	gracePeriod, shutdownTimeout time.Duration
 	stopFleetWatch               context.CancelFunc // ends the wait for changes of the fleet's policy
-	signalPolicyChange           func()             // has the fleet's policy looked at again; it never waits
+	signalPolicyChange           func()             // triggers a new check of the fleet's policy; never blocks
 }
 
-// New opens the journal and whatever the configuration turns on; nothing is sent and nobody is listened to before Run. It may
-// add classes to c.Settings: those by which messages of the journal go on (see classOf). Its errors are those of the
-// configuration, of files that can't be read, and of addresses that can't be listened on; a journal that can't be written is
-// no error, as nothing is accepted until it can.
+// New opens the journal and sets up the features that the configuration turns on; before Run nothing is sent and no client is
+// served. It may add classes to c.Settings that apply to messages of the journal (see classOf). It returns errors of the
+// configuration, of files that can't be read, and of addresses that can't be listened on. A journal that can't be written is no
+// error, as no message is accepted until it can be written.
 func New(c *Config, log *slog.Logger) (*Sender, error) {
 	if err := c.CheckRules(); err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	c.Settings.ReportsChanges = c.Peers != nil || c.Fleet != nil
-	for _, m := range j.pending() { // the module gets all classes as it is made
+	for _, m := range j.pending() { // the module must have all classes when it is created
 		if m.outcome == "" {
 			c.classOf(m)
 		}
@@ -110,7 +110,7 @@
 		gracePeriod: defaultGracePeriod, shutdownTimeout: defaultShutdownTimeout,
 	}
 	if j.failed {
-		log.Warn("the journal can't be written: nothing is taken on until it can", "folder", c.StateDir)
+		log.Warn("the journal can't be written; no message is accepted until it can", "folder", c.StateDir)
 	}
 	if j.corruptLines > 0 {
 		log.Warn("the journal has lines that can't be read: all others count", "file", j.path, "lines", j.corruptLines, "messages", len(j.byID))
@@ -132,15 +132,15 @@
 	return s, nil
 }
 
-// Reload takes over what a newly read configuration may change while the sender runs: the address of discovery. The rest, the
-// settings above all, is read at the start only. Any goroutine may call it.
+// Reload applies from a newly read configuration what may change while the sender runs: the address of discovery. Everything else,
+// including the settings, is read only at the start. Any goroutine may call it.
 func (s *Sender) Reload(c *Config) {
 	s.log.Info("configuration read again", "discovery", c.Discovery, "moved", s.discovery.move(c.Discovery))
 }
 
-// Run takes up what the journal holds, then listens, and serves until ctx ends and for the grace period after it. It returns when
-// all goroutines that act for messages have been told to end; what is not done by then stays in the journal for the next process.
-// Its error says that it could not listen, that accepting clients failed, or that an extension or the journal could not be closed.
+// Run resumes the messages in the journal, then listens, and serves until ctx ends and for the grace period after it. It returns when
+// all goroutines that act for messages have been signalled to end; unfinished messages stay in the journal for the next process.
+// It returns an error if it could not listen, if accepting clients failed, or if an extension or the journal could not be closed.
 func (s *Sender) Run(ctx context.Context, listen func() (net.Listener, error)) error {
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -159,7 +159,7 @@
 	return errors.Join(err, s.shutdown(stop))
 }
 
-// startWorkers starts the goroutines that the loop hands work to and hears from; all end with ctx.
+// startWorkers starts the goroutines that work for the loop and post their results to it; all end with ctx.
 func (s *Sender) startWorkers(ctx context.Context) {
 	s.sources.follow(ctx, s.post)
 	go s.discovery.postNotices(ctx, s.notices, func(n []notice) { s.post(ctx, noticesDelivered{n}) })
@@ -170,8 +170,8 @@
 	go s.recorder.run(ctx, warn, func() { s.post(ctx, recorderDone{}) })
 }
 
-// loop takes events in, one turn after the other, until the sender may be shut down. It is the only goroutine that touches the
-// sender's state. served is how the server ended; an error of that ends the loop. See the package comment for the shutdown.
+// loop handles events, one turn after the other, until the sender may be shut down. No other goroutine may access the sender's state.
+// served receives the server's result; an error there ends the loop. See the package comment for the shutdown.
 func (s *Sender) loop(ctx, work context.Context, served <-chan error) error {
 	var grace, timeout <-chan time.Time
 	answered, allAnswered := make(chan struct{}), false
@@ -195,7 +195,7 @@
 		case <-grace:
 			grace = nil
 			s.stopping = true
-			go func() { // it ends when every request that has come is answered
+			go func() { // it ends when every request that has been received is answered
 				s.server.shutdown()
 				close(answered)
 			}()
@@ -205,7 +205,7 @@
 			answered, allAnswered = nil, true
 		case err := <-served:
 			if err != nil {
-				return fmt.Errorf("clients: %w", err)
+				return fmt.Errorf("accept clients: %w", err)
 			}
 			served = nil
 		}
@@ -215,15 +215,16 @@
 	}
 }
 
-// tick is the loop's housekeeping, once every tickInterval; ticks is how many there were.
+// tick does the loop's periodic work, once every tickInterval; ticks is the number of ticks so far.
 func (s *Sender) tick(ticks int) {
 	s.pool.CloseExpired()
-	// All rates are walked, so the less often the more there are. Once it is stopping nothing is served as usual.
+	// All rates are visited, so this is done less often the more endpoints there are. While the sender is stopping, the rates are not
+	// the usual ones.
 	if s.stopping || ticks%(1+len(s.endpoints.ByID)/endpointsPerTick) != 0 {
 		return
 	}
 	now := s.clock.now()
-	s.journal.saveRates(s.brain.UsualRates(), s.currentOutages(now)) // what fails here fails again with the next message
+	s.journal.saveRates(s.brain.UsualRates(), s.currentOutages(now)) // a failure here recurs with the next message, which is rejected
 	for _, x := range s.extensions {
 		x.onTick(now)
 	}
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -23,7 +23,7 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// newTest makes a sender that leaves quickly; edit may change its configuration.
+// newTest creates a sender that shuts down quickly; edit may change its configuration.
 func newTest(t testing.TB, p *st.Platform, edit func(c *Config)) *Sender {
 	t.Helper()
 	raw, err := json.Marshal(st.Config(p, t.TempDir()))
@@ -45,13 +45,13 @@
 	return s
 }
 
-// run starts a sender in this process and gives its address.
+// run starts a sender in this process and returns its address.
 func run(t *testing.T, p *st.Platform, edit func(c *Config)) string {
 	t.Helper()
 	return runWith(t, p, edit, func(*Sender) {})
 }
 
-// runWith does so and lets a test change the sender before it serves.
+// runWith is run with a function that changes the sender before it serves.
 func runWith(t *testing.T, p *st.Platform, edit func(c *Config), change func(*Sender)) string {
 	t.Helper()
 	s := newTest(t, p, edit)
@@ -61,7 +61,7 @@
 	return addr
 }
 
-// serving runs a sender and gives its address; leave ends it and wants no error.
+// serving runs a sender and returns its address; leave stops it and fails the test on an error.
 func serving(t *testing.T, s *Sender) (addr string, leave func()) {
 	t.Helper()
 	at := make(chan string, 1)
@@ -99,7 +99,7 @@
 	}
 }
 
-// Input that is not sound gets a plain line, goes no further, and leaves the sender serving.
+// An invalid request gets an error in one line and is not delivered, and the sender continues to serve.
 func TestServer_BadInput(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
@@ -142,12 +142,12 @@
 	}
 }
 
-// What cannot be held is refused before it is sent, and its client is told when to come back.
+// A message for which there is no room is rejected before it is sent, with a Retry-After.
 func TestSender_RejectsWhenFull(t *testing.T) {
 	t.Parallel()
 	for name, edit := range map[string]func(*Config){
-		"held limit": func(c *Config) { c.Settings.MaxPending = 3 },
-		"disk":       func(c *Config) { c.Limits.DiskMB = 0.012 },
+		"pending limit": func(c *Config) { c.Settings.MaxPending = 3 },
+		"disk":          func(c *Config) { c.Limits.DiskMB = 0.012 },
 	} {
 		e := st.NewEndpoint(t, st.Unresponsive)
 		addr := run(t, st.NewPlatform(t, e.Addr), edit)
@@ -165,17 +165,17 @@
 				t.Fatalf("%s: %s", name, resp.Status)
 			}
 			if i == 0 && refused {
-				t.Errorf("%s: the first is refused", name)
+				t.Errorf("%s: the first message is rejected", name)
 			}
 		}
 		if !refused {
-			t.Errorf("%s: nothing is refused", name)
+			t.Errorf("%s: no message is rejected", name)
 		}
 	}
 }
 
-// What the module gives up ends at once: in the answer if that is not given yet, else by a notice, which
-// is repeated until it is taken.
+// A message that the module gives up ends at once: with the response if its client is not answered yet, else with a notice, which
+// is repeated until it is acknowledged.
 func TestSender_GivesUp(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(500))
@@ -183,7 +183,7 @@
 	p.RejectNotices(true)
 	addr := run(t, p, nil)
 	if resp, _ := st.Do(t, st.Request(t, addr, st.Submission{ID: "late", Class: "safe", Destination: 0, Deadline: 0, Body: ""})); resp.StatusCode != http.StatusInternalServerError {
-		t.Errorf("a message out of time is answered %s", resp.Status)
+		t.Errorf("a message past its deadline is answered %s", resp.Status)
 	}
 	began := time.Now()
 	st.Submit(t, addr, st.Submission{ID: "doubt", Class: "unsafe", Destination: 0, Deadline: 19 * time.Second})
@@ -193,20 +193,20 @@
 		t.Errorf("notice %+v", n)
 	}
 	if took := time.Since(began); took > 10*time.Second {
-		t.Errorf("it was held back for %v", took)
+		t.Errorf("the notice came only after %v", took)
 	}
 	if len(e.Calls) != 0 {
 		t.Error("an unsafe message that may have run was sent again")
 	}
 }
 
-// A message that the module hands back after it was taken on is told of with the time to come back.
+// If the module hands back an accepted message, the notice contains the time after which its client may submit it again.
 func TestSender_HandsBack(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Unresponsive)
 	p := st.NewPlatform(t, e.Addr)
 	addr := run(t, p, func(c *Config) { c.Settings.MaxPending = 20 })
-	for i := range 20 { // the module makes room from 95% on
+	for i := range 20 { // the module hands messages back from 95% on
 		resp, body := st.Do(t, st.Request(t, addr, st.Submission{ID: "m" + strconv.Itoa(i), Class: "safe", Destination: 0, Deadline: 15 * time.Second, Body: ""}))
 		if resp.StatusCode != http.StatusAccepted && resp.StatusCode != http.StatusServiceUnavailable {
 			t.Fatalf("%s %s", resp.Status, body)
@@ -223,7 +223,7 @@
 	}
 }
 
-// Told to wait, nothing goes to that destination before the wait is over.
+// After a response that demands a wait, no call goes to that destination before the wait is over.
 func TestSender_HonoursRetryAfter(t *testing.T) {
 	t.Parallel()
 	var first atomic.Bool
@@ -242,11 +242,11 @@
 	st.Submit(t, addr, st.Submission{ID: "b", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	e.Next(t)
 	if waited := time.Since(from); waited < 700*time.Millisecond {
-		t.Errorf("a call after %v", waited)
+		t.Errorf("the next call was sent after %v", waited)
 	}
 }
 
-// watching waits until the sender watches from that version on.
+// watching waits until the sender watches for changes after a version.
 func watching(t *testing.T, p *st.Platform, version int) {
 	t.Helper()
 	for !strings.HasPrefix(st.Receive(t, p.Lists), "after="+strconv.Itoa(version)+"&") {
@@ -273,8 +273,8 @@
 	}
 }
 
-// While discovery is down the sender goes on with what it knows, and asks for what came since: three hundred senders that
-// asked for the whole list after each refusal kept discovery refusing for twenty seconds, and a drain was heard too late.
+// While discovery is down the sender continues with the list that it has, and requests only newer changes: three hundred senders that
+// requested the complete list after each rejection kept discovery rejecting for twenty seconds, and a drain was received too late.
 func TestDiscovery_Outage(t *testing.T) {
 	t.Parallel()
 	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
@@ -282,9 +282,9 @@
 	addr := run(t, p, nil)
 	watching(t, p, 1)
 	p.RejectListCalls(true)
-	for range 3 { // in vain, and never for the whole
+	for range 3 { // all rejected, and none for the complete list
 		if query := st.Receive(t, p.Lists); !strings.HasPrefix(query, "after=1&") {
-			t.Fatalf("it asks for %q", query)
+			t.Fatalf("the query is %q", query)
 		}
 	}
 	st.Submit(t, addr, st.Submission{ID: "a", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
@@ -298,7 +298,7 @@
 	}
 }
 
-// A registry that answers changes of a version before ours has begun its numbers anew: the whole list is asked for.
+// A registry that answers with changes of an older version than ours has restarted its numbering: the complete list is requested.
 func TestDiscovery_VersionsReset(t *testing.T) {
 	t.Parallel()
 	queries := make(chan string, 10)
@@ -321,18 +321,18 @@
 	go newDiscovery(strings.TrimPrefix(s.URL, "http://")).follow(ctx, 9, asked, func(Targets) {}, func(error) {})
 	for _, want := range []string{"after=9&wait_ms=0", "", "after=3&wait_ms=2000"} {
 		if got := st.Receive(t, queries); got != want {
-			t.Fatalf("asks for %q, want %q", got, want)
+			t.Fatalf("the query is %q, want %q", got, want)
 		}
 	}
 }
 
-// listedAt is a line of the list for an endpoint that serves.
+// listedAt returns the line of the list for a serving endpoint.
 func listedAt(id string, e *st.Endpoint) Target {
 	return Target{ID: id, Addr: e.Addr, State: membership.Serving, Zone: "a", Kind: "plain"}
 }
 
-// leaveMessage has an earlier process leave message m in the journal, beside what it wrote before, and a configuration
-// that lists the old endpoint.
+// leaveMessage writes a journal as an earlier process leaves it: with message m, after the records that before writes. It sets the
+// configuration's list to the old endpoint.
 func leaveMessage(t *testing.T, c *Config, old *st.Endpoint, before func(*journal)) {
 	t.Helper()
 	c.Known = Targets{Version: 1, Full: true, Servers: []Target{listedAt("s-0", old)}}
@@ -346,7 +346,7 @@
 	}
 }
 
-// goesTo waits for message m at the new endpoint; the drained one has got nothing by then.
+// goesTo waits for message m at the new endpoint and checks that the drained one has got no call by then.
 func goesTo(t *testing.T, other, old *st.Endpoint) {
 	t.Helper()
 	if c := other.Next(t); c.ID != "m" {
@@ -357,8 +357,8 @@
 	}
 }
 
-// The configuration's list may be older than what the earlier process was told: what it resumes does not go
-// to an endpoint that has drained since.
+// The configuration's list may be older than that of the earlier process: a resumed message must not be sent to an endpoint that has
+// drained since.
 func TestResume_HonoursEarlierDrain(t *testing.T) {
 	t.Parallel()
 	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
@@ -371,8 +371,8 @@
 	goesTo(t, other, old)
 }
 
-// A machine that was cut off leaves idle connections that say nothing any more: after a call there timed
-// out, the next opens a new one.
+// Idle connections to a machine that was cut off from the network are dead, but not closed: after a call on one of them has timed out,
+// the next call opens a new connection.
 func TestSender_ClosesIdleConnectionsAfterTimeout(t *testing.T) {
 	t.Parallel()
 	var cut atomic.Bool
@@ -384,7 +384,7 @@
 		}
 		if c.Conn <= 2 {
 			both <- struct{}{}
-			<-answer // two connections are needed
+			<-answer // so that two connections are needed
 		}
 		return st.Status(200)(c, nc)
 	})
@@ -423,8 +423,8 @@
 	}
 }
 
-// A disk that takes nothing: what comes is refused and not sent, nothing is kept of it, and once there is room
-// again the sender serves as ever, with all its slots.
+// On a full disk messages are rejected, not sent and not kept, and once there is space again the sender serves normally, with all its
+// slots.
 func TestSender_RejectsUnwrittenMessages(t *testing.T) {
 	t.Parallel()
 	full, err := os.OpenFile("/dev/full", os.O_WRONLY, 0)
@@ -438,14 +438,14 @@
 	addr := runWith(t, p, func(c *Config) { block = filepath.Join(c.StateDir, journalFileName+".new", "x") }, func(made *Sender) {
 		made.journal.file.Close()
 		made.journal.file = full
-		if err := os.MkdirAll(block, 0o700); err != nil { // no new file can be made either
+		if err := os.MkdirAll(block, 0o700); err != nil { // no new file can be created either
 			t.Fatal(err)
 		}
 	})
 	for i := range 30 { // three times its slots
 		resp, _ := st.Do(t, st.Request(t, addr, st.Submission{ID: "no" + strconv.Itoa(i), Class: "safe", Destination: 0, Deadline: 15 * time.Second, Body: "x"}))
 		if resp.StatusCode != http.StatusServiceUnavailable {
-			t.Fatalf("a message that can't be written down is answered %s", resp.Status)
+			t.Fatalf("a message that can't be written is answered %s", resp.Status)
 		}
 	}
 	if err := os.RemoveAll(filepath.Dir(block)); err != nil {
@@ -457,11 +457,11 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("it does not come back")
+			t.Fatal("the sender does not recover")
 		}
 	}
 	if c := e.Next(t); c.ID != "yes" {
-		t.Errorf("%s was sent though it was refused", c.ID)
+		t.Errorf("%s was sent though it was rejected", c.ID)
 	}
 	for i := range 30 {
 		st.Submit(t, addr, st.Submission{ID: "m" + strconv.Itoa(i), Class: "safe", Destination: 0, Deadline: 15 * time.Second})
--- a/internal/sender/shutdown.go
+++ b/internal/sender/shutdown.go
@@ -5,8 +5,8 @@
 	"errors"
 )
 
-// shutdown ends the process's work. Calls under way are cut off and stay in the journal as attempts that may have run. Events
-// that have come by then still count: a message that was answered just now is not another process's to repeat.
+// shutdown stops the sender. Calls in flight are cancelled and remain in the journal as attempts that may have run. Events that are
+// queued by then are still handled: the next process must not repeat a message that was answered just now.
 func (s *Sender) shutdown(stop context.CancelFunc) error {
 	s.stopping = true
 	for more := true; more; {
--- a/internal/sender/shutdown_test.go
+++ b/internal/sender/shutdown_test.go
@@ -9,8 +9,8 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// What has come to the loop as the process leaves still counts: a message that was answered in that moment is not the next
-// process's to end, and a client whose message waits there hears that it was not taken on.
+// Events that are queued when the process shuts down are still handled: a message that was answered in that moment must not be resumed
+// by the next process, and a client whose message is queued is answered that it is not accepted.
 func TestShutdown_LateEventsCount(t *testing.T) {
 	p := st.NewPlatform(t, st.NewEndpoint(t, st.Unresponsive).Addr)
 	s := newTest(t, p, nil)
@@ -33,16 +33,16 @@
 		t.Fatal(err)
 	}
 	if a := st.Receive(t, late.answer); a.status != http.StatusServiceUnavailable {
-		t.Errorf("a message that comes as it leaves is answered %+v", a)
+		t.Errorf("a message that arrives during the shutdown is answered %+v", a)
 	}
 	j := openTest(t, s.config.StateDir, 1<<20)
 	if held := j.pending(); len(held) != 1 || held[0].ID != "open" || len(held[0].Attempts) != 1 {
-		t.Errorf("the next process finds %v", held)
+		t.Errorf("the next process finds messages %v", held)
 	}
 }
 
-// A 200 that comes as a message's time is up may have come too late, and the message counts as lost then if no notice tells of it: seen
-// on three of 96 days (fen-readings, roll+term+brink, seeds 1030, 1056, 1075), each with an answer within half a millisecond of the end.
+// A 200 that arrives at a message's deadline may be too late, and the message then counts as lost if there is no notice: seen on three
+// of 96 test days (fen-readings, roll+term+brink, seeds 1030, 1056, 1075), each with a response within half a millisecond of the deadline.
 func TestShutdown_AnswerAtDeadlineIsNotified(t *testing.T) {
 	p := st.NewPlatform(t, st.NewEndpoint(t, st.Unresponsive).Addr)
 	for name, tt := range map[string]struct {
@@ -62,10 +62,10 @@
 			if told := len(s.pendingNotices) == 1 && s.pendingNotices[0] == (notice{Message: "m", Outcome: outcomeGivenUp}); told != tt.told {
 				t.Errorf("notices %+v", s.pendingNotices)
 			}
-			s.flush() // and the process is killed
+			s.flush() // the process is killed after that
 			next := resumed(t, p, func(c *Config) { c.StateDir = s.config.StateDir })
 			if told := len(next.pendingNotices) == 1; told != tt.told || next.pending != 0 {
-				t.Errorf("the next process owes %+v and holds %d", next.pendingNotices, next.pending)
+				t.Errorf("the next process has notices %+v to send and %d messages", next.pendingNotices, next.pending)
 			}
 		})
 	}
--- a/internal/sender/submit.go
+++ b/internal/sender/submit.go
@@ -8,11 +8,11 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// submit puts a message into the journal's buffer before the module hears of it; step writes it, with what is decided in the
-// same turn, before its client is answered and before any call. What can't be accepted is answered here; it has not been sent,
-// so its client may submit it again.
+// submit puts a message into the journal's buffer before the module gets it; step writes it, with the decisions of the same turn,
+// before its client is answered and before any call. A message that can't be accepted is answered here; it has not been sent, so its
+// client may submit it again.
 func (s *Sender) submit(sub submission) brain.Event {
-	if sub.Identity != nil && s.answerKnownEvent(sub) { // also while it is stopping: a rejection of what is held would be false
+	if sub.Identity != nil && s.answerKnownEvent(sub) { // also while stopping: an event that is accepted already must not be rejected
 		return nil
 	}
 	if s.stopping {
@@ -50,36 +50,36 @@
 		Destination: brain.DestinationID(sub.Dest), OrderingKey: stored.orderKeyHash(), Deadline: sub.Deadline}
 }
 
-// rejectSubmission answers a submission that is not accepted with 503, why, and when its client may come again.
+// rejectSubmission answers a submission that is not accepted with 503, the reason, and the time after which its client may retry.
 func (s *Sender) rejectSubmission(sub submission, why string) brain.Event {
 	sub.answer <- response{status: http.StatusServiceUnavailable, retryAfter: s.config.Settings.MaxRetryAfter, text: why}
 	return nil
 }
 
-// answerDuplicate answers a submission under the id of a message that the journal holds. Of two with one id, it is the same message,
-// unless it came as an event: those are known by their identity, so that this one would be lost.
+// answerDuplicate answers a submission with the id of a message in the journal. It is treated as the same message, unless it is an
+// event: those are identified by their source and id, so this is another event, which would be lost if it were acknowledged.
 func (s *Sender) answerDuplicate(sub submission, held *storedMessage) {
 	switch {
 	case sub.Identity != nil:
 		sub.answer <- response{status: http.StatusConflict, text: "X-Request-Id is another message's"}
-	case held.outcome == outcomeAnswered: // it failed, and so it was answered; it only waits for the recorder
+	case held.outcome == outcomeAnswered: // its client was answered that it failed; it only waits for the recorder
 		sub.answer <- response{status: http.StatusInternalServerError, text: outcomeGivenUp}
-	case held.outcome == outcomeHandedBack: // it is its client's; it may be accepted again only once its notice is known to be acknowledged
+	case held.outcome == outcomeHandedBack: // its client may submit it again, but it can be accepted only once its notice is known to be acknowledged
 		s.rejectSubmission(sub, "it was handed back just now")
 	default:
 		sub.answer <- response{status: http.StatusAccepted}
 	}
 }
 
-// destinationExists reports whether a list has ever named a destination. One without endpoints just now may get some; before there
-// is any list, all exist.
+// destinationExists reports whether a list has ever contained a destination. One that has no endpoints now may get some later; before
+// there is any list, all destinations exist.
 func (s *Sender) destinationExists(destination uint32) bool {
 	_, known := s.endpoints.Destinations[destination]
 	return known || len(s.endpoints.Destinations) == 0
 }
 
-// answerUnknownDestination answers a submission for a destination that does not exist: an event is sound and can't be routed, of a
-// message a header is wrong.
+// answerUnknownDestination answers a submission for a destination that does not exist: an event is valid and can't be routed (422),
+// a message has a wrong header (400).
 func answerUnknownDestination(sub submission) {
 	if sub.Identity != nil {
 		sub.answer <- response{status: http.StatusUnprocessableEntity, text: fmt.Sprintf("destination %d does not exist", sub.Dest)}
@@ -88,7 +88,7 @@
 	sub.answer <- response{status: http.StatusBadRequest, text: "X-Addressing names a destination that does not exist"}
 }
 
-// acknowledge answers the client of m that it is accepted; one that submitted an event hears under which id.
+// acknowledge answers the client of m that the message is accepted; for an event the response contains the message's id.
 func (s *Sender) acknowledge(m *message) {
 	a := response{status: http.StatusAccepted}
 	if m != nil && m.Identity != nil {
@@ -110,8 +110,8 @@
 	return true
 }
 
-// rejectUnwritten rejects a message that could not be written to the journal. The module hears so with the next turn; a call
-// that it has decided on is not made either, and ends as not sent.
+// rejectUnwritten rejects a message that could not be written to the journal. The module gets the withdrawal with the next turn; a
+// call that it has decided on is not made either, and ends as not sent.
 func (s *Sender) rejectUnwritten(m *message) {
 	s.reply(m, response{status: http.StatusServiceUnavailable, retryAfter: s.config.Settings.MaxRetryAfter, text: "no room to keep the message"})
 	s.eventDedup.forget(m)
--- a/internal/sender/submit_test.go
+++ b/internal/sender/submit_test.go
@@ -9,12 +9,12 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// A client comes again with a message that was handed back before the sender knows that its notice was taken. It is refused, so that
-// it comes once more, and not told that the message, which is over here, is taken on.
+// A client may submit a message that was handed back before the notice of that is acknowledged. The sender must reject the message, so
+// that the client retries, and must not answer that the message, which has ended here, is accepted.
 func TestSubmit_HandedBackBeforeNoticeIsAcknowledged(t *testing.T) {
 	t.Parallel()
 	s := newTest(t, st.NewPlatform(t), nil)
-	s.notices = make(chan []notice, 1) // nobody tells them yet
+	s.notices = make(chan []notice, 1) // notices are not sent yet
 	s.step(t.Context(), s.initialListEvents())
 	handIn := func() int {
 		sub := submission{record: record{ID: "m", Op: opAccept, Tenant: "acme", Class: "unsafe", Deadline: s.clock.now() + time.Hour}, class: 2, answer: make(chan response, 1)}
@@ -24,17 +24,17 @@
 		return (<-sub.answer).status
 	}
 	if got := handIn(); got != http.StatusAccepted {
-		t.Fatalf("it is answered %d", got)
+		t.Fatalf("the message is answered %d", got)
 	}
 	s.finish(s.lastID, outcomeHandedBack, http.StatusServiceUnavailable, s.config.Settings.MaxRetryAfter)
 	s.flush()
 	s.sendNotices()
 	if got := handIn(); got != http.StatusServiceUnavailable || s.pending != 0 {
-		t.Errorf("before its notice is known to be taken it is answered %d, and %d are held", got, s.pending)
+		t.Errorf("before its notice is acknowledged the message is answered %d, and %d messages are pending", got, s.pending)
 	}
 	s.handle(noticesDelivered{<-s.notices})
 	s.flush()
 	if got := handIn(); got != http.StatusAccepted || s.pending != 1 {
-		t.Errorf("after it, it is answered %d, and %d are held", got, s.pending)
+		t.Errorf("after that the message is answered %d, and %d messages are pending", got, s.pending)
 	}
 }
--- a/internal/sender/trace.go
+++ b/internal/sender/trace.go
@@ -7,8 +7,8 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// trace writes a line on a step of one message, for operators who follow it by its id through the senders that had it. Below
-// the level debug nothing is formatted.
+// trace logs a step of one message, so that operators can follow the message by its id through all senders. Unless the level debug is
+// enabled, nothing is formatted.
 func (s *Sender) trace(step, id string, details ...slog.Attr) {
 	if !s.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
@@ -16,7 +16,7 @@
 	s.log.LogAttrs(context.Background(), slog.LevelDebug, step, append([]slog.Attr{slog.String("id", id)}, details...)...)
 }
 
-// traceEnd writes the line on how a call ended.
+// traceEnd logs how a call ended.
 func (s *Sender) traceEnd(m *message, e callResult) {
 	outcome := "served"
 	if e.Outcome != brain.Served {
