--- a/internal/sender/sdk_test.go
+++ b/internal/sender/sdk_test.go
@@ -24,8 +24,8 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// sdkEvent draws an event of the SDK's. It writes and reads headers without percent-encoding, so that in binary mode
-// values are held to what needs none, and extensions to strings.
+// sdkEvent returns a random event of the SDK. The SDK writes and reads headers without percent-encoding, so in binary mode
+// values are limited to those that need none, and extensions to strings.
 func sdkEvent(t *testing.T, r *rand.Rand, n int, binary bool) event.Event {
 	t.Helper()
 	word := func() string {
@@ -65,8 +65,8 @@
 	return e
 }
 
-// sdkTransport is a transport of one SDK client. The default one is shared: the end of any httptest.Server breaks connections of it
-// that are just taken into use.
+// sdkTransport returns a transport for one SDK client. The default one is shared: closing any httptest.Server breaks connections of
+// it that are just being taken into use.
 func sdkTransport(t *testing.T) *http.Transport {
 	t.Helper()
 	transport := &http.Transport{}
@@ -74,7 +74,7 @@
 	return transport
 }
 
-// sameEvent is how two events of the SDK's differ; "" if they do not.
+// eventDiff returns how two events of the SDK differ; "" if they do not.
 func sameEvent(a, b event.Event) string {
 	if a.ID() != b.ID() || a.Source() != b.Source() || a.Type() != b.Type() || a.Subject() != b.Subject() || !a.Time().Equal(b.Time()) ||
 		a.DataSchema() != b.DataSchema() || a.DataContentType() != b.DataContentType() {
@@ -92,12 +92,12 @@
 		}
 	}
 	if len(x) != len(y) {
-		return "there are other extensions"
+		return "number of extensions"
 	}
 	return ""
 }
 
-// The official Go SDK hands events in, in all modes, and receives them, in all forms: what arrives is what was sent.
+// Events that the official Go SDK submits, in all modes, are received by the SDK unchanged, in all forms.
 func TestSDK_RoundTrip(t *testing.T) {
 	t.Parallel()
 	for _, in := range []string{"binary", "structured", "batched"} {
@@ -109,7 +109,7 @@
 					if out == calls.Batched {
 						all, err := cehttp.NewEventsFromHTTPRequest(r)
 						if err != nil {
-							t.Errorf("the SDK can't read it: %v", err)
+							t.Errorf("the SDK can't read the request: %v", err)
 						}
 						for _, e := range all {
 							got <- e
@@ -118,7 +118,7 @@
 					}
 					e, err := cehttp.NewEventFromHTTPRequest(r)
 					if err != nil || e.Validate() != nil {
-						t.Errorf("the SDK can't read it: %v %v", err, e)
+						t.Errorf("the SDK can't read the request: %v %v", err, e)
 						return
 					}
 					got <- *e
@@ -127,7 +127,7 @@
 				addr := run(t, st.NewPlatform(t, strings.TrimPrefix(receiver.URL, "http://")), both(acceptEvents,
 					delivers(calls.Target{Form: out, BatchEvents: 5, BatchBytes: 65536}), func(c *Config) {
 						c.Settings.MaxPending = 1000
-						c.Settings.MaxAttempts = 1 // on a slow machine an attempt would else be restarted, and the event rightly arrive twice
+						c.Settings.MaxAttempts = 1 // with more, an attempt may be repeated on a slow machine, and the event would rightly arrive twice
 					}))
 				p, err := cehttp.New(cehttp.WithTarget("http://"+addr+"/events"), cehttp.WithRoundTripper(sdkTransport(t)))
 				if err != nil {
@@ -183,7 +183,7 @@
 	}
 }
 
-// The SDK hears of a refusal and of an error as such.
+// The SDK gets the status of a rejection and of an error.
 func TestSDK_Rejections(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
--- a/internal/sender/server.go
+++ b/internal/sender/server.go
@@ -17,27 +17,27 @@
 const (
 	maxBodyBytes                  = 64 << 10
 	maxHeaderBytes                = 16 << 10
-	requestTimeout                = 2 * time.Second        // a request comes whole within this: the first of a connection from its begin
-	lateRequestTimeout            = 100 * time.Millisecond // or within this, if it began at the very end of that
-	responseWriteTimeout          = time.Second            // and its answer is taken within this
-	idleTimeout                   = 30 * time.Second       // a connection without a request is kept so long, if there is room
-	minIdleTime                   = 2 * time.Second        // and so long in any case
-	maxTimeWithoutRequestWhenFull = 200 * time.Millisecond // when room is short, no connection may go longer without a request
-	maxPartialWhenFull            = 400 * time.Millisecond // nor a request take longer: its client has given up waiting by then
-	evictionInterval              = 20 * time.Millisecond  // when room is short, connections are looked at so often
-	lingerTimeout                 = 300 * time.Millisecond // what still comes behind an error is read so long, lest a reset overtake it
+	requestTimeout                = 2 * time.Second        // for receiving a complete request; for the first of a connection it starts at accept
+	lateRequestTimeout            = 100 * time.Millisecond // minimum for a first request that begins at the end of requestTimeout
+	responseWriteTimeout          = time.Second            // for the client to read the response
+	idleTimeout                   = 30 * time.Second       // how long an idle connection is kept, if there is room
+	minIdleTime                   = 2 * time.Second        // how long an idle connection is kept in any case
+	maxTimeWithoutRequestWhenFull = 200 * time.Millisecond // when connections are short: limit for a new one without a request
+	maxPartialWhenFull            = 400 * time.Millisecond // when connections are short: limit for receiving a request, whose client has given up waiting by then
+	evictionInterval              = 20 * time.Millisecond  // when connections are short: time between attempts to evict one
+	lingerTimeout                 = 300 * time.Millisecond // how long input is still read after an error response, so that no reset overtakes the response
 	maxLingerBytes                = 256 << 10
 	readyPath                     = "/-/ready"
 	healthPath                    = "/-/healthy"
 	maxDestination                = calls.MaxDestination
 	maxDeadline                   = 24 * time.Hour
-	defaultRetryAfter             = time.Second // Retry-After where the settings tell none
+	defaultRetryAfter             = time.Second // Retry-After where the settings have none
 )
 
-// server accepts messages from clients. Requests are parsed by net/http, but connections are kept here rather than by
+// server accepts messages from clients. Requests are parsed by net/http, but connections are managed here rather than by
 // http.Server: a client of the protocol sends one request at a time, with a Content-Length, and a sender's few descriptors are
-// shared with calls. Whether something stands behind a request, how long each state of a connection may last, and which one
-// goes when descriptors are short has to be known and decided here, and http.Server tells none of it.
+// shared with calls. The server has to detect input behind a request, limit the time in each state of a connection, and choose the
+// connection to close when descriptors are short; http.Server supports none of that.
 //
 // A goroutine serves each connection (serveConn); mu guards the fields below it and the state of each client.
 type server struct {
@@ -45,25 +45,25 @@
 	clock          clock
 	log            *slog.Logger
 	maxClients     int // connections at once: the other descriptors are for calls and files
-	maxIdleClients int // those of them that may wait for a further request
+	maxIdleClients int // how many of them may wait for a further request
 	submit         func(context.Context, submission) bool
 	ingressByPath  map[string]ingress
 	ready          atomic.Bool
-	closing        atomic.Bool     // answers say that the connection ends
-	aborted        context.Context // no answer is waited for any more
+	closing        atomic.Bool     // responses announce that the connection closes
+	aborted        context.Context // done when waits for the loop's responses are to end
 	abort          context.CancelFunc
 	connections    sync.WaitGroup
-	freed          chan struct{} // a connection was closed, or became idle
+	freed          chan struct{} // signals that a connection was closed or became idle
 
 	mu        sync.Mutex
 	listener  net.Listener
-	draining  bool // no request is begun any more
-	keptAlive int  // connections that are idle, or will be after their answer
-	evicting  int  // connections that were asked to go and have not yet said yes or no
+	draining  bool // no further request is read
+	keptAlive int  // connections that are idle, or will be after their response
+	evicting  int  // connections that are being evicted: they have neither closed nor read a request yet
 	clients   map[*client]struct{}
 }
 
-// newServer makes a server that passes what clients submit to submit, which reports whether the loop has taken it.
+// newServer returns a server that passes the submissions of clients to submit, which reports whether they were queued for the loop.
 func newServer(c *Config, k clock, log *slog.Logger, submit func(context.Context, submission) bool) *server {
 	s := &server{config: c, clock: k, log: log, maxClients: c.Limits.maxClients(), maxIdleClients: c.Limits.maxIdleClients(), submit: submit,
 		freed: make(chan struct{}, 1), clients: map[*client]struct{}{}}
@@ -72,7 +72,7 @@
 	return s
 }
 
-// serve accepts connections until the listener is closed. Failures to accept are logged and end nothing.
+// serve accepts connections until the listener is closed. Failures to accept are logged and do not end it.
 func (s *server) serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
@@ -86,7 +86,7 @@
 		case err == nil:
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		default: // out of descriptors, or a client that is gone already: neither ends the service
+		default: // out of descriptors, or the client has disconnected already: neither is fatal
 			s.log.Warn("accepting a connection failed", "err", err)
 			time.Sleep(evictionInterval)
 			continue
@@ -102,7 +102,7 @@
 	}
 }
 
-// shutdown begins no further request, and returns when all that have come are answered.
+// shutdown lets no further request begin, and returns when all that have been received are answered.
 func (s *server) shutdown() {
 	s.mu.Lock()
 	s.draining = true
@@ -111,14 +111,14 @@
 	}
 	for c := range s.clients {
 		if c.state == stateNew || c.state == stateIdle {
-			c.SetReadDeadline(time.Unix(1, 0)) // wakes it: it ends if nothing has come
+			c.SetReadDeadline(time.Unix(1, 0)) // interrupts its read: the connection ends if nothing has been received
 		}
 	}
 	s.mu.Unlock()
 	s.connections.Wait()
 }
 
-// close ends all connections at once.
+// close closes the listener and all connections at once.
 func (s *server) close() {
 	s.abort()
 	s.mu.Lock()
@@ -141,7 +141,7 @@
 			return
 		}
 		until := c.since.Add(requestTimeout)
-		if first { // its time counts from the connection's begin, if it is not over with this byte
+		if first { // the time limit starts at accept, but leaves at least lateRequestTimeout from now
 			until = c.acceptedAt.Add(requestTimeout)
 			if least := c.since.Add(lateRequestTimeout); until.Before(least) {
 				until = least
@@ -175,8 +175,8 @@
 	}
 }
 
-// answer is the answer to a request that has come whole: for submissions that of the loop, which it waits for until the server
-// is closed.
+// answer returns the response to a complete request. For submissions it is the loop's response, which is waited for until the
+// server is closed.
 func (s *server) answer(r *clientRequest, submissions []submission) response {
 	if r.protocol == nil {
 		if r.head.URL.Path == readyPath && (!s.ready.Load() || s.closing.Load()) {
--- a/internal/sender/server_connections.go
+++ b/internal/sender/server_connections.go
@@ -12,9 +12,9 @@
 
 const (
 	stateNew       clientState = iota // no request has come yet
-	stateReading                      // one is coming
-	stateAnswering                    // one has come whole and is owed its answer
-	stateIdle                         // the last one is answered
+	stateReading                      // a request is being received
+	stateAnswering                    // a request has been received completely and is not answered yet
+	stateIdle                         // the last request is answered
 )
 
 // client is a connection from a client. The server's mutex guards state and what follows it.
@@ -23,13 +23,13 @@
 	r          *bufio.Reader
 	acceptedAt time.Time
 	state      clientState
-	since      time.Time // of the state
-	keptAlive  bool      // it is counted as staying
-	evicting   bool      // it was asked to go
+	since      time.Time // when it entered the state
+	keptAlive  bool      // counted in server.keptAlive
+	evicting   bool      // counted in server.evicting
 }
 
-// admit counts a new connection once there is room for it; false when the server ends. Connections without a request make
-// room: silent ones and half requests that hold on would keep everybody else out.
+// admit registers a new connection once there is room for it; false when the server ends. To make room it evicts connections
+// without a complete request: silent connections and partial requests could otherwise lock out all other clients.
 func (s *server) admit(c *client) bool {
 	for {
 		s.mu.Lock()
@@ -53,21 +53,22 @@
 	}
 }
 
-// evictOne asks the connection to close that has been without a request for longest: one that has not got its request out in a
-// time that is plenty for an honest client, or else one that has been idle for a while. It reports whether there is one.
+// evictOne starts the eviction of the connection that has been without a complete request for longest: one that has not sent its
+// request within a time that is ample for a well-behaved client, or else one that has been idle for at least minIdleTime. It reports
+// whether there is one.
 func (s *server) evictOne() bool {
 	return s.evictOldest(func(c *client, age time.Duration) bool {
 		return c.state == stateNew && age > maxTimeWithoutRequestWhenFull || c.state == stateReading && age > maxPartialWhenFull
 	}) || s.evictIdle()
 }
 
-// evictIdle asks the connection to close that has been idle for longest, and for minIdleTime at least.
+// evictIdle starts the eviction of the connection that has been idle for longest, and for at least minIdleTime.
 func (s *server) evictIdle() bool {
 	return s.evictOldest(func(c *client, age time.Duration) bool { return c.state == stateIdle && age >= minIdleTime })
 }
 
-// evictOldest asks the oldest of the eligible connections to close, one at a time, by ending its wait for bytes. It is not
-// closed from here: its request may have been read just now, and a request that has come whole is answered.
+// evictOldest starts the eviction of the oldest eligible connection by interrupting its read; at most one eviction is in progress.
+// It does not close the connection: a request may have been read just now, and a complete request must be answered.
 func (s *server) evictOldest(may func(*client, time.Duration) bool) bool {
 	var victim *client
 	now := time.Now()
@@ -75,7 +76,7 @@
 		if s.evicting > 0 || !may(c, now.Sub(c.since)) || victim != nil && c.since.After(victim.since) {
 			continue
 		}
-		if calls.IdleConnUsable(c.Conn) { // else something is here and only waits for us
+		if calls.IdleConnUsable(c.Conn) { // otherwise input has arrived and is not read yet
 			victim = c
 		}
 	}
@@ -102,7 +103,7 @@
 	return true
 }
 
-// uncount takes a connection out of the counts of those that are kept alive and of those that were asked to close.
+// uncount removes a connection from the counts keptAlive and evicting.
 func (s *server) uncount(c *client) {
 	if c.keptAlive {
 		c.keptAlive = false
@@ -114,9 +115,10 @@
 	}
 }
 
-// keepAlive reports whether a connection may wait for a further request after its answer. Clients that ask once and keep their
-// connection would soon hold all that they may: beyond maxIdleClients, one that has been idle for a while goes for each that
-// stays; if there is none, the answer says that the connection closes, which crosses no request.
+// keepAlive reports whether a connection may wait for a further request after its response. Clients that send one request and keep
+// their connection would soon use up all connections: beyond maxIdleClients, each connection that is kept replaces one that has been
+// idle for at least minIdleTime. If there is none, the response announces that the connection closes, so that the close can't cross
+// with a further request.
 func (s *server) keepAlive(c *client) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +130,7 @@
 	return true
 }
 
-// remove closes a connection and forgets it.
+// remove closes a connection and removes it from those of the server.
 func (s *server) remove(c *client) {
 	c.Close()
 	s.mu.Lock()
@@ -139,7 +141,7 @@
 	s.connections.Done()
 }
 
-// signalFreed wakes admit, without waiting.
+// signalFreed wakes admit without blocking.
 func (s *server) signalFreed() {
 	select {
 	case s.freed <- struct{}{}:
--- a/internal/sender/server_requests.go
+++ b/internal/sender/server_requests.go
@@ -17,27 +17,27 @@
 func (s *server) awaitRequest(c *client) bool {
 	_, err := c.r.Peek(1)
 	if errors.Is(err, os.ErrDeadlineExceeded) && !calls.IdleConnUsable(c.Conn) {
-		// It came just as the wait ended, by itself or as the connection was asked to go: it is owed an answer.
+		// The request arrived just as the wait ended, by its time-out or by an eviction: it must be answered.
 		c.SetReadDeadline(time.Now().Add(requestTimeout))
 		_, err = c.r.Peek(1)
 	}
 	return err == nil
 }
 
-// clientRequest is a request that has come whole.
+// clientRequest is a request that has been received completely.
 type clientRequest struct {
 	head     *http.Request
-	protocol ingressRequest // by which it submits something; nil if it does not
+	protocol ingressRequest // reads the submissions in the body; nil if the request submits nothing
 	body     []byte
 }
 
-// readRequest reads one request whole. Nothing of a request that is not sound goes further than here; what it leaves unread is not
-// read as a further request, as the connection closes. Its errors are a *requestError, which is answered, or of the connection.
+// readRequest reads one complete request. An invalid request is not processed any further; what is left unread of it is not parsed as
+// another request, as the connection closes. Its error is a *requestError, which is sent to the client, or one of the connection.
 func (s *server) readRequest(c *client) (*clientRequest, error) {
 	head, err := http.ReadRequest(c.r)
 	switch {
 	case err == nil:
-	case c.Remaining <= 0: // whatever the parser makes of a line that was cut there
+	case c.Remaining <= 0: // whatever error the parser reports for the truncated line
 		return nil, errHeaderTooLarge
 	case errors.As(err, new(net.Error)):
 		return nil, err
@@ -64,19 +64,19 @@
 	if r.body, err = readBody(head); err != nil {
 		return nil, fmt.Errorf("the body does not come whole: %w", err)
 	}
-	// A client waits for its answer before it sends more. What stands behind a body of which the length is
-	// wrong is the rest of it: the message would go out cut short.
+	// A client waits for its response before it sends more. Input behind the body therefore means that the
+	// Content-Length is too small: the message would be delivered truncated.
 	if c.r.Buffered() > 0 || !calls.IdleConnUsable(c.Conn) && !atEOF(c) {
 		return nil, badRequest("more comes than the Content-Length says")
 	}
 	return r, nil
 }
 
-// checkHead says what of a request's head is not sound, whoever it is for.
+// checkHead returns an error if the head of a request is invalid, whatever its path.
 func checkHead(head *http.Request, maxBody int64) error {
 	switch {
-	// net/http takes the length from the one and forgets the other: what a peer that heeds the other took
-	// for the body would be read as the next request, and a message hidden there would be sent on.
+	// Given both headers, net/http takes the length from one and drops the other. What a peer that honours the
+	// other takes for the body would be read as the next request, and a message smuggled in there would be delivered.
 	case len(head.TransferEncoding) > 0 || head.Header.Get("Transfer-Encoding") != "":
 		return badRequest("requests come with a Content-Length, not with a Transfer-Encoding")
 	case !validHeaderNames(head.Header):
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// routeRequest has the protocol of a request's path read its head, and says what is wrong with one that is for none; nil for the paths
-// that ask for the sender's state.
+// routeRequest lets the protocol of a request's path read its head, and returns an error if path or method are wrong. It returns nil
+// for the paths that query the sender's state.
 func routeRequest(head *http.Request, protocol ingress) (ingressRequest, error) {
 	path := head.URL.Path
 	switch {
@@ -106,7 +106,7 @@
 	return nil, nil
 }
 
-// readBody reads a body whole. A long one gets its memory as it comes, since its length is only said.
+// readBody reads a complete body. Memory for a long one is allocated as it arrives, since the Content-Length may be false.
 func readBody(r *http.Request) ([]byte, error) {
 	const atOnce = 4 << 10
 	if r.ContentLength > atOnce {
@@ -117,8 +117,8 @@
 	return body, err
 }
 
-// validHeaderNames reports whether all header names are tokens (RFC 9110, 5.1). The parser lets others pass under a name of
-// their own, such as "Transfer-Encoding " with a blank, which another reader may take for the header itself.
+// validHeaderNames reports whether all header names are tokens (RFC 9110, 5.1). net/http accepts others as different names, such as
+// "Transfer-Encoding " with a trailing space, which another parser may take for the header itself.
 func validHeaderNames(h http.Header) bool {
 	for name := range h {
 		for _, c := range []byte(name) {
@@ -130,7 +130,7 @@
 	return true
 }
 
-// atEOF reports whether nothing but the end of the connection has come: a client may end its sending.
+// atEOF reports whether the connection has ended without further input: a client may close its sending side.
 func atEOF(c *client) bool {
 	_, err := c.r.Peek(1)
 	return err != nil
--- a/internal/sender/server_responses.go
+++ b/internal/sender/server_responses.go
@@ -14,22 +14,22 @@
 // response is the answer to a client.
 type response struct {
 	status      int
-	retryAfter  time.Duration // Retry-After of a refusal, 0 for the usual
+	retryAfter  time.Duration // Retry-After of a rejection, 0 for the default
 	text        string
 	contentType string // its Content-Type, "" for plain text
-	messageID   string // of the message, where its client can't know it
+	messageID   string // the message's id, if the client did not choose it
 }
 
-// requestError is an error that a client is answered with: its status and text.
+// requestError is an error that is sent to the client as a response with its status and text.
 type requestError struct {
 	status int
 	text   string
 }
 
-// Error is the text that the client is answered with.
+// Error returns the text of the response.
 func (r *requestError) Error() string { return r.text }
 
-// badRequest is a requestError with status 400.
+// badRequest returns a requestError with status 400.
 func badRequest(format string, args ...any) error {
 	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
@@ -37,8 +37,8 @@
 // errHeaderTooLarge is the answer to a request with a head over maxHeaderBytes.
 var errHeaderTooLarge = &requestError{http.StatusRequestHeaderFieldsTooLarge, fmt.Sprintf("the head is over %d bytes", maxHeaderBytes)}
 
-// reject answers a request that can't be used, as far as there is somebody to answer, and waits a little for what else comes:
-// with that unread, closing would be a reset, which may overtake the answer.
+// reject answers a request that can't be processed, unless the connection has failed, and then reads further input for a short time:
+// closing with unread input would send a reset, which may overtake the response.
 func (s *server) reject(c *client, err error) {
 	var r *requestError
 	switch {
@@ -60,7 +60,7 @@
 	io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes))
 }
 
-// writeResponse sends an answer; last says that the connection closes with it. It reports whether the answer could be written.
+// writeResponse writes a response; last announces that the connection closes after it. It reports whether the write succeeded.
 func writeResponse(c *client, a response, last bool) bool {
 	b := append(make([]byte, 0, 256), "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(a.status), 10)
--- a/internal/sender/server_test.go
+++ b/internal/sender/server_test.go
@@ -19,7 +19,7 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// head is a request that hands in message id, up to its last header lines.
+// head returns the head of a request that submits message id; lines are its last header lines.
 func head(id, lines string) string {
 	return "POST /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: " + id + "\r\nX-Class: keyed\r\nX-Tenant: acme\r\n" +
 		"X-Deadline-Ms: 9000\r\nIdempotency-Key: k\r\nX-Addressing: dest=0\r\n" + lines + "\r\n"
@@ -36,7 +36,7 @@
 	return c
 }
 
-// answers reads the status codes on a connection until it ends, be it by a reset.
+// answers reads the status codes on a connection until it is closed or reset.
 func answers(t *testing.T, c net.Conn) []int {
 	t.Helper()
 	var codes []int
@@ -54,8 +54,8 @@
 	}
 }
 
-// A client that sends what is no request of the protocol gets one error and the end of its connection, soon;
-// nothing of it is taken on, above all no message that stands in the body of another or behind it.
+// A client that sends an invalid request soon gets one error, and its connection is closed. Nothing of the request is accepted, in
+// particular no message that is smuggled in the body of another one or behind it.
 func TestServer_HostileRequests(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
@@ -65,7 +65,7 @@
 	length := "Content-Length: " + strconv.Itoa(len(chunks)) + "\r\n"
 	for name, c := range map[string]struct {
 		text string
-		want int // 0: the connection just ends
+		want int // 0: the connection is closed without a response
 	}{
 		"chunked":                 {head("m", "Transfer-Encoding: chunked\r\n") + "1\r\nx\r\n0\r\n\r\n", 400},
 		"hidden, length first":    {head("m", length+"Transfer-Encoding: chunked\r\n") + chunks, 400},
@@ -102,17 +102,17 @@
 			t.Parallel()
 			began := time.Now()
 			nc := dial(t, addr)
-			go io.WriteString(nc, c.text) // it may be cut off on the way
+			go io.WriteString(nc, c.text) // the server may close the connection before all is written
 			codes := answers(t, nc)
 			if c.want == 0 && len(codes) > 0 || c.want > 0 && (len(codes) != 1 || codes[0] != c.want) {
 				t.Errorf("answered %v, want %d", codes, c.want)
 			}
 			if took := time.Since(began); took > 3*time.Second {
-				t.Errorf("it took %v", took)
+				t.Errorf("the connection was closed only after %v", took)
 			}
 		})
 	}
-	t.Cleanup(func() { // once all of them are over
+	t.Cleanup(func() { // after all subtests
 		st.Submit(t, addr, st.Submission{ID: "good", Class: "keyed", Destination: 0, Deadline: 5 * time.Second})
 		if c := e.Next(t); c.ID != "good" {
 			t.Errorf("the endpoint got %s", c.ID)
@@ -120,7 +120,7 @@
 	})
 }
 
-// A client may end its sending with its request, and may ask before it sends a body.
+// A client may close its sending side after its request, and may wait for "100 Continue" before it sends a body.
 func TestServer_UnusualButValidRequests(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
@@ -129,22 +129,22 @@
 	io.WriteString(c, head("m1", "Content-Length: 1\r\n")+"x")
 	c.(*net.TCPConn).CloseWrite()
 	if codes := answers(t, c); len(codes) != 1 || codes[0] != 202 {
-		t.Errorf("with its sending ended: %v", codes)
+		t.Errorf("with the sending side closed: %v", codes)
 	}
 	c = dial(t, addr)
 	io.WriteString(c, head("m2", "Content-Length: 1\r\nExpect: 100-continue\r\nConnection: close\r\n"))
 	line, err := bufio.NewReader(io.LimitReader(c, 25)).ReadString('\n')
 	if err != nil || line != "HTTP/1.1 100 Continue\r\n" {
-		t.Errorf("asked before its body: %q, %v", line, err)
+		t.Errorf("with Expect: 100-continue: %q, %v", line, err)
 	}
 	io.WriteString(c, "x")
 	if codes := answers(t, c); len(codes) != 1 || codes[0] != 202 {
-		t.Errorf("then: %v", codes)
+		t.Errorf("after the body: %v", codes)
 	}
 }
 
-// Connections that say nothing, stop within a request, or stay after one, may take all the room that clients
-// have: the next client is served all the same.
+// Connections that send nothing, stop within a request, or stay open after one, may use up all connections of clients: the next client
+// must be served nevertheless.
 func TestServer_ConnectionsWithoutRequestMakeWay(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -172,15 +172,15 @@
 			nc := dial(t, addr)
 			io.WriteString(nc, head("m", "Content-Length: 1\r\nConnection: close\r\n")+"x")
 			if codes := answers(t, nc); len(codes) != 1 || codes[0] != 202 {
-				t.Errorf("the next is answered %v", codes)
+				t.Errorf("the next client is answered %v", codes)
 			}
 			e.Next(t)
 		})
 	}
 }
 
-// Clients that ask once and keep their connection hold no more than a part of what clients may hold at all:
-// beyond it the answer says that the connection ends, or the longest idle one goes.
+// Clients that send one request and keep their connection may use only a part of all client connections: beyond that the response
+// announces that the connection closes, or the connection that has been idle for longest is closed.
 func TestServer_IdleConnectionLimit(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
@@ -202,20 +202,20 @@
 		}
 		_, stays = ask()
 	}
-	first.SetReadDeadline(time.Now().Add(minIdleTime)) // it was idle for so long when this is over
+	first.SetReadDeadline(time.Now().Add(minIdleTime)) // at that time it has been idle for minIdleTime
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("the first is closed early: %v", err)
 	}
 	if _, stays = ask(); !stays {
-		t.Error("no room, though one is idle for long")
+		t.Error("the connection closes, though another has been idle for minIdleTime")
 	}
 	first.SetReadDeadline(time.Now().Add(st.Wait))
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the longest idle one: %v", err)
+		t.Errorf("the connection that has been idle for longest: %v", err)
 	}
 }
 
-// A connection that is asked to go may have its request here already: then it is answered first.
+// The request of a connection that is being evicted may have arrived already: then it is answered first.
 func TestServer_EvictedWithRequestReceived(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
@@ -239,8 +239,8 @@
 	s.server.clients[c] = struct{}{}
 	s.server.connections.Add(1)
 	s.server.mu.Lock()
-	if !s.server.evictOne() { // its wait is over before anybody reads
-		t.Fatal("nobody is asked")
+	if !s.server.evictOne() { // its read deadline has passed before the first read
+		t.Fatal("no connection is evicted")
 	}
 	s.server.mu.Unlock()
 	io.WriteString(other, head("m", "Content-Length: 1\r\nConnection: close\r\n")+"x")
@@ -252,12 +252,12 @@
 		t.Errorf("answered %v", codes)
 	}
 	if s.server.evicting != 0 || len(s.server.clients) != 0 {
-		t.Errorf("%d asked, %d connections booked", s.server.evicting, len(s.server.clients))
+		t.Errorf("%d connections being evicted, %d connections registered", s.server.evicting, len(s.server.clients))
 	}
 }
 
-// Which connection goes when room is short: never one whose request is being answered, nor one whose request
-// has come and is not read yet.
+// The choice of the connection to evict: never one whose request is being answered, nor one whose request has arrived and is not read
+// yet.
 func TestServer_EvictionOrder(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -271,16 +271,16 @@
 	}
 	for name, c := range map[string]struct {
 		kept []kept
-		want int // its place, -1: none may go
+		want int // index of the evicted connection, -1: none
 	}{
 		"none":                      {nil, -1},
-		"answered is owed":          {[]kept{{stateAnswering, time.Hour, false}}, -1},
-		"young ones":                {[]kept{{stateNew, maxTimeWithoutRequestWhenFull / 2, false}, {stateReading, maxPartialWhenFull / 2, false}, {stateIdle, minIdleTime / 2, false}}, -1},
-		"its request is here":       {[]kept{{stateNew, time.Hour, true}, {stateIdle, time.Hour, true}}, -1},
+		"being answered":            {[]kept{{stateAnswering, time.Hour, false}}, -1},
+		"recent ones":               {[]kept{{stateNew, maxTimeWithoutRequestWhenFull / 2, false}, {stateReading, maxPartialWhenFull / 2, false}, {stateIdle, minIdleTime / 2, false}}, -1},
+		"request has arrived":       {[]kept{{stateNew, time.Hour, true}, {stateIdle, time.Hour, true}}, -1},
 		"silent":                    {[]kept{{stateAnswering, time.Hour, false}, {stateNew, 2 * maxTimeWithoutRequestWhenFull, false}}, 1},
 		"the longest silent":        {[]kept{{stateNew, 2 * maxTimeWithoutRequestWhenFull, false}, {stateNew, 3 * maxTimeWithoutRequestWhenFull, false}}, 1},
-		"half":                      {[]kept{{stateReading, 2 * maxPartialWhenFull, false}, {stateNew, maxTimeWithoutRequestWhenFull / 2, false}}, 0},
-		"half, and more is here":    {[]kept{{stateReading, 2 * maxPartialWhenFull, true}}, -1},
+		"partial request":           {[]kept{{stateReading, 2 * maxPartialWhenFull, false}, {stateNew, maxTimeWithoutRequestWhenFull / 2, false}}, 0},
+		"partial, more has arrived": {[]kept{{stateReading, 2 * maxPartialWhenFull, true}}, -1},
 		"idle":                      {[]kept{{stateIdle, 2 * minIdleTime, false}, {stateAnswering, time.Hour, false}}, 0},
 		"the longest idle":          {[]kept{{stateIdle, 2 * minIdleTime, false}, {stateIdle, 3 * minIdleTime, false}}, 1},
 		"silent before longer idle": {[]kept{{stateIdle, 3 * minIdleTime, false}, {stateNew, 2 * maxTimeWithoutRequestWhenFull, false}}, 1},
@@ -303,15 +303,15 @@
 			s.clients[all[len(all)-1]] = struct{}{}
 		}
 		if went := s.evictOne(); went != (c.want >= 0) {
-			t.Errorf("%s: makeRoom says %v", name, went)
+			t.Errorf("%s: evictOne returns %v", name, went)
 		}
 		for i, k := range all {
 			if k.evicting != (i == c.want) {
-				t.Errorf("%s: place %d is asked: %v", name, i, k.evicting)
+				t.Errorf("%s: connection %d is evicted: %v", name, i, k.evicting)
 			}
 		}
 		if c.want >= 0 && s.evictOne() {
-			t.Errorf("%s: a second one is asked before the first has gone", name)
+			t.Errorf("%s: a second eviction starts before the first is over", name)
 		}
 		for _, k := range all {
 			k.Close()
--- a/internal/sender/sources.go
+++ b/internal/sender/sources.go
@@ -7,32 +7,32 @@
 	"saffronyard.example/saffronyard/internal/membership"
 )
 
-// Source says where endpoints are. Discovery is one; all feed one list, and which of them wins for a destination is
-// membership.Merger's to say.
+// Source provides endpoints. Discovery is one source; all sources feed one list, and membership.Merger decides which of them takes
+// precedence for a destination.
 type Source interface {
-	// Follow passes updates on, in order, until ctx ends. It is called once, in a goroutine of its own. Whether an update is
-	// the whole list stands in it.
+	// Follow passes updates to onUpdate, in order, until ctx ends. It is called once, in its own goroutine. The field Full of an
+	// update marks a complete list.
 	Follow(ctx context.Context, onUpdate func(membership.Update))
 }
 
 // NameSource is a second source of endpoints, beside discovery: names in the DNS.
 type NameSource struct {
 	Source
-	Initial      membership.Update                // what it knows at the start already
-	Destinations []uint32                         // those that it lists: they exist even while they have no endpoint
+	Initial      membership.Update                // its endpoints at the start
+	Destinations []uint32                         // the destinations that it lists: they exist even while they have no endpoint
 	Precedence   map[uint32]membership.Precedence // by destination
 	Fallback     membership.Precedence            // for all others
-	Report       func() any                       // what the command line shows of it
+	Report       func() any                       // its state as the command line shows it
 }
 
-// sources is what feeds the endpoint list. With discovery alone there is no merger, and its lines are the list's.
+// sources is the sources of the endpoint list. With discovery alone there is no merger, and its list is used as it is.
 type sources struct {
-	bySource      [2]Source                 // by membership.Source; nil: there is none
-	rollbackGuard *membership.RollbackGuard // by discovery
+	bySource      [2]Source                 // by membership.Source; nil: not configured
+	rollbackGuard *membership.RollbackGuard // against older lists from discovery
 	merger        *membership.Merger
 }
 
-// discoverySource is discovery as a source: the list is asked for when the module wants it.
+// discoverySource is discovery as a source: the list is requested when the module asks for it.
 type discoverySource struct{ s *Sender }
 
 // Follow passes on discovery's updates; its failures go to the loop.
@@ -40,7 +40,7 @@
 	p.s.discovery.follow(ctx, p.s.watchFrom, p.s.watchRequests, onUpdate, func(err error) { p.s.post(ctx, listFailure{err}) })
 }
 
-// newSources makes the sources that the configuration names; destinations of names exist from the start.
+// newSources returns the configured sources, and adds the destinations of names to those that exist from the start.
 func newSources(s *Sender) sources {
 	all := sources{rollbackGuard: membership.NewRollbackGuard()}
 	all.bySource[membership.Discovery] = discoverySource{s}
@@ -63,8 +63,8 @@
 	}
 }
 
-// initialListEvents is what the sources knew before the sender ran. The names' list is in before any message is resumed: an
-// address that an update removed before a restart gets nothing after it.
+// initialListEvents applies the lists that the sources have before the sender runs, and returns the module's events. The names' list
+// must be applied before any message is resumed: an address that an update removed before a restart gets no call after it.
 func (s *Sender) initialListEvents() []brain.Event {
 	events := []brain.Event{s.applyListUpdate(listUpdate{membership.Discovery, s.initialList})}
 	if n := s.config.Names; n != nil {
@@ -73,7 +73,7 @@
 	return events
 }
 
-// applyListUpdate applies an update of a source and translates for the module what that changes in the list.
+// applyListUpdate applies an update of a source and returns the module's event for what that changes in the list.
 func (s *Sender) applyListUpdate(e listUpdate) brain.Event {
 	if e.from == membership.Discovery {
 		counts, older := s.sources.rollbackGuard.Apply(s.clock.now(), e.Targets)
--- a/internal/sender/sources_moves_test.go
+++ b/internal/sender/sources_moves_test.go
@@ -17,43 +17,43 @@
 	moves       = 200
 	moveCalls   = 5 // calls that each address gets before the next move
 	moveClients = 4
-	// withinCapacity is how many messages may be undelivered at once without filling the sender's room: it hands messages back from
-	// 95 of 100 on, and up to ten more count as held whose answers are on their way.
+	// withinCapacity is how many messages may be undelivered at once without filling the sender: it hands messages back from 95 of 100
+	// pending messages on, and up to ten more are pending whose responses are in flight.
 	withinCapacity = 80
-	// moveBound is how long after the update's answer a call may still go to the old address, with some slack for its way.
+	// moveBound is how long after the response to the update a call may still go to the old address, with some slack for its transmission.
 	moveBound = 2*time.Second + 50*time.Millisecond
 )
 
-// Two hundred moves under load, as much as the sender holds without handing any back: no message is refused, each is delivered
-// exactly once, and no new call goes to an address later than two seconds after the update that removed it was answered. How
-// late the last call to each was is logged.
+// Two hundred moves under a load that never fills the sender: no message is rejected or handed back, each is delivered exactly once, and
+// no new call goes to an address later than two seconds after the response to the update that removed it. The delay of the last call to
+// each address is logged.
 func TestEndpointsMove_WithinCapacity(t *testing.T) {
 	l := newMoveLoad(t, withinCapacity)
 	l.play()
 	if len(l.handedBack) > 0 || l.refused > 0 {
-		t.Errorf("%d messages are refused and %d handed back, though there is room", l.refused, len(l.handedBack))
+		t.Errorf("%d messages are rejected and %d handed back, though there is room", l.refused, len(l.handedBack))
 	}
 }
 
-// The same beyond the sender's room. A message whose call was recalled as its address went waits again, and came to wait last: so it
-// is the one that is handed back while the room is full, which its client hears by a notice. Each message that was taken on is
-// delivered exactly once, or handed back by one notice and never sent; none is given up.
+// The same under a load that fills the sender. A message whose call is recalled because its address was removed is queued again, behind
+// all others: so it is the one that is handed back while the sender is full, with a notice to its client. Each accepted message is
+// delivered exactly once, or handed back with one notice and never sent; none is given up.
 func TestEndpointsMove_BeyondCapacity(t *testing.T) {
 	newMoveLoad(t, 0).play()
 }
 
-// moveLoad is clients that hand messages in while the only member of their destination moves from address to address.
+// moveLoad is clients that submit messages while the only member of their destination moves from address to address.
 type moveLoad struct {
 	t              *testing.T
 	names          *namedMembers
 	platform       *st.Platform
 	sender         string
 	addrs          []string
-	acknowledgedAt []time.Time   // when the update that removed each address was answered
-	slots          chan struct{} // a place for each message that is handed in and not yet delivered; nil without a bound
+	acknowledgedAt []time.Time   // when the update that removed each address was acknowledged
+	slots          chan struct{} // a slot for each message that is submitted and not yet delivered; nil: no limit
 
 	mu         sync.Mutex
-	last       []time.Time // when the last call to each address came
+	last       []time.Time // when the last call to each address arrived
 	got        []int       // calls to each address
 	accepted   map[string]bool
 	refused    int
@@ -61,7 +61,7 @@
 	handedBack map[string]int
 }
 
-// newMoveLoad starts the endpoints and the sender; most is how many messages may be undelivered at once, 0 for no bound.
+// newMoveLoad starts the endpoints and the sender; most is how many messages may be undelivered at once, 0 for no limit.
 func newMoveLoad(t *testing.T, most int) *moveLoad {
 	l := &moveLoad{t: t, acknowledgedAt: make([]time.Time, moves), last: make([]time.Time, moves+1), got: make([]int, moves+1),
 		accepted: map[string]bool{}, delivered: map[string]int{}, handedBack: map[string]int{}}
@@ -81,7 +81,7 @@
 	return l
 }
 
-// called books a call to the address at place i.
+// called records a call to the address at index i.
 func (l *moveLoad) called(i int, c st.Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +93,7 @@
 	}
 }
 
-// play moves the member under load, and checks how each message ended.
+// run moves the member under load, and checks how each message ended.
 func (l *moveLoad) play() {
 	done := make(chan struct{})
 	var clients sync.WaitGroup
@@ -107,7 +107,7 @@
 	l.check()
 }
 
-// handIn hands in messages, one after the other, until the load is over.
+// submit submits messages, one after the other, until done is closed.
 func (l *moveLoad) handIn(client int, done <-chan struct{}) {
 	for n := 0; ; n++ {
 		if l.slots != nil {
@@ -128,21 +128,21 @@
 	}
 }
 
-// answered books the answer to a message.
+// answered records the response to a message.
 func (l *moveLoad) answered(id string, status int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch status {
 	case http.StatusAccepted:
 		l.accepted[id] = true
-	case http.StatusServiceUnavailable: // its room is taken: the load is as much as it bears
+	case http.StatusServiceUnavailable: // the sender is full
 		l.refused++
 	default:
 		l.t.Errorf("%s is answered %d", id, status)
 	}
 }
 
-// move repoints the member from address to address; the next move comes when some calls have gone to this one.
+// move points the member to one address after the other; before each next move it waits for moveCalls calls to the current address.
 func (l *moveLoad) move() {
 	for i := 1; i <= moves; i++ {
 		l.acknowledgedAt[i-1] = l.names.at(l.addrs[i])
@@ -150,7 +150,7 @@
 	}
 }
 
-// waitUntilQuiet waits until each message that was taken on has ended.
+// waitUntilQuiet waits until each accepted message has ended.
 func (l *moveLoad) waitUntilQuiet() {
 	l.until("messages have not ended", func() bool {
 		for len(l.platform.Notices) > 0 {
@@ -160,7 +160,7 @@
 	})
 }
 
-// noticed books a notice.
+// noticed records a notice.
 func (l *moveLoad) noticed(n st.Notice) {
 	if n.Outcome != outcomeHandedBack {
 		l.t.Errorf("%s ends as %s", n.Message, n.Outcome)
@@ -168,7 +168,7 @@
 	l.handedBack[n.Message]++
 }
 
-// until waits, under the lock, for what is to come about.
+// until waits for a condition, which it checks with mu held, and fails the test with a message if that is not met in time.
 func (l *moveLoad) until(otherwise string, about func() bool) {
 	l.t.Helper()
 	for over := time.Now().Add(st.Wait); ; time.Sleep(time.Millisecond) {
@@ -180,12 +180,12 @@
 			return
 		}
 		if time.Now().After(over) {
-			l.t.Fatalf("%s: %d taken on, %d delivered, %d handed back", otherwise, taken, delivered, back)
+			l.t.Fatalf("%s: %d accepted, %d delivered, %d handed back", otherwise, taken, delivered, back)
 		}
 	}
 }
 
-// check is that each message ended once, and no call came late.
+// check checks that each message ended once, and that no call came late.
 func (l *moveLoad) check() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -196,7 +196,7 @@
 	}
 	for id := range l.delivered {
 		if !l.accepted[id] {
-			l.t.Errorf("%s was delivered, and not taken on", id)
+			l.t.Errorf("%s was delivered, but not accepted", id)
 		}
 	}
 	var late []time.Duration
@@ -208,6 +208,6 @@
 		late = append(late, max(0, d))
 	}
 	slices.Sort(late)
-	l.t.Logf("%d messages, %d handed back, %d refused; last call to the old address after the answer: median %v, p90 %v, most %v",
+	l.t.Logf("%d messages, %d handed back, %d rejected; last call to the old address after the response: median %v, p90 %v, maximum %v",
 		len(l.accepted), len(l.handedBack), l.refused, late[len(late)/2], late[len(late)*9/10], late[len(late)-1])
 }
--- a/internal/sender/sources_names_test.go
+++ b/internal/sender/sources_names_test.go
@@ -21,7 +21,7 @@
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-// namedMembers is a name server with a zone that key "ops." may change; _hooks._tcp.example. says where destination 0 is.
+// namedMembers is a name server with a zone that key "ops." may update; _hooks._tcp.example. lists the endpoints of destination 0.
 type namedMembers struct {
 	t    testing.TB
 	c    *nameserver.Config
@@ -57,14 +57,14 @@
 	return n
 }
 
-// names is what the sender is told of it.
+// names returns a function that adds the name server to a sender's configuration.
 func (n *namedMembers) names(p membership.Precedence) func(*Config) {
 	return func(c *Config) {
 		c.Names = &NameSource{Source: n.svc, Initial: n.svc.Initial(), Destinations: n.svc.Destinations(), Fallback: p, Report: func() any { return n.svc.Report() }}
 	}
 }
 
-// at repoints the member by a signed update, and gives the time at which that was answered.
+// pointTo sets the addresses of the member by a signed update, and returns the time at which that was acknowledged.
 func (n *namedMembers) at(addrs ...string) time.Time {
 	n.t.Helper()
 	m := new(dns.Msg).SetUpdate("example.")
@@ -88,8 +88,8 @@
 	return time.Now()
 }
 
-// The last address goes while one message is out and others wait: nothing new goes there, the call that is out runs to its
-// end, the others wait for an address to come, and one whose time is over before ends honestly.
+// The last address is removed while one message is in flight and others wait: no new call goes there, the call in flight is completed,
+// the others wait for a new address, and one whose deadline passes before that is given up with a notice.
 func TestNames_LastAddressRemoved(t *testing.T) {
 	answer := make(chan struct{})
 	old := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
@@ -103,10 +103,10 @@
 	addr := run(t, p, n.names(membership.NamesFirst))
 	st.Submit(t, addr, st.Submission{ID: "out", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 	old.Next(t)
-	n.at() // none is left
+	n.at() // no address is left
 	for over := time.Now().Add(st.Wait); !slices.ContainsFunc(n.svc.Report().Members[0].Lines, func(l membership.Target) bool { return l.State == membership.Dropped }); {
 		if time.Now().After(over) {
-			t.Fatal("it is not dropped")
+			t.Fatal("the address is not dropped")
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -134,8 +134,8 @@
 	}
 }
 
-// An address that two names list, one of them twice, and discovery under an id of its own, is one endpoint; it serves until
-// the last of them has dropped it.
+// An address that is listed by two names, by one of them twice, and by discovery under its own id is one endpoint; it serves until the
+// last of them has dropped it.
 func TestNames_ListedBySeveralSources(t *testing.T) {
 	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	_, port, _ := net.SplitHostPort(e.Addr)
@@ -146,7 +146,7 @@
 	s := newTest(t, st.NewPlatform(t, e.Addr), n.names(membership.Both))
 	s.step(t.Context(), s.initialListEvents())
 	if len(s.endpoints.ByID) != 1 {
-		t.Fatalf("it is %d endpoints", len(s.endpoints.ByID))
+		t.Fatalf("the address is %d endpoints", len(s.endpoints.ByID))
 	}
 	number0 := s.endpoints.ByID["s-0"].Number
 	news := func(from membership.Source, u membership.Update) {
@@ -163,25 +163,25 @@
 	follower.Step(0, []membership.Observation{{Member: 0, Answer: one(e.Addr)}, {Member: 1, Answer: one(e.Addr)}})
 	news(membership.Names, membership.Update{Servers: follower.Step(time.Second, []membership.Observation{{Member: 0, Answer: one(other.Addr)}})})
 	if got := s.endpoints.ByID["s-0"]; !got.Entry.Ready || len(s.endpoints.ByID) != 2 {
-		t.Error("one of two names dropped it, and it does not serve")
+		t.Error("one of two names dropped the endpoint, and it does not serve")
 	}
 	news(membership.Names, membership.Update{Servers: follower.Step(2*time.Second, []membership.Observation{{Member: 1, Answer: one(other.Addr)}})})
 	if got := s.endpoints.ByID["s-0"]; got == nil || got.Entry.Ready {
-		t.Error("both names dropped it, and it serves, or is forgotten")
+		t.Error("both names dropped the endpoint, and it still serves, or is removed already")
 	}
 	news(membership.Names, membership.Update{Servers: follower.Step(3*time.Second, []membership.Observation{{Member: 1, Answer: one(e.Addr)}})})
 	if got := s.endpoints.ByID["s-0"]; got.Number != number0 || !got.Entry.Ready {
-		t.Error("it came back, and is another")
+		t.Error("the address was listed again, and is another endpoint or does not serve")
 	}
 	news(membership.Names, membership.Update{Servers: follower.Step(4*time.Second, []membership.Observation{{Member: 1, Answer: one(other.Addr)}})})
 	news(membership.Names, membership.Update{Servers: follower.Step(time.Hour, nil)})
 	if s.endpoints.ByID["s-0"] != nil {
-		t.Error("it is not forgotten")
+		t.Error("the endpoint is not removed")
 	}
 }
 
-// A keyed message may have run at an address that names listed. The next process, which knows that address by discovery's
-// id, sends it again under its key, and as one that may have run.
+// A keyed message may have run at an address that names listed. The next process, in whose list discovery has that address under its
+// own id, sends the message again with the same key, and as one that may have run.
 func TestNames_HistoryOfAddressSurvives(t *testing.T) {
 	calls := make(chan st.Call, 10)
 	silent := make(chan struct{}, 1)
@@ -215,7 +215,7 @@
 		t.Fatalf("%+v", held)
 	}
 	if f, may := held[0].firstPossibleRun(); !may || f.At == 0 {
-		t.Error("that it may have run is lost")
+		t.Error("the journal does not show that the message may have run")
 	}
 	_, leave = serving(t, s)
 	defer leave()
@@ -224,7 +224,7 @@
 	}
 }
 
-// What the command line asks for.
+// The report that the command line queries.
 func TestNames_Report(t *testing.T) {
 	n := newNamed(t, t.TempDir())
 	n.at("127.0.0.1:9")
@@ -246,7 +246,7 @@
 	return a
 }
 
-// A member whose name has no address yet exists all the same: its messages wait for the first one.
+// A member whose name has no address yet exists nevertheless: its messages wait for the first address.
 func TestNames_MemberWithoutAddress(t *testing.T) {
 	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	n := newNamed(t, t.TempDir())
--- a/internal/sender/wire_golden_test.go
+++ b/internal/sender/wire_golden_test.go
@@ -12,17 +12,17 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// wireAnswers are the answers of the program as it was before its names were changed (eea23b3), byte for byte but for the
-// date: clients read statuses, headers and texts.
+// wireAnswers has the responses of the program as of commit eea23b3, before many identifiers were renamed, byte for byte except for
+// the date: clients read statuses, headers and texts.
 const wireAnswers = "testdata/wire/answers.golden"
 
-// wireRequest is a client's request as it stands on the wire.
+// wireRequest is a client's request as sent on the wire.
 type wireRequest struct {
 	name, text string
 	how        wireSending
 }
 
-// wireSending is what a client does beside sending its request once.
+// wireSending is what a client does besides sending its request once.
 type wireSending int
 
 const (
@@ -31,12 +31,12 @@
 	untilDelivered             // it sends the request again until that is no longer answered 202
 )
 
-// wireMessage is a request that hands in a message; edits replace parts of it.
+// wireMessage returns a request that submits a message; edits are pairs of texts, the first of which is replaced by the second.
 func wireMessage(id string, edits ...string) string {
 	return strings.NewReplacer(edits...).Replace(head(id, "Content-Length: 1\r\nConnection: close\r\n") + "x")
 }
 
-// wireEvent is a request that hands in events.
+// wireEvent returns a request that submits events.
 func wireEvent(id, contentType, body string, lines ...string) string {
 	more := strings.Join(lines, "")
 	if contentType != "" {
@@ -49,7 +49,7 @@
 	return "GET " + path + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 }
 
-// wireRequests are good and bad requests, in order: later ones meet what earlier ones left.
+// wireRequests returns valid and invalid requests. Their order matters: later ones depend on the state after earlier ones.
 func wireRequests() []wireRequest {
 	const binary = "Ce-Specversion: 1.0\r\nCe-Id: b1\r\nCe-Source: /s\r\nCe-Type: keyed\r\nCe-Subject: 0\r\n"
 	return []wireRequest{
@@ -119,18 +119,18 @@
 
 var wireDate = regexp.MustCompile(`Date: [^\r]*GMT`)
 
-// wireAnswer sends one request on a connection of its own and reads all that comes back.
+// wireAnswer sends one request on its own connection and returns everything that is received there.
 func wireAnswer(t *testing.T, addr string, r wireRequest) string {
 	t.Helper()
 	for over := time.Now().Add(st.Wait); ; {
 		c := dial(t, addr)
-		go func() { // it may be cut off on the way
+		go func() { // the server may close the connection before all is written
 			io.WriteString(c, r.text)
 			if r.how == closesWrite {
 				c.(*net.TCPConn).CloseWrite()
 			}
 		}()
-		raw, _ := io.ReadAll(c) // a reset ends it as well
+		raw, _ := io.ReadAll(c) // a reset ends the response too
 		answer := wireDate.ReplaceAllString(string(raw), "Date: D")
 		if r.how != untilDelivered || !strings.HasPrefix(answer, "HTTP/1.1 202") || time.Now().After(over) {
 			return answer
@@ -138,7 +138,7 @@
 	}
 }
 
-// listAnswers is the answers to all requests, each line of them quoted.
+// listAnswers returns the responses to all requests, with each line quoted.
 func listAnswers(t *testing.T, addr string, requests []wireRequest) string {
 	t.Helper()
 	var b strings.Builder
@@ -157,7 +157,7 @@
 	t.Parallel()
 	served := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, served.Addr), acceptEvents)
-	silent := st.NewEndpoint(t, st.Unresponsive) // what it gets stays held
+	silent := st.NewEndpoint(t, st.Unresponsive) // its messages stay pending
 	fullAddr := run(t, st.NewPlatform(t, silent.Addr), func(c *Config) {
 		acceptEvents(c)
 		c.Settings.MaxPending = 3
--- a/internal/sendertest/platform.go
+++ b/internal/sendertest/platform.go
@@ -1,5 +1,5 @@
-// Package sendertest stands in for what a sender talks to, in tests: discovery with its notices, and
-// endpoints that answer as a test scripts them. All of it listens on loopback addresses, port 0.
+// Package sendertest provides test doubles for the peers of a sender: discovery with its notices, and
+// endpoints with scripted answers. All of them listen on loopback addresses, port 0.
 package sendertest
 
 import (
@@ -21,7 +21,7 @@
 // Wait is how long a test waits for an event that should come.
 const Wait = 20 * time.Second
 
-// Call is a request as an endpoint got it.
+// Call is a request that an endpoint received.
 type Call struct {
 	ID, Key, Body string
 	Header        http.Header
@@ -29,31 +29,31 @@
 	Method, Path  string
 }
 
-// Endpoint is a destination's endpoint. Answer gets each whole call and the connection to answer on; if it
-// reports false the connection is closed without more.
+// Endpoint is an endpoint of a destination. Its answer function gets each complete call and the connection to answer on; if it
+// returns false, the connection is closed.
 type Endpoint struct {
 	Addr  string
-	Calls chan Call // calls that came and are not read yet; where it is full the next call is not answered before one is read
+	Calls chan Call // received calls that the test has not read yet; while it is full, the next call is not answered
 	close func()
 }
 
-// unreadCalls is how many calls an endpoint keeps for the test to read.
+// unreadCalls is the capacity of Endpoint.Calls.
 const unreadCalls = 1000
 
-// NewEndpoint starts an endpoint.
+// NewEndpoint starts an endpoint with an answer function.
 func NewEndpoint(t testing.TB, answer func(Call, net.Conn) bool) *Endpoint {
 	t.Helper()
 	return startEndpoint(t, make(chan Call, unreadCalls), answer)
 }
 
-// NewUnreadEndpoint starts an endpoint for a test that reads no calls from it, however many come: only answer gets them, and
-// Calls is nil.
+// NewUnreadEndpoint starts an endpoint for a test that reads no calls from the endpoint, however many it receives: only answer gets
+// them, and Calls is nil.
 func NewUnreadEndpoint(t testing.TB, answer func(Call, net.Conn) bool) *Endpoint {
 	t.Helper()
 	return startEndpoint(t, nil, answer)
 }
 
-// startEndpoint listens; calls is where the calls go, nil for nowhere.
+// startEndpoint starts an endpoint that passes its calls to the channel calls, unless that is nil.
 func startEndpoint(t testing.TB, calls chan Call, answer func(Call, net.Conn) bool) *Endpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -110,7 +110,7 @@
 	}
 }
 
-// Status is the script of an endpoint that gives every call one answer, with further header lines.
+// Status returns an answer function that gives every call the same status code and further header lines.
 func Status(code int, lines ...string) func(Call, net.Conn) bool {
 	text := "HTTP/1.1 " + strconv.Itoa(code) + " X\r\nContent-Length: 0\r\n"
 	for _, l := range lines {
@@ -122,13 +122,13 @@
 	}
 }
 
-// Unresponsive answers nothing and keeps the connection until its other side closes it.
+// Unresponsive is an answer function that answers nothing and keeps the connection until its peer closes it.
 func Unresponsive(_ Call, c net.Conn) bool {
 	io.Copy(io.Discard, c)
 	return false
 }
 
-// Reset breaks the connection.
+// Reset is an answer function that resets the connection.
 func Reset(_ Call, c net.Conn) bool {
 	c.(*net.TCPConn).SetLinger(0)
 	return false
@@ -147,19 +147,19 @@
 	case v := <-c:
 		return v
 	case <-time.After(Wait):
-		t.Fatal("nothing came")
+		t.Fatal("timed out waiting for a value")
 		panic("unreachable")
 	}
 }
 
-// Notice is a line that discovery was told.
+// Notice is a notice that discovery received.
 type Notice struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
 	RetryMS int64  `json:"retry_in_ms"`
 }
 
-// Platform is discovery: the list, its watches and notices.
+// Platform is a test double of discovery: the list, its watches and notices.
 type Platform struct {
 	Addr    string
 	Notices chan Notice
@@ -173,7 +173,7 @@
 	deaf    bool // notices are answered 503
 }
 
-// NewPlatform starts discovery with a list of endpoints: that at place i is for destination i.
+// NewPlatform starts discovery with a list of endpoints: the address at index i is for destination i.
 func NewPlatform(t testing.TB, addrs ...string) *Platform {
 	p := &Platform{Notices: make(chan Notice, 1000), Lists: make(chan string, 1000), version: 1, changed: make(chan struct{})}
 	for i, a := range addrs {
@@ -188,19 +188,19 @@
 	return p
 }
 
-// Target is a line of the list.
+// Target returns a line of the list.
 func Target(id, addr string, cell int, state string) map[string]any {
 	return map[string]any{"id": id, "addr": addr, "cell": cell, "state": state, "zone": "a", "kind": "plain", "weight": 1.0, "started_ms": 0}
 }
 
-// Known is the list for a configuration.
+// Known returns the list as a configuration contains it.
 func (p *Platform) Known() map[string]any {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return map[string]any{"version": p.version, "full": true, "servers": p.targets}
 }
 
-// Change sets a line and lets the watches know.
+// Change adds or replaces a line of the list and answers the watches.
 func (p *Platform) Change(line map[string]any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -215,13 +215,13 @@
 	p.wake()
 }
 
-// wake has the watches look again; p.mu is held.
+// wake makes the watches check the list again; p.mu must be held.
 func (p *Platform) wake() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// RejectListCalls makes calls for the list fail, or lets them work again; watches end.
+// RejectListCalls makes requests for the list fail, or succeed again; watches in progress end with an error too.
 func (p *Platform) RejectListCalls(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -229,7 +229,7 @@
 	p.wake()
 }
 
-// RejectNotices makes notices fail, or lets them work again.
+// RejectNotices makes notices fail, or succeed again.
 func (p *Platform) RejectNotices(deaf bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -289,7 +289,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Config is a sender's configuration: classes "safe", "keyed" and "unsafe", one tenant "acme", ten slots.
+// Config returns a sender's configuration: classes "safe", "keyed" and "unsafe", one tenant "acme", ten slots.
 func Config(p *Platform, state string) map[string]any {
 	class := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "slo": 2500.0, "giveUp": 20000.0, "effect": effect, "dedupWindow": 7500.0,
@@ -314,11 +314,11 @@
 type Submission struct {
 	ID, Class   string
 	Destination int
-	Deadline    time.Duration // from when its request has come
+	Deadline    time.Duration // from the arrival of its request
 	Body        string
 }
 
-// Request is the request that submits a message to the sender at addr.
+// Request returns the request that submits a message to the sender at addr.
 func Request(t testing.TB, addr string, s Submission) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest("POST", "http://"+addr+"/api", strings.NewReader(s.Body))
@@ -332,10 +332,10 @@
 	return r
 }
 
-// client is not the default one: each httptest server that closes breaks what is under way on that.
+// client has its own transport: closing any httptest server breaks the requests in flight on the default one.
 var client = &http.Client{Transport: &http.Transport{}}
 
-// Do hands a request in and returns the answer, its body read.
+// Do sends a request and returns the response and its body.
 func Do(t testing.TB, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	resp, err := client.Do(r)
@@ -350,16 +350,16 @@
 	return resp, string(body)
 }
 
-// Submit submits a message with the body "body of " and its id, and wants it accepted.
+// Submit submits a message with the body "body of " and its id, and fails the test unless it is accepted.
 func Submit(t testing.TB, addr string, s Submission) {
 	t.Helper()
 	s.Body = "body of " + s.ID
 	if resp, body := Do(t, Request(t, addr, s)); resp.StatusCode != http.StatusAccepted {
-		t.Fatalf("%s is answered %s: %s", s.ID, resp.Status, body)
+		t.Fatalf("message %s is answered %s: %s", s.ID, resp.Status, body)
 	}
 }
 
-// BatchIDs is the ids of the events in a call.
+// BatchIDs returns the ids of the events in a call.
 func BatchIDs(t testing.TB, c Call) []string {
 	t.Helper()
 	items, err := cloudevents.ReadBatch([]byte(c.Body), 1000, 1<<20)
