--- a/internal/sender/journal.go
+++ b/internal/sender/journal.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The journal's file, in the state folder, and its bounds.
+// The journal's file, in the state folder, and its limits.
 const (
 	journalFileName = "messages.journal"
 	// maxNameBytes limits ids, keys and endpoint names, so that the records on a message have a bounded size.
@@ -36,7 +36,7 @@
 // uses it. Each line of its file is a checksum and a JSON record (appendLine), so that a process that is killed leaves at most a
 // torn last line. Records are buffered and written by flush, which does not call fsync: a power failure may lose the last records.
 //
-// After a failed write nothing is written until a compaction succeeds, which is tried at most every compactionRetryInterval.
+// After a failed write nothing is written until a compaction succeeds, which is tried at most once every compactionRetryInterval.
 type journal struct {
 	path           string
 	file           journalFile
@@ -106,14 +106,14 @@
 
 // pending returns the messages that are not finished, in the order in which they were accepted.
 func (j *journal) pending() []*storedMessage {
-	kept := make([]*storedMessage, 0, len(j.byID))
+	unfinished := make([]*storedMessage, 0, len(j.byID))
 	for _, m := range j.order {
 		if j.byID[m.ID] == m {
-			kept = append(kept, m)
+			unfinished = append(unfinished, m)
 		}
 	}
 	j.ended = 0
-	return kept
+	return unfinished
 }
 
 // insertAndFlush inserts a message and writes it at once; a message that can't be written is not kept.
--- a/internal/sender/journal_endpoints.go
+++ b/internal/sender/journal_endpoints.go
@@ -126,12 +126,12 @@
 	if len(known.Servers) == 0 {
 		version = -1
 	}
-	kept := l.record()
+	stored := l.record()
 	switch {
-	case kept == nil:
-	case kept.From == from:
-		if kept.Version > version {
-			return Targets{Version: kept.Version, Full: true, Servers: kept.Servers}, kept.Version
+	case stored == nil:
+	case stored.From == from:
+		if stored.Version > version {
+			return Targets{Version: stored.Version, Full: true, Servers: stored.Servers}, stored.Version
 		}
 	default:
 		version = -1
--- a/internal/sender/journal_endpoints_test.go
+++ b/internal/sender/journal_endpoints_test.go
@@ -35,7 +35,7 @@
 	known := Targets{Version: 3, Servers: servingList("a", "b")}
 	for _, c := range []struct {
 		name    string
-		news    []membership.Update
+		updates []membership.Update
 		from    string
 		want    []string
 		version int64
@@ -53,18 +53,18 @@
 		dir := t.TempDir()
 		j := openTest(t, dir, 1<<20)
 		j.initList(here, known, known.Version)
-		for _, u := range c.news {
+		for _, u := range c.updates {
 			j.saveList(here, u)
 		}
 		takeTest(t, j, "m")
-		for _, how := range []string{"as after a kill", "from a compacted file"} {
+		for _, source := range []string{"as after a kill", "from a compacted file"} {
 			j = openTest(t, dir, 1<<20)
 			list, version := j.endpoints.startingPoint(known, c.from)
 			if got := states(list.Servers); !slices.Equal(got, c.want) || version != c.version {
-				t.Errorf("%s, %s: list %v at version %d, want %v at version %d", c.name, how, got, version, c.want, c.version)
+				t.Errorf("%s, %s: list %v at version %d, want %v at version %d", c.name, source, got, version, c.want, c.version)
 			}
 			if len(j.byID) != 1 {
-				t.Errorf("%s, %s: the journal has %d messages", c.name, how, len(j.byID))
+				t.Errorf("%s, %s: the journal has %d messages", c.name, source, len(j.byID))
 			}
 		}
 	}
@@ -111,7 +111,7 @@
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
 	takeTest(t, j, "m")
-	whole := j.size
+	sizeBefore := j.size
 	j.saveList("x", membership.Update{Version: 1, Full: true, Servers: servingList("a")})
 	if err := j.flush(); err != nil {
 		t.Fatal(err)
@@ -120,10 +120,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := whole; n < int64(len(raw))-1; n += 3 {
-		spoilt := slices.Clone(raw)
-		spoilt[n] ^= 1
-		if err := os.WriteFile(j.path, spoilt, 0o600); err != nil {
+	for n := sizeBefore; n < int64(len(raw))-1; n += 3 {
+		corrupted := slices.Clone(raw)
+		corrupted[n] ^= 1
+		if err := os.WriteFile(j.path, corrupted, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if k := openTest(t, dir, 1<<20); k.byID["m"] == nil || k.endpoints.record() != nil || k.corruptLines != 1 {
@@ -174,7 +174,7 @@
 			j.saveList(c.Discovery, membership.Update{Version: 9, Full: true, Servers: []Target{drained, other}})
 		})
 	})
-	goesTo(t, other, old)
+	awaitDelivery(t, other, old)
 	if q := st.Receive(t, p.Lists); q != "after=9&wait_ms=0" {
 		t.Errorf("the query to discovery is %q", q)
 	}
--- a/internal/sender/journal_outages.go
+++ b/internal/sender/journal_outages.go
@@ -35,7 +35,7 @@
 
 // truncated returns the outages with the highest rates, as many as fit into maxBytes.
 func (o outageSnapshot) truncated(maxBytes int) outageSnapshot {
-	kept := outageSnapshot{at: o.at}
+	fitting := outageSnapshot{at: o.at}
 	byRate := slices.Clone(o.list)
 	slices.SortStableFunc(byRate, func(x, y outage) int { return cmp.Compare(y.Rate, x.Rate) })
 	for _, out := range byRate {
@@ -44,16 +44,16 @@
 			break
 		}
 		if err == nil {
-			kept.list = append(kept.list, out)
+			fitting.list = append(fitting.list, out)
 		}
 	}
-	return kept
+	return fitting
 }
 
 // saveRates writes the rates of the busiest destinations and the outages; they replace those written before.
-func (j *journal) saveRates(rates []brain.UsualRate, outs outageSnapshot) error {
+func (j *journal) saveRates(rates []brain.UsualRate, snapshot outageSnapshot) error {
 	slices.SortFunc(rates, func(a, b brain.UsualRate) int { return cmp.Compare(b.Rate, a.Rate) })
-	j.rates, j.outages = map[uint32]float64{}, outs.truncated(j.maxOutageBytes)
+	j.rates, j.outages = map[uint32]float64{}, snapshot.truncated(j.maxOutageBytes)
 	for _, r := range rates[:min(len(rates), maxRates)] {
 		j.rates[uint32(r.Destination)] = roundRate(r.Rate)
 	}
--- a/internal/sender/journal_record.go
+++ b/internal/sender/journal_record.go
@@ -81,7 +81,7 @@
 	Outcome  string        `json:"out,omitempty"`      // with a recorder: how it ended (undelivered.Outcome)
 }
 
-// The outcomes of a message. Those that a notice reports are the platform's own words for them.
+// The outcomes of a message. The texts of those that notices report are defined by the platform's protocol.
 const (
 	outcomeDelivered  = "delivered"
 	outcomeAnswered   = "answered" // rejected or failed in the response to its client, or withdrawn
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -96,13 +96,13 @@
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
 	takeTest(t, j, "a")
-	whole := j.size
+	sizeBefore := j.size
 	takeTest(t, j, "b")
 	raw, err := os.ReadFile(j.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := whole; n < int64(len(raw)); n++ {
+	for n := sizeBefore; n < int64(len(raw)); n++ {
 		if err := os.WriteFile(j.path, raw[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -129,16 +129,16 @@
 	const budget = 64 << 10
 	dir := t.TempDir()
 	j := openTest(t, dir, budget)
-	var held []*storedMessage
-	refused := 0
+	var pending []*storedMessage
+	rejected := 0
 	for i := range 3000 {
 		m, err := j.insertAndFlush(record{ID: fmt.Sprint(i), Body: bytes.Repeat([]byte("x"), i%700)})
 		if errors.Is(err, errJournalFull) {
-			refused++
+			rejected++
 		} else if err != nil {
 			t.Fatal(err)
 		} else {
-			held = append(held, m)
+			pending = append(pending, m)
 			for n := range 6 {
 				j.update(m, record{Op: opSend, Sent: &attemptRecord{At: 1 << 60, Endpoint: "s-5be2a07c"}})
 				j.update(m, record{Op: opEnd, Attempt: n, NeverRan: true})
@@ -150,19 +150,19 @@
 		if j.size+j.reserved > budget {
 			t.Fatalf("after message %d: the file has %d bytes and a compaction up to %d", i, j.size, j.reserved)
 		}
-		if i%3 == 0 && len(held) > 0 {
-			j.update(held[0], record{Op: opOver, Outcome: outcomeDelivered})
-			held = held[1:]
+		if i%3 == 0 && len(pending) > 0 {
+			j.update(pending[0], record{Op: opOver, Outcome: outcomeDelivered})
+			pending = pending[1:]
 		}
 	}
-	if refused == 0 || len(held) == 0 || refused == 3000 {
-		t.Errorf("%d rejected, %d pending", refused, len(held))
+	if rejected == 0 || len(pending) == 0 || rejected == 3000 {
+		t.Errorf("%d rejected, %d pending", rejected, len(pending))
 	}
 	if err := j.close(); err != nil {
 		t.Fatal(err)
 	}
-	if again := openTest(t, dir, budget); len(again.byID) != len(held) {
-		t.Errorf("%d of %d messages were recovered", len(again.byID), len(held))
+	if again := openTest(t, dir, budget); len(again.byID) != len(pending) {
+		t.Errorf("%d of %d messages were recovered", len(again.byID), len(pending))
 	}
 	if _, err := os.Stat(filepath.Join(dir, journalFileName+".new")); !os.IsNotExist(err) {
 		t.Errorf("the new file of a compaction still exists: %v", err)
@@ -312,7 +312,7 @@
 		}
 	}
 	last := takeTest(t, j, "last")
-	if kept := j.pending(); len(kept) != 2 || kept[0] != first || kept[1] != last {
-		t.Errorf("%d messages are pending, or not in order", len(kept))
+	if pending := j.pending(); len(pending) != 2 || pending[0] != first || pending[1] != last {
+		t.Errorf("%d messages are pending, or not in order", len(pending))
 	}
 }
--- a/internal/sender/observations.go
+++ b/internal/sender/observations.go
@@ -8,17 +8,17 @@
 )
 
 // newObservation returns an empty observation of a receiver or route; false if the endpoint list does not contain it.
-func (s *Sender) newObservation(of knowledge.Subject) (e brain.Observation, listed bool) {
-	e.Destination = brain.DestinationID(of.Destination)
-	if of.Endpoint == "" {
-		_, listed = s.endpoints.Destinations[of.Destination]
+func (s *Sender) newObservation(subject knowledge.Subject) (e brain.Observation, listed bool) {
+	e.Destination = brain.DestinationID(subject.Destination)
+	if subject.Endpoint == "" {
+		_, listed = s.endpoints.Destinations[subject.Destination]
 		return e, listed
 	}
-	at := s.endpoints.ByID[of.Endpoint]
-	if at == nil || at.Entry.Destination != e.Destination {
+	endpoint := s.endpoints.ByID[subject.Endpoint]
+	if endpoint == nil || endpoint.Entry.Destination != e.Destination {
 		return e, false
 	}
-	e.Endpoint = at.Number
+	e.Endpoint = endpoint.Number
 	return e, true
 }
 
--- a/internal/sender/ordering_test.go
+++ b/internal/sender/ordering_test.go
@@ -29,14 +29,14 @@
 	return first, second, st.NewPlatform(t, first.Addr, second.Addr), release
 }
 
-// inTurn checks that b, with the same key as a, waits for a's end, while c, which has no key, does not wait.
-func inTurn(t *testing.T, addr string, first, second *st.Endpoint, release chan struct{}) {
+// checkOrder checks that b, with the same key as a, waits for a's end, while c, which has no key, does not wait.
+func checkOrder(t *testing.T, addr string, first, second *st.Endpoint, release chan struct{}) {
 	t.Helper()
 	if c := first.Next(t); c.ID != "a" {
 		t.Fatalf("the first destination got %s", c.ID)
 	}
 	if resp, text := st.Do(t, st.Request(t, addr, st.Submission{ID: "c", Class: "ordered", Destination: 1, Deadline: 15 * time.Second, Body: "c"})); resp.StatusCode != http.StatusAccepted {
-		t.Fatalf("%s %s", resp.Status, text)
+		t.Fatalf("message c is answered %s %s", resp.Status, text)
 	}
 	if c := second.Next(t); c.ID != "c" {
 		t.Errorf("%s was sent while an earlier message with its key was in flight", c.ID)
@@ -47,7 +47,7 @@
 	}
 }
 
-func inOrder(t *testing.T, addr, id, key string, dest int) {
+func submitOrdered(t *testing.T, addr, id, key string, dest int) {
 	t.Helper()
 	r := st.Request(t, addr, st.Submission{ID: id, Class: "ordered", Destination: dest, Deadline: 15 * time.Second, Body: id})
 	r.Header.Set("X-Order-Key", key)
@@ -61,9 +61,9 @@
 	t.Parallel()
 	first, second, p, release := gatedDestinations(t)
 	addr := run(t, p, orderedClass)
-	inOrder(t, addr, "a", "k", 0)
-	inOrder(t, addr, "b", "k", 1)
-	inTurn(t, addr, first, second, release)
+	submitOrdered(t, addr, "a", "k", 0)
+	submitOrdered(t, addr, "b", "k", 1)
+	checkOrder(t, addr, first, second, release)
 }
 
 // The order survives a restart: the key is in the journal, also in a compacted one.
@@ -85,7 +85,7 @@
 			t.Fatal(err)
 		}
 	})
-	inTurn(t, addr, first, second, release)
+	checkOrder(t, addr, first, second, release)
 }
 
 // An ordering key that is too long to be stored is rejected; in a class without an order the key is ignored.
--- a/internal/sender/outages_test.go
+++ b/internal/sender/outages_test.go
@@ -21,7 +21,7 @@
 }
 
 // leaveMessages writes a journal as an earlier process leaves it: with messages, and with the outages that it stored last.
-func leaveMessages(t *testing.T, dir string, messages int, outs outageSnapshot, edit func(n int, r *record)) {
+func leaveMessages(t *testing.T, dir string, messages int, outages outageSnapshot, edit func(n int, r *record)) {
 	t.Helper()
 	j := openTest(t, dir, 1<<20)
 	for n := range messages {
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := j.saveRates([]brain.UsualRate{{Destination: 0, Rate: 4}}, outs); err != nil {
+	if err := j.saveRates([]brain.UsualRate{{Destination: 0, Rate: 4}}, outages); err != nil {
 		t.Fatal(err)
 	}
 	if err := j.close(); err != nil {
@@ -49,9 +49,9 @@
 	now := newClock().now()
 	ago := func(d time.Duration) time.Duration { return now - d }
 	tests := []struct {
-		name string
-		outs outageSnapshot
-		want brain.Health // of destination 0 in the next process
+		name    string
+		outages outageSnapshot
+		want    brain.Health // of destination 0 in the next process
 	}{
 		{"out", outageSnapshot{ago(time.Second), []outage{{Dest: 0, Began: ago(9 * time.Second), Rate: 4}}}, brain.Unhealthy},
 		{"comes back", outageSnapshot{ago(time.Second), []outage{{Dest: 0, Began: ago(9 * time.Second), RecoveringSince: ago(2 * time.Second), Rate: 4}}}, brain.WarmingUp},
@@ -67,7 +67,7 @@
 			t.Parallel()
 			p := st.NewPlatform(t, st.NewEndpoint(t, st.Unresponsive).Addr)
 			dir := t.TempDir()
-			leaveMessages(t, dir, 12, tt.outs, nil)
+			leaveMessages(t, dir, 12, tt.outages, nil)
 			s := resumed(t, p, func(c *Config) { c.StateDir = dir })
 			if s.pending != 12 {
 				t.Fatalf("%d messages are resumed", s.pending)
@@ -76,7 +76,7 @@
 			for _, k := range s.brain.Outages() {
 				got = k.Health
 				if k.Destination != 0 || k.Rate < 4 {
-					t.Errorf("%+v", k)
+					t.Errorf("outage %+v", k)
 				}
 			}
 			if got != tt.want {
@@ -98,7 +98,7 @@
 		j := openTest(t, dir, 1<<20)
 		n := len(j.outages.list)
 		if j.outages.at != o.at || n == 0 || n == 200 || j.outages.list[7] != o.list[192] || j.rates[0] != 4 {
-			t.Fatalf("%+v, rates %v", j.outages, j.rates)
+			t.Fatalf("outages %+v, rates %v", j.outages, j.rates)
 		}
 		if raw, _ := json.Marshal(j.outages.list); len(raw) > maxOutageReserve {
 			t.Errorf("the outages take %d bytes", len(raw))
@@ -116,14 +116,14 @@
 	e := st.NewEndpoint(t, st.Reset)
 	p := st.NewPlatform(t, e.Addr)
 	s := newTest(t, p, nil)
-	addr, leave := serving(t, s)
+	addr, stop := serving(t, s)
 	for n := range 3 {
 		st.Submit(t, addr, st.Submission{ID: fmt.Sprintf("m%d", n), Class: "safe", Destination: 0, Deadline: 15 * time.Second})
 		e.Next(t)
 	}
 	journal := s.journal.path
 	waitForText(t, journal, `"outages":[{"dest":0,"began":`)
-	leave()
+	stop()
 }
 
 // waitForText waits until a file contains a text.
--- a/internal/sender/permit_test.go
+++ b/internal/sender/permit_test.go
@@ -21,7 +21,7 @@
 	late    time.Duration
 }
 
-func (d *lateDials) of(s *Sender) {
+func (d *lateDials) install(s *Sender) {
 	d.begun = make(chan struct{}, 1000)
 	s.pool.Dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
 		if !d.blocked.Load() {
@@ -50,13 +50,13 @@
 		t.Run(strconv.Itoa(endpoints), func(t *testing.T) {
 			t.Parallel()
 			const wait = 3 * time.Second
-			ask, told := make(chan struct{}), make(chan time.Time, 1)
+			reject, rejectedAt := make(chan struct{}), make(chan time.Time, 1)
 			answer := func(c st.Call, nc net.Conn) bool {
 				if c.ID != "first" { // so that each call connects
 					return st.Status(200, "Connection: close")(c, nc)
 				}
-				<-ask
-				told <- time.Now()
+				<-reject
+				rejectedAt <- time.Now()
 				return st.Status(429, "X-RateLimit-Wait-Ms: "+strconv.FormatInt(wait.Milliseconds(), 10))(c, nc)
 			}
 			e, other := st.NewEndpoint(t, answer), st.NewEndpoint(t, answer)
@@ -73,7 +73,7 @@
 			}
 			p := st.NewPlatform(t, e.Addr)
 			dials := lateDials{late: wait / 4}
-			addr := runWith(t, p, slowConnects, dials.of)
+			addr := runWith(t, p, slowConnects, dials.install)
 			for _, id := range []string{"warm1", "warm2"} { // the window grows
 				st.Submit(t, addr, st.Submission{ID: id, Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 				next()
@@ -88,8 +88,8 @@
 			}
 			st.Submit(t, addr, st.Submission{ID: "second", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 			st.Receive(t, dials.begun)
-			close(ask)
-			from := st.Receive(t, told)
+			close(reject)
+			from := st.Receive(t, rejectedAt)
 			if id := next(); time.Since(from) < wait {
 				t.Errorf("%s was sent %v after a response that demanded a wait of %v", id, time.Since(from), wait)
 			}
@@ -104,7 +104,7 @@
 	p := st.NewPlatform(t, e.Addr)
 	dials := lateDials{late: 2 * time.Second}
 	dials.blocked.Store(true)
-	addr := runWith(t, p, slowConnects, dials.of)
+	addr := runWith(t, p, slowConnects, dials.install)
 	st.Submit(t, addr, st.Submission{ID: "m", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 	st.Receive(t, dials.begun)
 	dials.blocked.Store(false)
@@ -130,7 +130,7 @@
 	})
 	p := st.NewPlatform(t, e.Addr)
 	dials := lateDials{late: st.Wait}
-	addr := runWith(t, p, slowConnects, dials.of)
+	addr := runWith(t, p, slowConnects, dials.install)
 	for _, id := range []string{"warm1", "warm2"} { // the window grows
 		st.Submit(t, addr, st.Submission{ID: id, Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 		e.Next(t)
@@ -177,7 +177,7 @@
 	st.Submit(t, addr, st.Submission{ID: "m", Class: "keyed", Destination: 0, Deadline: 10 * time.Second})
 	e.Next(t)
 	if n := st.Receive(t, p.Notices); n.Message != "m" || n.Outcome != "given_up" {
-		t.Errorf("%+v", n)
+		t.Errorf("notice %+v", n)
 	}
 	if dials.Load() < 2 {
 		t.Error("no repeat was tried")
--- a/internal/sender/repeatrules.go
+++ b/internal/sender/repeatrules.go
@@ -68,13 +68,13 @@
 
 // minValue returns the lowest value of the classes of the settings.
 func (c *Config) minValue() float64 {
-	least := 1.0
-	for i, is := range c.Settings.Classes[:min(len(c.Classes), len(c.Settings.Classes))] {
-		if i == 0 || is.Value < least {
-			least = is.Value
+	lowest := 1.0
+	for i, class := range c.Settings.Classes[:min(len(c.Classes), len(c.Settings.Classes))] {
+		if i == 0 || class.Value < lowest {
+			lowest = class.Value
 		}
 	}
-	return least
+	return lowest
 }
 
 // zoneOf returns the number of the zone in which an attempt may have run, -1 if that zone no longer exists. The journal stores the
--- a/internal/sender/repeatrules_test.go
+++ b/internal/sender/repeatrules_test.go
@@ -21,9 +21,9 @@
 		effect  string // as stored in the journal, "" by an earlier version
 		window  time.Duration
 		tried   time.Duration // time from an attempt to the start of the subtest, which may wait for others for longer than a window; 0: no attempt
-		answers int           // status of the endpoint's response to each call
+		status  int           // status of the endpoint's response to each call
 		calls   int
-		end     string // outcome in the notice; "" for no notice
+		outcome string // outcome in the notice; "" for no notice
 	}{
 		{"as it was", "keyed", "k", "keyed", window, 0, 200, 1, ""},
 		{"of an earlier version", "keyed", "k", "", 0, 0, 200, 1, ""},
@@ -43,19 +43,19 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			e := st.NewEndpoint(t, st.Status(tt.answers))
+			e := st.NewEndpoint(t, st.Status(tt.status))
 			p := st.NewPlatform(t, e.Addr)
 			dir := t.TempDir()
-			var tries []attemptRecord
+			var attempts []attemptRecord
 			if tt.tried > 0 {
-				tries = []attemptRecord{{At: newClock().now() - tt.tried, Endpoint: "s-0"}}
+				attempts = []attemptRecord{{At: newClock().now() - tt.tried, Endpoint: "s-0"}}
 			}
 			leaveMessages(t, dir, 1, outageSnapshot{}, func(_ int, r *record) {
-				r.Class, r.Key, r.Effect, r.KeyWindow, r.Attempts = tt.class, tt.key, tt.effect, tt.window, tries
+				r.Class, r.Key, r.Effect, r.KeyWindow, r.Attempts = tt.class, tt.key, tt.effect, tt.window, attempts
 			})
 			addr := run(t, p, func(c *Config) { c.StateDir = dir })
-			if tt.end != "" {
-				if n := st.Receive(t, p.Notices); n.Message != "m0" || n.Outcome != tt.end {
+			if tt.outcome != "" {
+				if n := st.Receive(t, p.Notices); n.Message != "m0" || n.Outcome != tt.outcome {
 					t.Errorf("notice %+v", n)
 				}
 			}
--- a/internal/sender/sdk_test.go
+++ b/internal/sender/sdk_test.go
@@ -75,7 +75,7 @@
 }
 
 // eventDiff returns how two events of the SDK differ; "" if they do not.
-func sameEvent(a, b event.Event) string {
+func eventDiff(a, b event.Event) string {
 	if a.ID() != b.ID() || a.Source() != b.Source() || a.Type() != b.Type() || a.Subject() != b.Subject() || !a.Time().Equal(b.Time()) ||
 		a.DataSchema() != b.DataSchema() || a.DataContentType() != b.DataContentType() {
 		return "attributes"
@@ -174,7 +174,7 @@
 					arrived[e.ID()] = e
 				}
 				for _, e := range sent {
-					if diff := sameEvent(e, arrived[e.ID()]); diff != "" {
+					if diff := eventDiff(e, arrived[e.ID()]); diff != "" {
 						t.Errorf("%s\nsent    %v\narrived %v", diff, e, arrived[e.ID()])
 					}
 				}
@@ -213,9 +213,9 @@
 	}
 	got := []int{status("1", "safe"), status("2", "safe"), status("3", "other")}
 	if want := []int{202, 503, 422}; !reflect.DeepEqual(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("statuses %v, want %v", got, want)
 	}
 	if raw, err := json.Marshal(e.Next(t).Header); err != nil || !strings.Contains(string(raw), "Ce-Id") {
-		t.Errorf("%s", raw)
+		t.Errorf("the endpoint got headers %s", raw)
 	}
 }
--- a/internal/sender/send.go
+++ b/internal/sender/send.go
@@ -22,26 +22,27 @@
 	s.setWaiting(m, false)
 	s.trace("call", m.ID, slog.Int("try", m.earlierAttempts+attempt), slog.Uint64("dest", uint64(m.Dest)), slog.String("endpoint", e.ID), slog.Duration("timeout", a.Timeout))
 	call, cancel := context.WithTimeout(ctx, a.Timeout)
-	leave := &calls.Permit{Until: time.Now().Add(s.writeTimeout(m, m.earlierAttempts+attempt, a.Timeout)), Cancel: cancel, Admit: s.admission(m, e.ID)}
-	m.calls = append(m.calls, inFlightCall{attempt: attempt, Permit: leave})
+	permit := &calls.Permit{Until: time.Now().Add(s.writeTimeout(m, m.earlierAttempts+attempt, a.Timeout)), Cancel: cancel, Admit: s.admission(m, e.ID)}
+	m.calls = append(m.calls, inFlightCall{attempt: attempt, Permit: permit})
 	s.inFlight++
-	one := batchedSend{m, attempt, call, a.Timeout, leave}
+	item := batchedSend{m, attempt, call, a.Timeout, permit}
 	if events, bytes, ok := e.Batches(); ok {
-		s.addToBatch(e, one, events, bytes)
+		s.addToBatch(e, item, events, bytes)
 		return
 	}
-	began, rec := time.Now(), []calls.Ticket{{Message: m.callMessage(), Permit: leave}} // a copy: the loop may drop the body meanwhile
+	began, tickets := time.Now(), []calls.Ticket{{Message: m.callMessage(), Permit: permit}} // a copy: the loop may drop the body meanwhile
 	go func() {
-		end, gone := brain.AttemptResult{Endpoint: e.Number, Outcome: brain.NotSent}, false
+		result, draining := brain.AttemptResult{Endpoint: e.Number, Outcome: brain.NotSent}, false
 		if written {
-			end, gone = s.pool.Call(call, e, rec, a.Timeout)
+			result, draining = s.pool.Call(call, e, tickets, a.Timeout)
 		}
-		end.Elapsed = time.Since(began)
-		s.post(ctx, callResult{m, attempt, end, gone})
+		result.Elapsed = time.Since(began)
+		s.post(ctx, callResult{m, attempt, result, draining})
 	}()
 }
 
-// keyWindowMargin is how long before the end of the key window a repeat must be written, so that it arrives within the window.
+// keyWindowMargin is how long before the end of the key window a repeat must be written at the latest, so that it arrives within the
+// window.
 const keyWindowMargin = 50 * time.Millisecond
 
 // writeTimeout returns the time within which the n-th attempt of a message must be written. The module allows a repeat as of now, but
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -139,7 +139,7 @@
 }
 
 // Run resumes the messages in the journal, then listens, and serves until ctx ends and for the grace period after it. It returns when
-// all goroutines that act for messages have been signalled to end; unfinished messages stay in the journal for the next process.
+// all goroutines that act for messages have been signalled to end; unfinished work stays in the journal for the next process.
 // It returns an error if it could not listen, if accepting clients failed, or if an extension or the journal could not be closed.
 func (s *Sender) Run(ctx context.Context, listen func() (net.Listener, error)) error {
 	work, stop := context.WithCancel(context.Background())
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -56,27 +56,27 @@
 	t.Helper()
 	s := newTest(t, p, edit)
 	change(s)
-	addr, leave := serving(t, s)
-	t.Cleanup(leave)
+	addr, stop := serving(t, s)
+	t.Cleanup(stop)
 	return addr
 }
 
-// serving runs a sender and returns its address; leave stops it and fails the test on an error.
-func serving(t *testing.T, s *Sender) (addr string, leave func()) {
+// serving runs a sender and returns its address; stop shuts it down and fails the test on an error.
+func serving(t *testing.T, s *Sender) (addr string, stop func()) {
 	t.Helper()
-	at := make(chan string, 1)
+	addrs := make(chan string, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
 		done <- s.Run(ctx, func() (net.Listener, error) {
 			l, err := net.Listen("tcp", s.config.Listen)
 			if err == nil {
-				at <- l.Addr().String()
+				addrs <- l.Addr().String()
 			}
 			return l, err
 		})
 	}()
-	return st.Receive(t, at), func() {
+	return st.Receive(t, addrs), func() {
 		cancel()
 		if err := st.Receive(t, done); err != nil {
 			t.Error(err)
@@ -151,24 +151,24 @@
 	} {
 		e := st.NewEndpoint(t, st.Unresponsive)
 		addr := run(t, st.NewPlatform(t, e.Addr), edit)
-		refused := false
-		for i := 0; i < 20 && !refused; i++ {
+		rejected := false
+		for i := 0; i < 20 && !rejected; i++ {
 			resp, _ := st.Do(t, st.Request(t, addr, st.Submission{ID: "m" + strconv.Itoa(i), Class: "safe", Destination: 0, Deadline: 15 * time.Second, Body: "body"}))
 			switch resp.StatusCode {
 			case http.StatusAccepted:
 			case http.StatusServiceUnavailable:
-				refused = true
+				rejected = true
 				if wait, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err != nil || wait != 2 {
 					t.Errorf("%s: Retry-After %q", name, resp.Header.Get("Retry-After"))
 				}
 			default:
 				t.Fatalf("%s: %s", name, resp.Status)
 			}
-			if i == 0 && refused {
+			if i == 0 && rejected {
 				t.Errorf("%s: the first message is rejected", name)
 			}
 		}
-		if !refused {
+		if !rejected {
 			t.Errorf("%s: no message is rejected", name)
 		}
 	}
@@ -227,10 +227,10 @@
 func TestSender_HonoursRetryAfter(t *testing.T) {
 	t.Parallel()
 	var first atomic.Bool
-	told := make(chan time.Time, 1)
+	rejectedAt := make(chan time.Time, 1)
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		if first.CompareAndSwap(false, true) {
-			told <- time.Now()
+			rejectedAt <- time.Now()
 			return st.Status(429, "X-RateLimit-Wait-Ms: 700")(c, nc)
 		}
 		return st.Status(200)(c, nc)
@@ -238,7 +238,7 @@
 	addr := run(t, st.NewPlatform(t, e.Addr), nil)
 	st.Submit(t, addr, st.Submission{ID: "a", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	e.Next(t)
-	from := st.Receive(t, told)
+	from := st.Receive(t, rejectedAt)
 	st.Submit(t, addr, st.Submission{ID: "b", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	e.Next(t)
 	if waited := time.Since(from); waited < 700*time.Millisecond {
@@ -316,9 +316,9 @@
 	defer s.Close()
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	asked := make(chan struct{}, 1)
-	asked <- struct{}{}
-	go newDiscovery(strings.TrimPrefix(s.URL, "http://")).follow(ctx, 9, asked, func(Targets) {}, func(error) {})
+	requests := make(chan struct{}, 1)
+	requests <- struct{}{}
+	go newDiscovery(strings.TrimPrefix(s.URL, "http://")).follow(ctx, 9, requests, func(Targets) {}, func(error) {})
 	for _, want := range []string{"after=9&wait_ms=0", "", "after=3&wait_ms=2000"} {
 		if got := st.Receive(t, queries); got != want {
 			t.Fatalf("the query is %q, want %q", got, want)
@@ -346,8 +346,8 @@
 	}
 }
 
-// goesTo waits for message m at the new endpoint and checks that the drained one has got no call by then.
-func goesTo(t *testing.T, other, old *st.Endpoint) {
+// awaitDelivery waits for message m at the new endpoint and checks that the drained one has got no call by then.
+func awaitDelivery(t *testing.T, other, old *st.Endpoint) {
 	t.Helper()
 	if c := other.Next(t); c.ID != "m" {
 		t.Errorf("the new endpoint got %s", c.ID)
@@ -368,7 +368,7 @@
 	run(t, p, func(c *Config) {
 		leaveMessage(t, c, old, func(*journal) {})
 	})
-	goesTo(t, other, old)
+	awaitDelivery(t, other, old)
 }
 
 // Idle connections to a machine that was cut off from the network are dead, but not closed: after a call on one of them has timed out,
@@ -391,16 +391,16 @@
 	p := st.NewPlatform(t, e.Addr)
 	s := newTest(t, p, nil)
 	s.endpoints.Apply(Targets{Servers: []Target{{ID: "e", Addr: e.Addr, State: "SERVING"}}}, false, s.config.endpointNames(), s.pool)
-	at := s.endpoints.ByID["e"]
+	endpoint := s.endpoints.ByID["e"]
 	callOnce := func(p *calls.Pool, e *calls.Endpoint, timeout time.Duration, body string) brain.AttemptResult {
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
-		end, _ := p.Call(ctx, e, []calls.Ticket{{Message: calls.Message{ID: "id", Body: []byte(body)}, Permit: &calls.Permit{Until: time.Now().Add(timeout), Cancel: func() {}}}}, timeout)
-		return end
+		result, _ := p.Call(ctx, e, []calls.Ticket{{Message: calls.Message{ID: "id", Body: []byte(body)}, Permit: &calls.Permit{Until: time.Now().Add(timeout), Cancel: func() {}}}}, timeout)
+		return result
 	}
 	served := make(chan struct{}, 2)
 	for range 2 {
-		go func() { callOnce(s.pool, at, st.Wait, ""); served <- struct{}{} }()
+		go func() { callOnce(s.pool, endpoint, st.Wait, ""); served <- struct{}{} }()
 	}
 	st.Receive(t, both)
 	st.Receive(t, both)
@@ -412,13 +412,13 @@
 	}
 	cut.Store(true)
 	began := time.Now()
-	end := callOnce(s.pool, at, 30*time.Millisecond, "")
-	end.Elapsed = time.Since(began)
-	s.handleCallResult(callResult{&message{storedMessage: &storedMessage{}, ended: true, calls: inFlightCalls{{Permit: &calls.Permit{Cancel: func() {}}}}}, 0, end, false})
+	result := callOnce(s.pool, endpoint, 30*time.Millisecond, "")
+	result.Elapsed = time.Since(began)
+	s.handleCallResult(callResult{&message{storedMessage: &storedMessage{}, ended: true, calls: inFlightCalls{{Permit: &calls.Permit{Cancel: func() {}}}}}, 0, result, false})
 	if n := s.pool.Idle(); n != 0 {
 		t.Errorf("%d idle connections after a time-out", n)
 	}
-	if got := callOnce(s.pool, at, st.Wait, ""); !got.Final {
+	if got := callOnce(s.pool, endpoint, st.Wait, ""); !got.Final {
 		t.Errorf("the next call: %+v", got)
 	}
 }
@@ -435,9 +435,9 @@
 	e := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, e.Addr)
 	var block string
-	addr := runWith(t, p, func(c *Config) { block = filepath.Join(c.StateDir, journalFileName+".new", "x") }, func(made *Sender) {
-		made.journal.file.Close()
-		made.journal.file = full
+	addr := runWith(t, p, func(c *Config) { block = filepath.Join(c.StateDir, journalFileName+".new", "x") }, func(created *Sender) {
+		created.journal.file.Close()
+		created.journal.file = full
 		if err := os.MkdirAll(block, 0o700); err != nil { // no new file can be created either
 			t.Fatal(err)
 		}
--- a/internal/sender/server.go
+++ b/internal/sender/server.go
@@ -23,7 +23,7 @@
 	idleTimeout                   = 30 * time.Second       // how long an idle connection is kept, if there is room
 	minIdleTime                   = 2 * time.Second        // how long an idle connection is kept in any case
 	maxTimeWithoutRequestWhenFull = 200 * time.Millisecond // when connections are short: limit for a new one without a request
-	maxPartialWhenFull            = 400 * time.Millisecond // when connections are short: limit for receiving a request, whose client has given up waiting by then
+	maxPartialWhenFull            = 400 * time.Millisecond // when connections are short: limit for receiving a request; its client has given up waiting by then
 	evictionInterval              = 20 * time.Millisecond  // when connections are short: time between attempts to evict one
 	lingerTimeout                 = 300 * time.Millisecond // how long input is still read after an error response, so that no reset overtakes the response
 	maxLingerBytes                = 256 << 10
@@ -50,7 +50,7 @@
 	ingressByPath  map[string]ingress
 	ready          atomic.Bool
 	closing        atomic.Bool     // responses announce that the connection closes
-	aborted        context.Context // done when waits for the loop's responses are to end
+	aborted        context.Context // done once the server is closed: no request waits for the loop any more
 	abort          context.CancelFunc
 	connections    sync.WaitGroup
 	freed          chan struct{} // signals that a connection was closed or became idle
@@ -140,14 +140,14 @@
 		if !s.awaitRequest(c) || !s.setState(c, stateReading) {
 			return
 		}
-		until := c.since.Add(requestTimeout)
+		deadline := c.since.Add(requestTimeout)
 		if first { // the time limit starts at accept, but leaves at least lateRequestTimeout from now
-			until = c.acceptedAt.Add(requestTimeout)
-			if least := c.since.Add(lateRequestTimeout); until.Before(least) {
-				until = least
+			deadline = c.acceptedAt.Add(requestTimeout)
+			if earliest := c.since.Add(lateRequestTimeout); deadline.Before(earliest) {
+				deadline = earliest
 			}
 		}
-		c.SetReadDeadline(until)
+		c.SetReadDeadline(deadline)
 		r, err := s.readRequest(c)
 		if err != nil {
 			s.reject(c, err)
@@ -163,8 +163,8 @@
 			}
 		}
 		answer := s.answer(r, submissions)
-		stays := !r.head.Close && r.head.ProtoAtLeast(1, 1) && !s.closing.Load() && answer.status/100 != 4 && s.keepAlive(c)
-		if !writeResponse(c, answer, !stays) || !stays {
+		keepOpen := !r.head.Close && r.head.ProtoAtLeast(1, 1) && !s.closing.Load() && answer.status/100 != 4 && s.keepAlive(c)
+		if !writeResponse(c, answer, !keepOpen) || !keepOpen {
 			return
 		}
 		c.SetReadDeadline(time.Now().Add(idleTimeout))
@@ -184,8 +184,8 @@
 		}
 		return response{status: http.StatusOK}
 	}
-	var room [1]response
-	answers := append(room[:0], make([]response, len(submissions))...)
+	var buf [1]response
+	answers := append(buf[:0], make([]response, len(submissions))...)
 	submitted := 0
 	for ; submitted < len(submissions) && s.submit(s.aborted, submissions[submitted]); submitted++ {
 	}
--- a/internal/sender/server_connections.go
+++ b/internal/sender/server_connections.go
@@ -11,7 +11,7 @@
 type clientState uint8
 
 const (
-	stateNew       clientState = iota // no request has come yet
+	stateNew       clientState = iota // no request has arrived yet
 	stateReading                      // a request is being received
 	stateAnswering                    // a request has been received completely and is not answered yet
 	stateIdle                         // the last request is answered
@@ -69,11 +69,11 @@
 
 // evictOldest starts the eviction of the oldest eligible connection by interrupting its read; at most one eviction is in progress.
 // It does not close the connection: a request may have been read just now, and a complete request must be answered.
-func (s *server) evictOldest(may func(*client, time.Duration) bool) bool {
+func (s *server) evictOldest(eligible func(*client, time.Duration) bool) bool {
 	var victim *client
 	now := time.Now()
 	for c := range s.clients {
-		if s.evicting > 0 || !may(c, now.Sub(c.since)) || victim != nil && c.since.After(victim.since) {
+		if s.evicting > 0 || !eligible(c, now.Sub(c.since)) || victim != nil && c.since.After(victim.since) {
 			continue
 		}
 		if calls.IdleConnUsable(c.Conn) { // otherwise input has arrived and is not read yet
--- a/internal/sender/server_test.go
+++ b/internal/sender/server_test.go
@@ -47,7 +47,7 @@
 			return codes
 		}
 		if err != nil {
-			t.Fatalf("after %v: %v", codes, err)
+			t.Fatalf("after responses %v: %v", codes, err)
 		}
 		io.Copy(io.Discard, resp.Body)
 		codes = append(codes, resp.StatusCode)
@@ -105,7 +105,7 @@
 			go io.WriteString(nc, c.text) // the server may close the connection before all is written
 			codes := answers(t, nc)
 			if c.want == 0 && len(codes) > 0 || c.want > 0 && (len(codes) != 1 || codes[0] != c.want) {
-				t.Errorf("answered %v, want %d", codes, c.want)
+				t.Errorf("the request is answered %v, want %d", codes, c.want)
 			}
 			if took := time.Since(began); took > 3*time.Second {
 				t.Errorf("the connection was closed only after %v", took)
@@ -145,7 +145,7 @@
 
 // Connections that send nothing, stop within a request, or stay open after one, may use up all connections of clients: the next client
 // must be served nevertheless.
-func TestServer_ConnectionsWithoutRequestMakeWay(t *testing.T) {
+func TestServer_EvictsConnectionsWithoutRequest(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		text string
@@ -185,7 +185,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) { c.Limits.Sockets = 24 }) // 4 may be idle
-	ask := func() (net.Conn, bool) {
+	request := func() (net.Conn, bool) {
 		t.Helper()
 		nc := dial(t, addr)
 		io.WriteString(nc, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -195,18 +195,18 @@
 		}
 		return nc, !resp.Close
 	}
-	first, stays := ask()
+	first, keptOpen := request()
 	for i := 1; i < 12; i++ {
-		if !stays != (i > 4) {
-			t.Errorf("connection %d stays: %v", i, stays)
+		if !keptOpen != (i > 4) {
+			t.Errorf("connection %d is kept open: %v", i, keptOpen)
 		}
-		_, stays = ask()
+		_, keptOpen = request()
 	}
 	first.SetReadDeadline(time.Now().Add(minIdleTime)) // at that time it has been idle for minIdleTime
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the first is closed early: %v", err)
+		t.Fatalf("the first connection is closed early: %v", err)
 	}
-	if _, stays = ask(); !stays {
+	if _, keptOpen = request(); !keptOpen {
 		t.Error("the connection closes, though another has been idle for minIdleTime")
 	}
 	first.SetReadDeadline(time.Now().Add(st.Wait))
@@ -249,7 +249,7 @@
 	}
 	s.server.serveConn(c)
 	if codes := answers(t, other); len(codes) != 1 || codes[0] != 202 {
-		t.Errorf("answered %v", codes)
+		t.Errorf("the request is answered %v", codes)
 	}
 	if s.server.evicting != 0 || len(s.server.clients) != 0 {
 		t.Errorf("%d connections being evicted, %d connections registered", s.server.evicting, len(s.server.clients))
@@ -264,30 +264,30 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	type kept struct {
+	type connection struct {
 		state  clientState
 		age    time.Duration
 		unread bool
 	}
 	for name, c := range map[string]struct {
-		kept []kept
-		want int // index of the evicted connection, -1: none
+		connections []connection
+		want        int // index of the evicted connection, -1: none
 	}{
 		"none":                      {nil, -1},
-		"being answered":            {[]kept{{stateAnswering, time.Hour, false}}, -1},
-		"recent ones":               {[]kept{{stateNew, maxTimeWithoutRequestWhenFull / 2, false}, {stateReading, maxPartialWhenFull / 2, false}, {stateIdle, minIdleTime / 2, false}}, -1},
-		"request has arrived":       {[]kept{{stateNew, time.Hour, true}, {stateIdle, time.Hour, true}}, -1},
-		"silent":                    {[]kept{{stateAnswering, time.Hour, false}, {stateNew, 2 * maxTimeWithoutRequestWhenFull, false}}, 1},
-		"the longest silent":        {[]kept{{stateNew, 2 * maxTimeWithoutRequestWhenFull, false}, {stateNew, 3 * maxTimeWithoutRequestWhenFull, false}}, 1},
-		"partial request":           {[]kept{{stateReading, 2 * maxPartialWhenFull, false}, {stateNew, maxTimeWithoutRequestWhenFull / 2, false}}, 0},
-		"partial, more has arrived": {[]kept{{stateReading, 2 * maxPartialWhenFull, true}}, -1},
-		"idle":                      {[]kept{{stateIdle, 2 * minIdleTime, false}, {stateAnswering, time.Hour, false}}, 0},
-		"the longest idle":          {[]kept{{stateIdle, 2 * minIdleTime, false}, {stateIdle, 3 * minIdleTime, false}}, 1},
-		"silent before longer idle": {[]kept{{stateIdle, 3 * minIdleTime, false}, {stateNew, 2 * maxTimeWithoutRequestWhenFull, false}}, 1},
+		"being answered":            {[]connection{{stateAnswering, time.Hour, false}}, -1},
+		"recent ones":               {[]connection{{stateNew, maxTimeWithoutRequestWhenFull / 2, false}, {stateReading, maxPartialWhenFull / 2, false}, {stateIdle, minIdleTime / 2, false}}, -1},
+		"request has arrived":       {[]connection{{stateNew, time.Hour, true}, {stateIdle, time.Hour, true}}, -1},
+		"silent":                    {[]connection{{stateAnswering, time.Hour, false}, {stateNew, 2 * maxTimeWithoutRequestWhenFull, false}}, 1},
+		"the longest silent":        {[]connection{{stateNew, 2 * maxTimeWithoutRequestWhenFull, false}, {stateNew, 3 * maxTimeWithoutRequestWhenFull, false}}, 1},
+		"partial request":           {[]connection{{stateReading, 2 * maxPartialWhenFull, false}, {stateNew, maxTimeWithoutRequestWhenFull / 2, false}}, 0},
+		"partial, more has arrived": {[]connection{{stateReading, 2 * maxPartialWhenFull, true}}, -1},
+		"idle":                      {[]connection{{stateIdle, 2 * minIdleTime, false}, {stateAnswering, time.Hour, false}}, 0},
+		"the longest idle":          {[]connection{{stateIdle, 2 * minIdleTime, false}, {stateIdle, 3 * minIdleTime, false}}, 1},
+		"silent before longer idle": {[]connection{{stateIdle, 3 * minIdleTime, false}, {stateNew, 2 * maxTimeWithoutRequestWhenFull, false}}, 1},
 	} {
 		s := newServer(&Config{Limits: Limits{Sockets: 64}}, newClock(), slog.Default(), nil)
 		var all []*client
-		for _, k := range c.kept {
+		for _, k := range c.connections {
 			other := dial(t, l.Addr().String())
 			nc, err := l.Accept()
 			if err != nil {
@@ -302,8 +302,8 @@
 			all = append(all, &client{LimitedConn: calls.LimitedConn{Conn: nc}, state: k.state, since: time.Now().Add(-k.age)})
 			s.clients[all[len(all)-1]] = struct{}{}
 		}
-		if went := s.evictOne(); went != (c.want >= 0) {
-			t.Errorf("%s: evictOne returns %v", name, went)
+		if evicted := s.evictOne(); evicted != (c.want >= 0) {
+			t.Errorf("%s: evictOne returns %v", name, evicted)
 		}
 		for i, k := range all {
 			if k.evicting != (i == c.want) {
--- a/internal/sender/shutdown_test.go
+++ b/internal/sender/shutdown_test.go
@@ -36,8 +36,8 @@
 		t.Errorf("a message that arrives during the shutdown is answered %+v", a)
 	}
 	j := openTest(t, s.config.StateDir, 1<<20)
-	if held := j.pending(); len(held) != 1 || held[0].ID != "open" || len(held[0].Attempts) != 1 {
-		t.Errorf("the next process finds messages %v", held)
+	if pending := j.pending(); len(pending) != 1 || pending[0].ID != "open" || len(pending[0].Attempts) != 1 {
+		t.Errorf("the next process finds messages %v", pending)
 	}
 }
 
@@ -46,8 +46,8 @@
 func TestShutdown_AnswerAtDeadlineIsNotified(t *testing.T) {
 	p := st.NewPlatform(t, st.NewEndpoint(t, st.Unresponsive).Addr)
 	for name, tt := range map[string]struct {
-		left time.Duration
-		told bool
+		left     time.Duration
+		notified bool
 	}{"long before": {time.Minute, false}, "as it is up": {0, true}, "after it": {-time.Second, true}} {
 		t.Run(name, func(t *testing.T) {
 			s := newTest(t, p, nil)
@@ -59,12 +59,12 @@
 			s.journal.update(m, record{Op: opSend, Sent: &attemptRecord{At: s.clock.now(), Endpoint: "s-0"}})
 			s.inFlight++
 			s.handle(callResult{s.messages[number], 0, brain.AttemptResult{Outcome: brain.Served, Final: true}, false})
-			if told := len(s.pendingNotices) == 1 && s.pendingNotices[0] == (notice{Message: "m", Outcome: outcomeGivenUp}); told != tt.told {
+			if notified := len(s.pendingNotices) == 1 && s.pendingNotices[0] == (notice{Message: "m", Outcome: outcomeGivenUp}); notified != tt.notified {
 				t.Errorf("notices %+v", s.pendingNotices)
 			}
 			s.flush() // the process is killed after that
 			next := resumed(t, p, func(c *Config) { c.StateDir = s.config.StateDir })
-			if told := len(next.pendingNotices) == 1; told != tt.told || next.pending != 0 {
+			if notified := len(next.pendingNotices) == 1; notified != tt.notified || next.pending != 0 {
 				t.Errorf("the next process has notices %+v to send and %d messages", next.pendingNotices, next.pending)
 			}
 		})
--- a/internal/sender/sources.go
+++ b/internal/sender/sources.go
@@ -54,7 +54,7 @@
 	return all
 }
 
-// follow starts all sources; their updates come to the loop as events.
+// follow starts all sources; their updates are posted to the loop as events.
 func (all *sources) follow(ctx context.Context, post func(context.Context, loopEvent) bool) {
 	for from, source := range all.bySource {
 		if source != nil {
@@ -76,13 +76,13 @@
 // applyListUpdate applies an update of a source and returns the module's event for what that changes in the list.
 func (s *Sender) applyListUpdate(e listUpdate) brain.Event {
 	if e.from == membership.Discovery {
-		counts, older := s.sources.rollbackGuard.Apply(s.clock.now(), e.Targets)
+		effective, older := s.sources.rollbackGuard.Apply(s.clock.now(), e.Targets)
 		if older > 0 {
 			s.log.Warn("discovery's list is older than what it has told", "version", e.Version, "endpoints that stay left", older)
 		}
-		e.Targets = counts
+		e.Targets = effective
 		if e.Origin != "" {
-			s.journal.saveList(e.Origin, counts)
+			s.journal.saveList(e.Origin, effective)
 		}
 	}
 	if s.sources.merger == nil {
--- a/internal/sender/sources_moves_test.go
+++ b/internal/sender/sources_moves_test.go
@@ -29,9 +29,9 @@
 // each address is logged.
 func TestEndpointsMove_WithinCapacity(t *testing.T) {
 	l := newMoveLoad(t, withinCapacity)
-	l.play()
-	if len(l.handedBack) > 0 || l.refused > 0 {
-		t.Errorf("%d messages are rejected and %d handed back, though there is room", l.refused, len(l.handedBack))
+	l.run()
+	if len(l.handedBack) > 0 || l.rejected > 0 {
+		t.Errorf("%d messages are rejected and %d handed back, though there is room", l.rejected, len(l.handedBack))
 	}
 }
 
@@ -39,7 +39,7 @@
 // all others: so it is the one that is handed back while the sender is full, with a notice to its client. Each accepted message is
 // delivered exactly once, or handed back with one notice and never sent; none is given up.
 func TestEndpointsMove_BeyondCapacity(t *testing.T) {
-	newMoveLoad(t, 0).play()
+	newMoveLoad(t, 0).run()
 }
 
 // moveLoad is clients that submit messages while the only member of their destination moves from address to address.
@@ -56,7 +56,7 @@
 	last       []time.Time // when the last call to each address arrived
 	got        []int       // calls to each address
 	accepted   map[string]bool
-	refused    int
+	rejected   int
 	delivered  map[string]int
 	handedBack map[string]int
 }
@@ -76,7 +76,7 @@
 		l.addrs = append(l.addrs, e.Addr)
 	}
 	l.names, l.platform = newNamed(t, t.TempDir()), st.NewPlatform(t)
-	l.names.at(l.addrs[0])
+	l.names.pointTo(l.addrs[0])
 	l.sender = run(t, l.platform, l.names.names(membership.NamesFirst))
 	return l
 }
@@ -94,11 +94,11 @@
 }
 
 // run moves the member under load, and checks how each message ended.
-func (l *moveLoad) play() {
+func (l *moveLoad) run() {
 	done := make(chan struct{})
 	var clients sync.WaitGroup
 	for client := range moveClients {
-		clients.Go(func() { l.handIn(client, done) })
+		clients.Go(func() { l.submit(client, done) })
 	}
 	l.move()
 	close(done)
@@ -108,7 +108,7 @@
 }
 
 // submit submits messages, one after the other, until done is closed.
-func (l *moveLoad) handIn(client int, done <-chan struct{}) {
+func (l *moveLoad) submit(client int, done <-chan struct{}) {
 	for n := 0; ; n++ {
 		if l.slots != nil {
 			select {
@@ -136,7 +136,7 @@
 	case http.StatusAccepted:
 		l.accepted[id] = true
 	case http.StatusServiceUnavailable: // the sender is full
-		l.refused++
+		l.rejected++
 	default:
 		l.t.Errorf("%s is answered %d", id, status)
 	}
@@ -145,7 +145,7 @@
 // move points the member to one address after the other; before each next move it waits for moveCalls calls to the current address.
 func (l *moveLoad) move() {
 	for i := 1; i <= moves; i++ {
-		l.acknowledgedAt[i-1] = l.names.at(l.addrs[i])
+		l.acknowledgedAt[i-1] = l.names.pointTo(l.addrs[i])
 		l.until(fmt.Sprintf("move %d is not followed", i), func() bool { return l.got[i] >= moveCalls })
 	}
 }
@@ -169,18 +169,18 @@
 }
 
 // until waits for a condition, which it checks with mu held, and fails the test with a message if that is not met in time.
-func (l *moveLoad) until(otherwise string, about func() bool) {
+func (l *moveLoad) until(failure string, condition func() bool) {
 	l.t.Helper()
 	for over := time.Now().Add(st.Wait); ; time.Sleep(time.Millisecond) {
 		l.mu.Lock()
-		came := about()
-		taken, delivered, back := len(l.accepted), len(l.delivered), len(l.handedBack)
+		met := condition()
+		accepted, delivered, back := len(l.accepted), len(l.delivered), len(l.handedBack)
 		l.mu.Unlock()
-		if came {
+		if met {
 			return
 		}
 		if time.Now().After(over) {
-			l.t.Fatalf("%s: %d accepted, %d delivered, %d handed back", otherwise, taken, delivered, back)
+			l.t.Fatalf("%s: %d accepted, %d delivered, %d handed back", failure, accepted, delivered, back)
 		}
 	}
 }
@@ -203,11 +203,11 @@
 	for i := range moves {
 		d := l.last[i].Sub(l.acknowledgedAt[i])
 		if d > moveBound {
-			l.t.Errorf("move %d: a call went to the old address %v after", i+1, d)
+			l.t.Errorf("move %d: a call went to the old address %v after the update", i+1, d)
 		}
 		late = append(late, max(0, d))
 	}
 	slices.Sort(late)
 	l.t.Logf("%d messages, %d handed back, %d rejected; last call to the old address after the response: median %v, p90 %v, maximum %v",
-		len(l.accepted), len(l.handedBack), l.refused, late[len(late)/2], late[len(late)*9/10], late[len(late)-1])
+		len(l.accepted), len(l.handedBack), l.rejected, late[len(late)/2], late[len(late)*9/10], late[len(late)-1])
 }
--- a/internal/sender/sources_names_test.go
+++ b/internal/sender/sources_names_test.go
@@ -65,7 +65,7 @@
 }
 
 // pointTo sets the addresses of the member by a signed update, and returns the time at which that was acknowledged.
-func (n *namedMembers) at(addrs ...string) time.Time {
+func (n *namedMembers) pointTo(addrs ...string) time.Time {
 	n.t.Helper()
 	m := new(dns.Msg).SetUpdate("example.")
 	m.RemoveRRset([]dns.RR{&dns.ANY{Hdr: dns.RR_Header{Name: "_hooks._tcp.example.", Rrtype: dns.TypeSRV}}})
@@ -98,12 +98,12 @@
 	})
 	next := st.NewEndpoint(t, st.Status(200))
 	n := newNamed(t, t.TempDir())
-	n.at(old.Addr)
+	n.pointTo(old.Addr)
 	p := st.NewPlatform(t)
 	addr := run(t, p, n.names(membership.NamesFirst))
 	st.Submit(t, addr, st.Submission{ID: "out", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 	old.Next(t)
-	n.at() // no address is left
+	n.pointTo() // no address is left
 	for over := time.Now().Add(st.Wait); !slices.ContainsFunc(n.svc.Report().Members[0].Lines, func(l membership.Target) bool { return l.State == membership.Dropped }); {
 		if time.Now().After(over) {
 			t.Fatal("the address is not dropped")
@@ -113,10 +113,10 @@
 	st.Submit(t, addr, st.Submission{ID: "short", Class: "unsafe", Destination: 0, Deadline: 300 * time.Millisecond})
 	st.Submit(t, addr, st.Submission{ID: "waits", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 	if got := st.Receive(t, p.Notices); got.Message != "short" || got.Outcome != "given_up" {
-		t.Errorf("%+v", got)
+		t.Errorf("notice %+v", got)
 	}
 	close(answer)
-	n.at(next.Addr)
+	n.pointTo(next.Addr)
 	if c := next.Next(t); c.ID != "waits" {
 		t.Error(c.ID)
 	}
@@ -129,7 +129,7 @@
 	}
 	select {
 	case got := <-p.Notices:
-		t.Errorf("%+v", got)
+		t.Errorf("unexpected notice %+v", got)
 	default:
 	}
 }
@@ -142,39 +142,39 @@
 	number, _ := strconv.ParseUint(port, 10, 16)
 	n := newNamed(t, t.TempDir(), membership.Member{Name: "_hooks._tcp.example.", SRV: true, Kind: "plain", Zone: "a", Weight: 1},
 		membership.Member{Name: "hooks.example.", Port: uint16(number), Kind: "plain", Zone: "a", Weight: 1})
-	n.at(e.Addr, e.Addr)
+	n.pointTo(e.Addr, e.Addr)
 	s := newTest(t, st.NewPlatform(t, e.Addr), n.names(membership.Both))
 	s.step(t.Context(), s.initialListEvents())
 	if len(s.endpoints.ByID) != 1 {
 		t.Fatalf("the address is %d endpoints", len(s.endpoints.ByID))
 	}
-	number0 := s.endpoints.ByID["s-0"].Number
-	news := func(from membership.Source, u membership.Update) {
+	endpointNumber := s.endpoints.ByID["s-0"].Number
+	apply := func(from membership.Source, u membership.Update) {
 		s.step(t.Context(), []brainEvent{s.applyListUpdate(listUpdate{from, u})})
 	}
-	news(membership.Discovery, membership.Update{Full: true}) // discovery drops it
-	if got := s.endpoints.ByID["s-0"]; got == nil || got.Number != number0 || !got.Entry.Ready {
-		t.Fatalf("%+v", got)
+	apply(membership.Discovery, membership.Update{Full: true}) // discovery drops it
+	if got := s.endpoints.ByID["s-0"]; got == nil || got.Number != endpointNumber || !got.Entry.Ready {
+		t.Fatalf("after discovery dropped the endpoint it is %+v", got)
 	}
 	follower := membership.NewFollower(n.c.Members, n.c.Spans)
-	one := func(addr string) membership.Answer {
+	found := func(addr string) membership.Answer {
 		return membership.Answer{Result: membership.Found, Addresses: []membership.Address{{AddrPort: mustParse(t, addr)}}}
 	}
-	follower.Step(0, []membership.Observation{{Member: 0, Answer: one(e.Addr)}, {Member: 1, Answer: one(e.Addr)}})
-	news(membership.Names, membership.Update{Servers: follower.Step(time.Second, []membership.Observation{{Member: 0, Answer: one(other.Addr)}})})
+	follower.Step(0, []membership.Observation{{Member: 0, Answer: found(e.Addr)}, {Member: 1, Answer: found(e.Addr)}})
+	apply(membership.Names, membership.Update{Servers: follower.Step(time.Second, []membership.Observation{{Member: 0, Answer: found(other.Addr)}})})
 	if got := s.endpoints.ByID["s-0"]; !got.Entry.Ready || len(s.endpoints.ByID) != 2 {
 		t.Error("one of two names dropped the endpoint, and it does not serve")
 	}
-	news(membership.Names, membership.Update{Servers: follower.Step(2*time.Second, []membership.Observation{{Member: 1, Answer: one(other.Addr)}})})
+	apply(membership.Names, membership.Update{Servers: follower.Step(2*time.Second, []membership.Observation{{Member: 1, Answer: found(other.Addr)}})})
 	if got := s.endpoints.ByID["s-0"]; got == nil || got.Entry.Ready {
 		t.Error("both names dropped the endpoint, and it still serves, or is removed already")
 	}
-	news(membership.Names, membership.Update{Servers: follower.Step(3*time.Second, []membership.Observation{{Member: 1, Answer: one(e.Addr)}})})
-	if got := s.endpoints.ByID["s-0"]; got.Number != number0 || !got.Entry.Ready {
+	apply(membership.Names, membership.Update{Servers: follower.Step(3*time.Second, []membership.Observation{{Member: 1, Answer: found(e.Addr)}})})
+	if got := s.endpoints.ByID["s-0"]; got.Number != endpointNumber || !got.Entry.Ready {
 		t.Error("the address was listed again, and is another endpoint or does not serve")
 	}
-	news(membership.Names, membership.Update{Servers: follower.Step(4*time.Second, []membership.Observation{{Member: 1, Answer: one(other.Addr)}})})
-	news(membership.Names, membership.Update{Servers: follower.Step(time.Hour, nil)})
+	apply(membership.Names, membership.Update{Servers: follower.Step(4*time.Second, []membership.Observation{{Member: 1, Answer: found(other.Addr)}})})
+	apply(membership.Names, membership.Update{Servers: follower.Step(time.Hour, nil)})
 	if s.endpoints.ByID["s-0"] != nil {
 		t.Error("the endpoint is not removed")
 	}
@@ -184,12 +184,12 @@
 // own id, sends the message again with the same key, and as one that may have run.
 func TestNames_HistoryOfAddressSurvives(t *testing.T) {
 	calls := make(chan st.Call, 10)
-	silent := make(chan struct{}, 1)
-	silent <- struct{}{}
+	unanswered := make(chan struct{}, 1)
+	unanswered <- struct{}{}
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		calls <- c
 		select {
-		case <-silent:
+		case <-unanswered:
 			return st.Unresponsive(c, nc)
 		default:
 			return st.Status(200)(c, nc)
@@ -201,39 +201,39 @@
 		t.Fatal(err)
 	}
 	n := newNamed(t, dir)
-	n.at(e.Addr)
+	n.pointTo(e.Addr)
 	p := st.NewPlatform(t)
 	s := newTest(t, p, func(c *Config) { c.StateDir = state; n.names(membership.NamesFirst)(c) })
-	addr, leave := serving(t, s)
+	addr, stop := serving(t, s)
 	st.Submit(t, addr, st.Submission{ID: "m", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	first := st.Receive(t, calls)
-	leave()
+	stop()
 	p.Change(st.Target("s-9", e.Addr, 0, "SERVING"))
 	s = newTest(t, p, func(c *Config) { c.StateDir = state })
-	held := s.journal.pending()
-	if len(held) != 1 || len(held[0].Attempts) != 1 || !strings.HasPrefix(held[0].Attempts[0].Endpoint, "dns:0:") {
-		t.Fatalf("%+v", held)
+	pending := s.journal.pending()
+	if len(pending) != 1 || len(pending[0].Attempts) != 1 || !strings.HasPrefix(pending[0].Attempts[0].Endpoint, "dns:0:") {
+		t.Fatalf("pending messages %+v", pending)
 	}
-	if f, may := held[0].firstPossibleRun(); !may || f.At == 0 {
+	if f, may := pending[0].firstPossibleRun(); !may || f.At == 0 {
 		t.Error("the journal does not show that the message may have run")
 	}
-	_, leave = serving(t, s)
-	defer leave()
+	_, stop = serving(t, s)
+	defer stop()
 	if again := st.Receive(t, calls); again.ID != "m" || again.Key != first.Key || again.Key == "" {
-		t.Errorf("%+v, first %+v", again, first)
+		t.Errorf("the repeat is %+v, the first call %+v", again, first)
 	}
 }
 
 // The report that the command line queries.
 func TestNames_Report(t *testing.T) {
 	n := newNamed(t, t.TempDir())
-	n.at("127.0.0.1:9")
+	n.pointTo("127.0.0.1:9")
 	state := t.TempDir()
 	_ = run(t, st.NewPlatform(t), func(c *Config) { c.StateDir = state; n.names(membership.NamesFirst)(c) })
 	var r nameserver.Report
 	asked(t, state, "/zones", &r)
 	if len(r.Zones) != 1 || r.Zones[0].State != "held" || len(r.Members) != 1 || r.Counts["updates"] != 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("report %+v", r)
 	}
 }
 
@@ -254,7 +254,7 @@
 	p.Change(st.Target("s-1", other.Addr, 1, "SERVING"))
 	addr := run(t, p, n.names(membership.NamesFirst))
 	st.Submit(t, addr, st.Submission{ID: "early", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
-	n.at(e.Addr)
+	n.pointTo(e.Addr)
 	if c := e.Next(t); c.ID != "early" {
 		t.Error(c.ID)
 	}
--- a/internal/sender/stored_data_test.go
+++ b/internal/sender/stored_data_test.go
@@ -79,12 +79,12 @@
 		over.Op = opOver
 		j.update(m, over)
 	}
-	told := put(record{ID: "told", Class: "unsafe", Deadline: second(80)})
-	j.update(told, record{Op: opOver, Outcome: outcomeGivenUp, AwaitsRecorder: true, At: second(25)})
-	j.update(told, record{Op: opNotified})
-	kept := put(record{ID: "kept", Class: "unsafe", Deadline: second(81)})
-	j.update(kept, record{Op: opOver, Outcome: outcomeGivenUp, AwaitsRecorder: true, At: second(26)})
-	j.update(kept, record{Op: opRecorded})
+	notified := put(record{ID: "told", Class: "unsafe", Deadline: second(80)})
+	j.update(notified, record{Op: opOver, Outcome: outcomeGivenUp, AwaitsRecorder: true, At: second(25)})
+	j.update(notified, record{Op: opNotified})
+	recorded := put(record{ID: "kept", Class: "unsafe", Deadline: second(81)})
+	j.update(recorded, record{Op: opOver, Outcome: outcomeGivenUp, AwaitsRecorder: true, At: second(26)})
+	j.update(recorded, record{Op: opRecorded})
 	forgotten := put(record{ID: "forgotten", Class: "unsafe", Deadline: second(82)})
 	j.update(forgotten, record{Op: opOver, Outcome: outcomeGivenUp})
 	j.update(forgotten, record{Op: opNotified})
--- a/internal/sender/submit.go
+++ b/internal/sender/submit.go
@@ -58,13 +58,13 @@
 
 // answerDuplicate answers a submission with the id of a message in the journal. It is treated as the same message, unless it is an
 // event: those are identified by their source and id, so this is another event, which would be lost if it were acknowledged.
-func (s *Sender) answerDuplicate(sub submission, held *storedMessage) {
+func (s *Sender) answerDuplicate(sub submission, existing *storedMessage) {
 	switch {
 	case sub.Identity != nil:
 		sub.answer <- response{status: http.StatusConflict, text: "X-Request-Id is another message's"}
-	case held.outcome == outcomeAnswered: // its client was answered that it failed; it only waits for the recorder
+	case existing.outcome == outcomeAnswered: // its client was answered that it failed; it only waits for the recorder
 		sub.answer <- response{status: http.StatusInternalServerError, text: outcomeGivenUp}
-	case held.outcome == outcomeHandedBack: // its client may submit it again, but it can be accepted only once its notice is known to be acknowledged
+	case existing.outcome == outcomeHandedBack: // its client may submit it again, but it can be accepted only once its notice is known to be acknowledged
 		s.rejectSubmission(sub, "it was handed back just now")
 	default:
 		sub.answer <- response{status: http.StatusAccepted}
--- a/internal/sender/submit_test.go
+++ b/internal/sender/submit_test.go
@@ -16,25 +16,25 @@
 	s := newTest(t, st.NewPlatform(t), nil)
 	s.notices = make(chan []notice, 1) // notices are not sent yet
 	s.step(t.Context(), s.initialListEvents())
-	handIn := func() int {
+	submit := func() int {
 		sub := submission{record: record{ID: "m", Op: opAccept, Tenant: "acme", Class: "unsafe", Deadline: s.clock.now() + time.Hour}, class: 2, answer: make(chan response, 1)}
 		if event := s.handle(sub); event != nil {
 			s.step(t.Context(), []brain.Event{event})
 		}
 		return (<-sub.answer).status
 	}
-	if got := handIn(); got != http.StatusAccepted {
+	if got := submit(); got != http.StatusAccepted {
 		t.Fatalf("the message is answered %d", got)
 	}
 	s.finish(s.lastID, outcomeHandedBack, http.StatusServiceUnavailable, s.config.Settings.MaxRetryAfter)
 	s.flush()
 	s.sendNotices()
-	if got := handIn(); got != http.StatusServiceUnavailable || s.pending != 0 {
+	if got := submit(); got != http.StatusServiceUnavailable || s.pending != 0 {
 		t.Errorf("before its notice is acknowledged the message is answered %d, and %d messages are pending", got, s.pending)
 	}
 	s.handle(noticesDelivered{<-s.notices})
 	s.flush()
-	if got := handIn(); got != http.StatusAccepted || s.pending != 1 {
+	if got := submit(); got != http.StatusAccepted || s.pending != 1 {
 		t.Errorf("after that the message is answered %d, and %d messages are pending", got, s.pending)
 	}
 }
--- a/internal/sender/trace.go
+++ b/internal/sender/trace.go
@@ -22,11 +22,11 @@
 	if e.Outcome != brain.Served {
 		outcome = string(outcomeOf(e.Outcome))
 	}
-	at := ""
-	if end := s.endpoints.ByNumber[e.Endpoint]; end != nil {
-		at = end.ID
+	endpointID := ""
+	if endpoint := s.endpoints.ByNumber[e.Endpoint]; endpoint != nil {
+		endpointID = endpoint.ID
 	}
-	s.trace("call ended", m.ID, slog.Uint64("dest", uint64(m.Dest)), slog.Int("try", m.earlierAttempts+e.attempt), slog.String("endpoint", at),
+	s.trace("call ended", m.ID, slog.Uint64("dest", uint64(m.Dest)), slog.Int("try", m.earlierAttempts+e.attempt), slog.String("endpoint", endpointID),
 		slog.String("outcome", outcome), slog.Duration("took", e.Elapsed), slog.Duration("wait", e.RetryAfter),
 		slog.Bool("crowded", e.ConnLimitReached), slog.Float64("left", e.Remaining), slog.Float64("limit", e.Limit))
 }
--- a/internal/sendertest/platform.go
+++ b/internal/sendertest/platform.go
@@ -18,14 +18,14 @@
 	"saffronyard.example/saffronyard/internal/cloudevents"
 )
 
-// Wait is how long a test waits for an event that should come.
+// Wait is how long a test waits for an expected event.
 const Wait = 20 * time.Second
 
 // Call is a request that an endpoint received.
 type Call struct {
 	ID, Key, Body string
 	Header        http.Header
-	Conn          int // which connection it came on, from 1
+	Conn          int // number of its connection, from 1
 	Method, Path  string
 }
 
@@ -165,12 +165,12 @@
 	Notices chan Notice
 	Lists   chan string // the query of each call for the list
 
-	mu      sync.Mutex
-	version int
-	targets []map[string]any
-	changed chan struct{}
-	down    bool
-	deaf    bool // notices are answered 503
+	mu             sync.Mutex
+	version        int
+	targets        []map[string]any
+	changed        chan struct{}
+	rejectsLists   bool
+	rejectsNotices bool // notices are answered 503
 }
 
 // NewPlatform starts discovery with a list of endpoints: the address at index i is for destination i.
@@ -222,18 +222,18 @@
 }
 
 // RejectListCalls makes requests for the list fail, or succeed again; watches in progress end with an error too.
-func (p *Platform) RejectListCalls(down bool) {
+func (p *Platform) RejectListCalls(reject bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.down = down
+	p.rejectsLists = reject
 	p.wake()
 }
 
 // RejectNotices makes notices fail, or succeed again.
-func (p *Platform) RejectNotices(deaf bool) {
+func (p *Platform) RejectNotices(reject bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.deaf = deaf
+	p.rejectsNotices = reject
 }
 
 // list answers GET /api/targets.
@@ -244,10 +244,10 @@
 	over := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		p.mu.Lock()
-		version, changed, down := p.version, p.changed, p.down
+		version, changed, rejected := p.version, p.changed, p.rejectsLists
 		answer, _ := json.Marshal(map[string]any{"version": p.version, "full": true, "servers": p.targets})
 		p.mu.Unlock()
-		if down {
+		if rejected {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -269,9 +269,9 @@
 // notices answers POST /v1/notices.
 func (p *Platform) notices(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	deaf := p.deaf
+	rejected := p.rejectsNotices
 	p.mu.Unlock()
-	if deaf {
+	if rejected {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
