--- a/internal/sender/journal_outages.go
+++ b/internal/sender/journal_outages.go
@@ -24,7 +24,7 @@
 	Rate            float64       `json:"rate,omitempty"` // calls a second usually served there, by this sender
 }
 
-// outageSnapshot is all outages at one time.
+// outageSnapshot is all outages at a point in time.
 type outageSnapshot struct {
 	at   time.Duration
 	list []outage
--- a/internal/sender/server_test.go
+++ b/internal/sender/server_test.go
@@ -202,7 +202,7 @@
 		}
 		_, keptOpen = request()
 	}
-	first.SetReadDeadline(time.Now().Add(minIdleTime)) // at that time it has been idle for minIdleTime
+	first.SetReadDeadline(time.Now().Add(minIdleTime)) // until it has been idle for minIdleTime
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("the first connection is closed early: %v", err)
 	}
--- a/internal/sender/sources_names_test.go
+++ b/internal/sender/sources_names_test.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// A keyed message may have run at an address that names listed. The next process, in whose list discovery has that address under its
-// own id, sends the message again with the same key, and as one that may have run.
+// A keyed message may have run at an address that names listed. The next process gets that address from discovery, under another id; it
+// sends the message again with the same key, and treats it as one that may have run.
 func TestNames_HistoryOfAddressSurvives(t *testing.T) {
 	calls := make(chan st.Call, 10)
 	unanswered := make(chan struct{}, 1)
