--- a/internal/sender/outages_test.go
+++ b/internal/sender/outages_test.go
@@ -12,7 +12,7 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// resumed makes a sender over a folder and has it take up what that holds; nobody listens to it.
+// resumed creates a sender and lets it resume what its state folder contains; it does not listen.
 func resumed(t *testing.T, p *st.Platform, edit func(*Config)) *Sender {
 	t.Helper()
 	s := newTest(t, p, edit)
@@ -20,8 +20,8 @@
 	return s
 }
 
-// leaveMessages has an earlier process leave messages in a journal, and who was out as it wrote that down last.
-func leaveMessages(t *testing.T, dir string, messages int, outs outageSnapshot, edit func(n int, r *record)) {
+// leaveMessages writes a journal as an earlier process leaves it: with messages, and with the outages that it stored last.
+func leaveMessages(t *testing.T, dir string, messages int, outages outageSnapshot, edit func(n int, r *record)) {
 	t.Helper()
 	j := openTest(t, dir, 1<<20)
 	for n := range messages {
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := j.saveRates([]brain.UsualRate{{Destination: 0, Rate: 4}}, outs); err != nil {
+	if err := j.saveRates([]brain.UsualRate{{Destination: 0, Rate: 4}}, outages); err != nil {
 		t.Fatal(err)
 	}
 	if err := j.close(); err != nil {
@@ -41,16 +41,17 @@
 	}
 }
 
-// A process that was restarted while a receiver was out, or came back, sent all that it found taken on for it at once. Seven in
-// ten of a fleet that did so sent a cold receiver up to 204 calls more than its budget allows (brain, TestTheFleetsRamp).
+// A process that restarted while a receiver was out of service or recovering sent all accepted messages for that receiver at once.
+// When seven in ten senders of a fleet did so, a cold receiver got up to 204 calls more than its budget allows (measured in a test of
+// package brain).
 func TestOutages_SurviveRestart(t *testing.T) {
 	t.Parallel()
 	now := newClock().now()
 	ago := func(d time.Duration) time.Duration { return now - d }
 	tests := []struct {
-		name string
-		outs outageSnapshot
-		want brain.Health // of destination 0, as the next process has it
+		name    string
+		outages outageSnapshot
+		want    brain.Health // of destination 0 in the next process
 	}{
 		{"out", outageSnapshot{ago(time.Second), []outage{{Dest: 0, Began: ago(9 * time.Second), Rate: 4}}}, brain.Unhealthy},
 		{"comes back", outageSnapshot{ago(time.Second), []outage{{Dest: 0, Began: ago(9 * time.Second), RecoveringSince: ago(2 * time.Second), Rate: 4}}}, brain.WarmingUp},
@@ -66,26 +67,26 @@
 			t.Parallel()
 			p := st.NewPlatform(t, st.NewEndpoint(t, st.Unresponsive).Addr)
 			dir := t.TempDir()
-			leaveMessages(t, dir, 12, tt.outs, nil)
+			leaveMessages(t, dir, 12, tt.outages, nil)
 			s := resumed(t, p, func(c *Config) { c.StateDir = dir })
 			if s.pending != 12 {
-				t.Fatalf("%d messages are taken up", s.pending)
+				t.Fatalf("%d messages are resumed", s.pending)
 			}
 			got := brain.HealthUnknown
 			for _, k := range s.brain.Outages() {
 				got = k.Health
 				if k.Destination != 0 || k.Rate < 4 {
-					t.Errorf("%+v", k)
+					t.Errorf("outage %+v", k)
 				}
 			}
 			if got != tt.want {
-				t.Errorf("it is %v, want %v", got, tt.want)
+				t.Errorf("the destination is %v, want %v", got, tt.want)
 			}
 		})
 	}
 }
 
-// What the journal keeps of outages is what the module says, through a compaction too, and has a bound.
+// The journal stores the outages that the module reports, up to a limit in bytes, and a compaction preserves them.
 func TestOutages_InJournal(t *testing.T) {
 	dir := t.TempDir()
 	o := outageSnapshot{at: 5 * time.Second}
@@ -97,35 +98,35 @@
 		j := openTest(t, dir, 1<<20)
 		n := len(j.outages.list)
 		if j.outages.at != o.at || n == 0 || n == 200 || j.outages.list[7] != o.list[192] || j.rates[0] != 4 {
-			t.Fatalf("%+v, rates %v", j.outages, j.rates)
+			t.Fatalf("outages %+v, rates %v", j.outages, j.rates)
 		}
 		if raw, _ := json.Marshal(j.outages.list); len(raw) > maxOutageReserve {
-			t.Errorf("%d bytes are kept", len(raw))
+			t.Errorf("the outages take %d bytes", len(raw))
 		}
 		j.close()
 	}
 	if small := openTest(t, t.TempDir(), 12<<10); small.reserved > 4<<10 {
-		t.Errorf("of 12 KiB %d bytes are put by", small.reserved)
+		t.Errorf("of a budget of 12 KiB %d bytes are reserved", small.reserved)
 	}
 }
 
-// A sender writes down what it sees itself: calls that fail one after the other are enough.
+// A sender stores an outage that it has observed itself: consecutive failed calls are enough.
 func TestOutages_AreRecorded(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Reset)
 	p := st.NewPlatform(t, e.Addr)
 	s := newTest(t, p, nil)
-	addr, leave := serving(t, s)
+	addr, stop := serving(t, s)
 	for n := range 3 {
 		st.Submit(t, addr, st.Submission{ID: fmt.Sprintf("m%d", n), Class: "safe", Destination: 0, Deadline: 15 * time.Second})
 		e.Next(t)
 	}
 	journal := s.journal.path
 	waitForText(t, journal, `"outages":[{"dest":0,"began":`)
-	leave()
+	stop()
 }
 
-// waitForText waits until a file holds a text.
+// waitForText waits until a file contains a text.
 func waitForText(t *testing.T, path, text string) {
 	t.Helper()
 	for over := time.Now().Add(st.Wait); ; time.Sleep(10 * time.Millisecond) {
@@ -134,7 +135,7 @@
 			return
 		}
 		if time.Now().After(over) {
-			t.Fatalf("%s does not come to hold %s", path, text)
+			t.Fatalf("%s does not contain %s in time", path, text)
 		}
 	}
 }
--- a/internal/sender/sources_moves_test.go
+++ b/internal/sender/sources_moves_test.go
@@ -17,51 +17,51 @@
 	moves       = 200
 	moveCalls   = 5 // calls that each address gets before the next move
 	moveClients = 4
-	// withinCapacity is how many messages may be undelivered at once without filling the sender's room: it hands messages back from
-	// 95 of 100 on, and up to ten more count as held whose answers are on their way.
+	// withinCapacity is how many messages may be undelivered at once without filling the sender: it hands messages back from 95 of 100
+	// pending messages on, and up to ten more are pending whose responses are in flight.
 	withinCapacity = 80
-	// moveBound is how long after the update's answer a call may still go to the old address, with some slack for its way.
+	// moveBound is how long after the response to the update a call may still go to the old address, with some slack for its transmission.
 	moveBound = 2*time.Second + 50*time.Millisecond
 )
 
-// Two hundred moves under load, as much as the sender holds without handing any back: no message is refused, each is delivered
-// exactly once, and no new call goes to an address later than two seconds after the update that removed it was answered. How
-// late the last call to each was is logged.
+// Two hundred moves under a load that never fills the sender: no message is rejected or handed back, each is delivered exactly once, and
+// no new call goes to an address later than two seconds after the response to the update that removed it. The delay of the last call to
+// each address is logged.
 func TestEndpointsMove_WithinCapacity(t *testing.T) {
 	l := newMoveLoad(t, withinCapacity)
-	l.play()
-	if len(l.handedBack) > 0 || l.refused > 0 {
-		t.Errorf("%d messages are refused and %d handed back, though there is room", l.refused, len(l.handedBack))
+	l.run()
+	if len(l.handedBack) > 0 || l.rejected > 0 {
+		t.Errorf("%d messages are rejected and %d handed back, though there is room", l.rejected, len(l.handedBack))
 	}
 }
 
-// The same beyond the sender's room. A message whose call was recalled as its address went waits again, and came to wait last: so it
-// is the one that is handed back while the room is full, which its client hears by a notice. Each message that was taken on is
-// delivered exactly once, or handed back by one notice and never sent; none is given up.
+// The same under a load that fills the sender. A message whose call is recalled because its address was removed is queued again, behind
+// all others: so it is the one that is handed back while the sender is full, with a notice to its client. Each accepted message is
+// delivered exactly once, or handed back with one notice and never sent; none is given up.
 func TestEndpointsMove_BeyondCapacity(t *testing.T) {
-	newMoveLoad(t, 0).play()
+	newMoveLoad(t, 0).run()
 }
 
-// moveLoad is clients that hand messages in while the only member of their destination moves from address to address.
+// moveLoad is clients that submit messages while the only member of their destination moves from address to address.
 type moveLoad struct {
 	t              *testing.T
 	names          *namedMembers
 	platform       *st.Platform
 	sender         string
 	addrs          []string
-	acknowledgedAt []time.Time   // when the update that removed each address was answered
-	slots          chan struct{} // a place for each message that is handed in and not yet delivered; nil without a bound
+	acknowledgedAt []time.Time   // when the update that removed each address was acknowledged
+	slots          chan struct{} // a slot for each message that is submitted and not yet delivered; nil: no limit
 
 	mu         sync.Mutex
-	last       []time.Time // when the last call to each address came
+	last       []time.Time // when the last call to each address arrived
 	got        []int       // calls to each address
 	accepted   map[string]bool
-	refused    int
+	rejected   int
 	delivered  map[string]int
 	handedBack map[string]int
 }
 
-// newMoveLoad starts the endpoints and the sender; most is how many messages may be undelivered at once, 0 for no bound.
+// newMoveLoad starts the endpoints and the sender; most is how many messages may be undelivered at once, 0 for no limit.
 func newMoveLoad(t *testing.T, most int) *moveLoad {
 	l := &moveLoad{t: t, acknowledgedAt: make([]time.Time, moves), last: make([]time.Time, moves+1), got: make([]int, moves+1),
 		accepted: map[string]bool{}, delivered: map[string]int{}, handedBack: map[string]int{}}
@@ -76,12 +76,12 @@
 		l.addrs = append(l.addrs, e.Addr)
 	}
 	l.names, l.platform = newNamed(t, t.TempDir()), st.NewPlatform(t)
-	l.names.at(l.addrs[0])
+	l.names.pointTo(l.addrs[0])
 	l.sender = run(t, l.platform, l.names.names(membership.NamesFirst))
 	return l
 }
 
-// called books a call to the address at place i.
+// called records a call to the address at index i.
 func (l *moveLoad) called(i int, c st.Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,12 +93,12 @@
 	}
 }
 
-// play moves the member under load, and checks how each message ended.
-func (l *moveLoad) play() {
+// run moves the member under load, and checks how each message ended.
+func (l *moveLoad) run() {
 	done := make(chan struct{})
 	var clients sync.WaitGroup
 	for client := range moveClients {
-		clients.Go(func() { l.handIn(client, done) })
+		clients.Go(func() { l.submit(client, done) })
 	}
 	l.move()
 	close(done)
@@ -107,8 +107,8 @@
 	l.check()
 }
 
-// handIn hands in messages, one after the other, until the load is over.
-func (l *moveLoad) handIn(client int, done <-chan struct{}) {
+// submit submits messages, one after the other, until done is closed.
+func (l *moveLoad) submit(client int, done <-chan struct{}) {
 	for n := 0; ; n++ {
 		if l.slots != nil {
 			select {
@@ -128,29 +128,29 @@
 	}
 }
 
-// answered books the answer to a message.
+// answered records the response to a message.
 func (l *moveLoad) answered(id string, status int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch status {
 	case http.StatusAccepted:
 		l.accepted[id] = true
-	case http.StatusServiceUnavailable: // its room is taken: the load is as much as it bears
-		l.refused++
+	case http.StatusServiceUnavailable: // the sender is full
+		l.rejected++
 	default:
 		l.t.Errorf("%s is answered %d", id, status)
 	}
 }
 
-// move repoints the member from address to address; the next move comes when some calls have gone to this one.
+// move points the member to one address after the other; before each next move it waits for moveCalls calls to the current address.
 func (l *moveLoad) move() {
 	for i := 1; i <= moves; i++ {
-		l.acknowledgedAt[i-1] = l.names.at(l.addrs[i])
+		l.acknowledgedAt[i-1] = l.names.pointTo(l.addrs[i])
 		l.until(fmt.Sprintf("move %d is not followed", i), func() bool { return l.got[i] >= moveCalls })
 	}
 }
 
-// waitUntilQuiet waits until each message that was taken on has ended.
+// waitUntilQuiet waits until each accepted message has ended.
 func (l *moveLoad) waitUntilQuiet() {
 	l.until("messages have not ended", func() bool {
 		for len(l.platform.Notices) > 0 {
@@ -160,7 +160,7 @@
 	})
 }
 
-// noticed books a notice.
+// noticed records a notice.
 func (l *moveLoad) noticed(n st.Notice) {
 	if n.Outcome != outcomeHandedBack {
 		l.t.Errorf("%s ends as %s", n.Message, n.Outcome)
@@ -168,24 +168,24 @@
 	l.handedBack[n.Message]++
 }
 
-// until waits, under the lock, for what is to come about.
-func (l *moveLoad) until(otherwise string, about func() bool) {
+// until waits for a condition, which it checks with mu held, and fails the test with a message if that is not met in time.
+func (l *moveLoad) until(failure string, condition func() bool) {
 	l.t.Helper()
 	for over := time.Now().Add(st.Wait); ; time.Sleep(time.Millisecond) {
 		l.mu.Lock()
-		came := about()
-		taken, delivered, back := len(l.accepted), len(l.delivered), len(l.handedBack)
+		met := condition()
+		accepted, delivered, back := len(l.accepted), len(l.delivered), len(l.handedBack)
 		l.mu.Unlock()
-		if came {
+		if met {
 			return
 		}
 		if time.Now().After(over) {
-			l.t.Fatalf("%s: %d taken on, %d delivered, %d handed back", otherwise, taken, delivered, back)
+			l.t.Fatalf("%s: %d accepted, %d delivered, %d handed back", failure, accepted, delivered, back)
 		}
 	}
 }
 
-// check is that each message ended once, and no call came late.
+// check checks that each message ended once, and that no call came late.
 func (l *moveLoad) check() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -196,18 +196,18 @@
 	}
 	for id := range l.delivered {
 		if !l.accepted[id] {
-			l.t.Errorf("%s was delivered, and not taken on", id)
+			l.t.Errorf("%s was delivered, but not accepted", id)
 		}
 	}
 	var late []time.Duration
 	for i := range moves {
 		d := l.last[i].Sub(l.acknowledgedAt[i])
 		if d > moveBound {
-			l.t.Errorf("move %d: a call went to the old address %v after", i+1, d)
+			l.t.Errorf("move %d: a call went to the old address %v after the update", i+1, d)
 		}
 		late = append(late, max(0, d))
 	}
 	slices.Sort(late)
-	l.t.Logf("%d messages, %d handed back, %d refused; last call to the old address after the answer: median %v, p90 %v, most %v",
-		len(l.accepted), len(l.handedBack), l.refused, late[len(late)/2], late[len(late)*9/10], late[len(late)-1])
+	l.t.Logf("%d messages, %d handed back, %d rejected; last call to the old address after the response: median %v, p90 %v, maximum %v",
+		len(l.accepted), len(l.handedBack), l.rejected, late[len(late)/2], late[len(late)*9/10], late[len(late)-1])
 }
