--- a/proto/saffronyard/tier/v1/tier.twirp.go
+++ b/proto/saffronyard/tier/v1/tier.twirp.go
@@ -2,10 +2,10 @@
 // source: saffronyard/tier/v1/tier.proto
 
 // Package saffronyard.tier.v1 is the protocol between the processes of the serving tier: twirp over HTTP/1.1 with binary bodies, on
-// their internal ports. Gateways carry the traffic, control-plane processes keep the control state, turn stores keep turns and
-// budgets. The names of services and methods are part of the paths of requests. Names of fields appear only in the JSON of
-// the status command, so those of StatusReply and of all messages within it stay as they are; others may be renamed. Numbers
-// and types never change.
+// their internal ports. Gateways carry the client traffic, control-plane processes store the control state, and turn stores store
+// turns and budgets. The names of services and methods are part of the paths of requests, so they must never change. Names of
+// fields appear only in the JSON of the status command: those of StatusReply and of all messages nested in it must never change;
+// others may be renamed. Field numbers and types must never change.
 
 package tierv1
 
@@ -37,14 +37,15 @@
 // ControlPlane Interface
 // ======================
 
-// ControlPlane is what a control-plane process serves to gateways, turn stores and the command line.
+// ControlPlane is the service of a control-plane process for gateways, turn stores and the command line.
 type ControlPlane interface {
-	// Watch is a long poll: it returns at once if there is an update for the caller, else after poll_timeout_ms. Only the
-	// primary replies with is_primary, and only while its lease is valid.
+	// Watch is a long poll: it returns as soon as there is an update for the caller, and after poll_timeout_ms at the latest. Only
+	// the primary replies with is_primary, and only while its lease is valid.
 	Watch(context.Context, *WatchRequest) (*WatchReply, error)
 
-	// ReportEjections reports endpoints that a gateway has ejected because they failed or timed out. The primary forwards what
-	// several gateways report to all of them (WatchReply.ejections). It is a hint: it is not stored and may be lost.
+	// ReportEjections reports endpoints that a gateway has ejected because they failed or timed out. Once several gateways have
+	// reported an ejection, the primary sends it to all gateways (WatchReply.ejections). A report is a hint: it is not stored and
+	// may be lost.
 	ReportEjections(context.Context, *EjectionReport) (*EjectionReportReply, error)
 
 	// Status returns the state of this process, for operators.
@@ -1095,22 +1096,23 @@
 // Election Interface
 // ==================
 
-// Election is what control-plane processes call on each other: they choose views (Promise is the prepare phase, Accept the accept
-// phase of Paxos), and the primary of a view replicates the control state to its backups.
+// Election is the service that control-plane processes call on each other: they choose views (Promise is the prepare phase,
+// Accept the accept phase of Paxos), and the primary of a view replicates the control state to its backups.
 type Election interface {
-	// Promise asks the callee to take part in no epoch below the one given, or, for epoch 0, whether it would.
+	// Promise asks the callee to promise that it takes part in no epoch below the requested one. Epoch 0 is a pre-vote: it asks
+	// whether the callee would make such a promise now, and records none.
 	Promise(context.Context, *PrepareRequest) (*PrepareReply, error)
 
 	// Accept asks the callee to accept a view under the epoch that it prepared last.
 	Accept(context.Context, *AcceptRequest) (*AcceptReply, error)
 
-	// Heartbeat tells the callee the view in force; the reply renews the primary's lease.
+	// Heartbeat sends the view in force to the callee; the reply renews the primary's lease.
 	Heartbeat(context.Context, *HeartbeatRequest) (*HeartbeatReply, error)
 
 	// Write replicates writes, or a snapshot of the state, to a backup.
 	Write(context.Context, *WriteRequest) (*WriteReply, error)
 
-	// Join announces a process that is no member yet, or that has lost the primary.
+	// Join announces a process that is not yet a member, or that has lost contact with the primary.
 	Join(context.Context, *JoinRequest) (*JoinReply, error)
 }
 
@@ -2714,11 +2716,13 @@
 
 // TurnStore stores turns and accounts for budgets.
 type TurnStore interface {
-	// Begin asks, before a turn is sent, whether its previous turn is known and whether its budget has capacity, and reserves its
-	// maximum. It is durable at the primary and its backups before it is answered with OK. It is idempotent by its attempt.
+	// Begin is called before a turn is sent to an endpoint. It checks that the previous turn is known and that the budget has
+	// capacity, and reserves max_tokens. The reservation and any adopted turns are durable at the primary and its backups before
+	// the reply is OK. Calls are idempotent by attempt.
 	Begin(context.Context, *BeginRequest) (*BeginReply, error)
 
-	// Settle ends what Begin reserved: with the turn to be stored, or with what was handed out of one that is not stored.
+	// Settle ends the reservation of a Begin: with the turn to be stored, or, if the turn is not stored, with the tokens that were
+	// sent to the client.
 	Settle(context.Context, *SettleRequest) (*SettleReply, error)
 
 	// Find looks for a turn in all partitions whose primary this turn store is.
@@ -2727,7 +2731,7 @@
 	// Replicate sends facts from the primary of a partition to a backup.
 	Replicate(context.Context, *ReplicateRequest) (*ReplicateReply, error)
 
-	// Held returns the keys of the facts of a partition that a replica has, so that the primary sends what it lacks.
+	// Held returns the keys of the facts of a partition that a replica has, so that the primary sends only the missing facts.
 	Held(context.Context, *FactKeysRequest) (*FactKeysReply, error)
 
 	// Fetch returns facts of a partition by their keys.
