--- a/proto/generate/main.go
+++ b/proto/generate/main.go
@@ -1,4 +1,4 @@
-// Command generate makes the Go code of the .proto files under proto/, with the generators that go.mod pins.
+// Command generate writes the Go code for the .proto files under proto/, with the generators that go.mod pins.
 package main
 
 import (
@@ -25,7 +25,7 @@
 	}
 }
 
-// generate runs in the folder proto.
+// generate writes the generated files. The working directory must be proto/.
 func generate() error {
 	var names []string
 	err := filepath.WalkDir("saffronyard", func(path string, _ fs.DirEntry, err error) error {
@@ -47,7 +47,7 @@
 	for _, f := range files {
 		req.ProtoFile = append(req.ProtoFile, protoutil.ProtoFromFileDescriptor(f))
 	}
-	tier := func(name string) bool { return strings.HasPrefix(name, "saffronyard/tier/") } // between the tier's processes: twirp
+	tier := func(name string) bool { return strings.HasPrefix(name, "saffronyard/tier/") } // the serving tier uses twirp instead of gRPC
 	for plugin, wants := range map[string]func(string) bool{
 		"protoc-gen-go":      func(string) bool { return true },
 		"protoc-gen-go-grpc": func(name string) bool { return !tier(name) },
--- a/proto/status_json_test.go
+++ b/proto/status_json_test.go
@@ -12,15 +12,16 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// TestStatusJSON_Golden compares the names in the JSON of a control-plane process's status, which status --json prints for operators, with
-// the golden file: those of fields, and of the values of enums.
+// TestStatusJSON_Golden compares the field names and enum value names in the JSON that status --json prints for operators with the golden
+// file.
 func TestStatusJSON_Golden(t *testing.T) {
 	var out strings.Builder
 	describeJSON(&out, (&tierv1.StatusReply{}).ProtoReflect().Descriptor(), "")
 	golden.Assert(t, out.String(), "status_json.golden")
 }
 
-// describeJSON writes one line for each field of a message and of those within it: its path in JSON, and its type.
+// describeJSON writes one line for each field of a message and of its nested messages: its path in JSON and its type. An enum field has one
+// line for each value, with the value's name instead of the type.
 func describeJSON(out *strings.Builder, message protoreflect.MessageDescriptor, path string) {
 	var names []string
 	for i := range message.Fields().Len() {
--- a/proto/wire_test.go
+++ b/proto/wire_test.go
@@ -12,13 +12,13 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// TestTierWireFormat compares all that two processes of different releases have to agree on with the golden file: the paths of the
+// TestTierWireFormat compares everything that two processes of different releases must agree on with the golden file: the paths of the
 // methods, and the numbers and types of the fields of their messages. Names of messages, fields and enum values are not on the wire.
 func TestTierWireFormat(t *testing.T) {
 	golden.Assert(t, describeServices(tierv1.File_saffronyard_tier_v1_tier_proto), "tier_wire.golden")
 }
 
-// TestTierPathPrefixes checks that the servers are reached below the paths that describeServices writes.
+// TestTierPathPrefixes checks that the path prefixes of the generated servers are those that describeServices writes.
 func TestTierPathPrefixes(t *testing.T) {
 	services := tierv1.File_saffronyard_tier_v1_tier_proto.Services()
 	for i, server := range []tierv1.TwirpServer{tierv1.NewControlPlaneServer(nil), tierv1.NewElectionServer(nil), tierv1.NewTurnStoreServer(nil)} {
@@ -27,7 +27,7 @@
 	assert.Equal(t, services.Len(), 3)
 }
 
-// describeServices returns one line for each method of a file's services: its path with the shapes of its messages.
+// describeServices returns three lines for each method of a file's services: its path, its request's fields and its reply's fields.
 func describeServices(file protoreflect.FileDescriptor) string {
 	var out strings.Builder
 	for i := range file.Services().Len() {
@@ -42,7 +42,7 @@
 }
 
 // describeMessage returns the numbers and types of a message's fields, in order of their numbers, those of nested messages included.
-// A message within itself is given by its depth below the outermost one.
+// A message nested in itself is written as ^ and the depth of its outer occurrence, where 0 is the outermost message.
 func describeMessage(message protoreflect.MessageDescriptor, enclosing []protoreflect.FullName) string {
 	for depth, name := range enclosing {
 		if name == message.FullName() {
