--- a/internal/faulttest/scenariofuzz/contracts.go
+++ b/internal/faulttest/scenariofuzz/contracts.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// contractOf names the part of the rules that must be in force where a kind of trouble comes.
+// contractOf maps a kind of fault to the contract (a part of the rules) that must be active on a site with such a fault.
 var contractOf = map[string]string{"srv_flap": "health", "srv_lying_health": "health", "idle_race": "pool"}
 
-// openContracts puts the parts of the rules in force that only grown deployments have.
-func openContracts(site Table) {
-	open, _ := site["contracts"].([]any)
+// activateContracts activates the contracts that only extended deployments have.
+func activateContracts(site Table) {
+	active, _ := site["contracts"].([]any)
 	for _, name := range []string{"health", "pool"} {
-		if !slices.Contains(open, any(name)) {
-			open = append(open, name)
+		if !slices.Contains(active, any(name)) {
+			active = append(active, name)
 		}
 	}
-	site["contracts"] = open
+	site["contracts"] = active
 }
 
-// withoutClosedContracts drops troubles whose part of the rules is not in force.
-func withoutClosedContracts(all []Table, site Table) []Table {
-	open, _ := site["contracts"].([]any)
+// withoutInactiveContracts drops faults whose contract is not active.
+func withoutInactiveContracts(all []Table, site Table) []Table {
+	active, _ := site["contracts"].([]any)
 	return slices.DeleteFunc(all, func(t Table) bool {
 		kind, _ := t["kind"].(string)
-		contract, bound := contractOf[kind]
-		return bound && !slices.Contains(open, any(contract))
+		contract, requiresContract := contractOf[kind]
+		return requiresContract && !slices.Contains(active, any(contract))
 	})
 }
--- a/internal/faulttest/scenariofuzz/day.go
+++ b/internal/faulttest/scenariofuzz/day.go
@@ -6,25 +6,25 @@
 	"sort"
 )
 
-// day draws the troubles of one day of a site.
+// day draws the plan and the faults of one day of a site.
 func (r random) day(site Table, seed int64, chosen scenario) Table {
 	length := lengthOf(site)
 	var all []Table
-	for _, t := range chosen.must {
+	for _, t := range chosen.required {
 		all = append(all, at(r.between(1, length-12), maps.Clone(t))...)
 	}
 	if chosen.timed != nil {
 		all = append(all, chosen.timed(r, site)...)
 	}
-	if !chosen.alone {
+	if !chosen.noRandomFaults {
 		all = append(all, r.drawFaults(site, chosen.timed != nil)...)
 	}
 	all = append(all, r.changes(length)...)
 	for _, t := range all {
-		t["at"] = math3(min(max(t["at"].(float64), 0.1), lastMoment(site, chosen)))
+		t["at"] = roundThousandths(min(max(t["at"].(float64), 0.1), latestStart(site, chosen)))
 	}
-	all = withoutClosedContracts(all, site)
-	all = withoutUnbearableRetires(all, site)
+	all = withoutInactiveContracts(all, site)
+	all = withoutExcessRetires(all, site)
 	sort.SliceStable(all, func(i, j int) bool { return all[i]["at"].(float64) < all[j]["at"].(float64) })
 	plan, faults := []any{}, []any{}
 	for _, t := range all {
@@ -47,19 +47,20 @@
 	return day
 }
 
-// recoverySeconds is how long after the closing fault a trouble may still begin.
+// recoverySeconds is how long after the closing fault another fault may still begin.
 const recoverySeconds = 7
 
-// lastMoment is the latest second at which a trouble may begin.
-func lastMoment(site Table, chosen scenario) float64 {
+// latestStart returns the latest second at which a fault may begin.
+func latestStart(site Table, chosen scenario) float64 {
 	if chosen.afterEnd {
 		return lengthOf(site) + recoverySeconds
 	}
 	return lengthOf(site) - 1
 }
 
-// drawFaults are troubles of any kind at any moment. Many days are crowded, some are not: alone a trouble shows
-// its own bound. On half of the days two to four troubles come at the same moment, or all within a few seconds.
+// drawFaults draws faults of any kind at random times. Many days have many faults; some have few, since only an isolated fault
+// tests its own time bound. One draw in three puts two to four faults at the same time, and on one day in three all faults
+// come within a few seconds.
 func (r random) drawFaults(site Table, few bool) []Table {
 	length := lengthOf(site)
 	count := pick(r, 2, 4, 6, 9, 12)
@@ -88,7 +89,7 @@
 	return all
 }
 
-// changes are single changes all along: without them no loss of one can show.
+// changes draws single configuration changes throughout the day: without them the loss of a change could not be detected.
 func (r random) changes(length float64) []Table {
 	var all []Table
 	least := pick(r, 0.4, 1.5, 3)
@@ -98,8 +99,8 @@
 	return all
 }
 
-// withoutUnbearableRetires drops orders to empty store machines that would leave too few of them to bear a loss.
-func withoutUnbearableRetires(all []Table, site Table) []Table {
+// withoutExcessRetires drops commands to retire store machines that would leave too few of them to tolerate a loss.
+func withoutExcessRetires(all []Table, site Table) []Table {
 	room := -1 - lossesOf(site)
 	for _, m := range tables(site["machines"]) {
 		if n, ok := m["count"].(int); ok && m["class"] == "store" {
--- a/internal/faulttest/scenariofuzz/deployment.go
+++ b/internal/faulttest/scenariofuzz/deployment.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// deployment gives the site other places, machines, endpoints, traffic and bounds.
+// deployment replaces the zones, machines, endpoints, traffic and bounds of the site.
 func (r random) deployment(site Table, chosen scenario) {
 	zones := r.zones(site, chosen)
 	r.machines(site, zones, chosen)
@@ -16,7 +16,7 @@
 		site["length_s"] = chosen.lengthSeconds
 	}
 	if r.Intn(4) == 0 {
-		// A light day on few machines: here a rule breaks by itself and not by load.
+		// Under light load a broken rule cannot be an effect of overload.
 		for _, entry := range tables(site["traffic"]) {
 			entry["per_s"] = entry["per_s"].(float64) / 3
 		}
@@ -40,30 +40,30 @@
 			class["attempts"] = r.integer(1, 4)
 		}
 	}
-	if chosen.tight {
-		r.tighten(site)
+	if chosen.shortTimeouts {
+		r.shortenTimeouts(site)
 	}
-	if chosen.sorts {
+	if chosen.varyTurnKinds {
 		r.drawTurnKinds(site)
 	}
-	if chosen.scarce {
-		r.makeScarce(site)
+	if chosen.scarceEngines {
+		r.limitEngines(site)
 	}
-	if chosen.pressed {
-		r.press(site)
+	if chosen.largeBodies {
+		r.enlargeBodies(site)
 	}
-	if config, ok := site["config"].(Table); ok && chosen.routes > 0 {
-		config["idle_routes"] = chosen.routes
+	if config, ok := site["config"].(Table); ok && chosen.idleRoutes > 0 {
+		config["idle_routes"] = chosen.idleRoutes
 	}
 	if chosen.veryFar {
 		widenBounds(site)
 	}
 	if chosen.large || r.Intn(2) == 0 {
-		openContracts(site)
+		activateContracts(site)
 	}
 }
 
-// zones gives the site other zones, regions and delays, and returns the zones' names.
+// zones replaces the zones, regions and delays of the site, and returns the zones' names.
 func (r random) zones(site Table, chosen scenario) []string {
 	count, regions := r.integer(3, 5), r.integer(1, 3)
 	if chosen.zones > 0 {
@@ -72,7 +72,7 @@
 	if chosen.far {
 		regions = r.integer(2, 3)
 	}
-	if chosen.few {
+	if chosen.small {
 		count = r.integer(2, 3)
 	}
 	if chosen.large {
@@ -91,15 +91,15 @@
 	}
 	site["zones"] = list
 	net := site["net"].(Table)
-	net["in_zone_ms"] = r.byFactor(0.05, 1)
-	net["cross_zone_ms"] = r.byFactor(0.4, 6)
-	net["cross_region_ms"] = r.byFactor(8, 40)
+	net["in_zone_ms"] = r.logUniform(0.05, 1)
+	net["cross_zone_ms"] = r.logUniform(0.4, 6)
+	net["cross_region_ms"] = r.logUniform(8, 40)
 	if chosen.far {
-		net["cross_zone_ms"] = r.byFactor(4, 12)
-		net["cross_region_ms"] = r.byFactor(12, 40)
+		net["cross_zone_ms"] = r.logUniform(4, 12)
+		net["cross_region_ms"] = r.logUniform(12, 40)
 	}
 	if chosen.veryFar {
-		net["cross_region_ms"] = r.byFactor(50, 100)
+		net["cross_region_ms"] = r.logUniform(50, 100)
 	}
 	if cloud, ok := site["cloud"].(Table); ok {
 		cloud["zone"] = pick(r, names...)
@@ -107,7 +107,7 @@
 	return names
 }
 
-// regionsOf counts the regions of a site.
+// regionsOf returns the number of regions of a site.
 func regionsOf(site Table) int {
 	seen := map[any]bool{}
 	for _, zone := range tables(site["zones"]) {
@@ -116,7 +116,7 @@
 	return len(seen)
 }
 
-// spread lays count machines over the zones, the first zones first.
+// spread distributes count machines evenly over the zones; the first zones get the remainder.
 func spread(count, zones int) []int {
 	out := make([]int, zones)
 	for i := range count {
@@ -125,7 +125,7 @@
 	return out
 }
 
-// machines gives the site other machines; those with disks are enough to bear what is tolerated.
+// machines replaces the machines of the site. There are enough machines with disks to survive the losses that are tolerated.
 func (r random) machines(site Table, zones []string, chosen scenario) {
 	first := map[string]Table{}
 	for _, m := range tables(site["machines"]) {
@@ -147,13 +147,13 @@
 	site["machines"] = list
 }
 
-// machineFleet is how many machines of each class there are to be.
+// machineFleet has the number of machines of each class.
 type machineFleet struct {
 	cores, stores int
-	gateways      int // at most; what is left for the zones to come
+	gateways      int // maximum for the zones that have none yet
 }
 
-// disks draws the numbers of machines with disks, and which losses of them are to be borne.
+// disks draws the numbers of machines with disks, and the losses of them that must be tolerated.
 func (r random) disks(site Table, zones []string, chosen scenario) (cores, stores int) {
 	cores, stores = r.integer(3, 5), r.integer(3, 5)
 	if chosen.cores > 0 {
@@ -162,7 +162,7 @@
 	if chosen.stores > 0 {
 		stores = chosen.stores
 	}
-	if chosen.few {
+	if chosen.small {
 		cores, stores = 3, 3
 	}
 	losses := chosen.losses
@@ -184,14 +184,14 @@
 	return cores, stores
 }
 
-// machinesOf draws the machines of a class, an entry for each zone that has some, from one of the site's own.
+// machinesOf draws the machines of a class: an entry for each zone that has some, copied from like and varied.
 func (r random) machinesOf(class string, like Table, zones []string, chosen scenario, fleet *machineFleet) []any {
 	fraction, memory := r.between(0.25, 0.8), r.integer(230, 420)
 	processors := pick(r, 1, 1, 1, 2, 4)
 	if chosen.processors > 0 {
 		processors = chosen.processors
 	}
-	sync, speed := r.byFactor(0.3, 10), r.integer(60, 300)
+	sync, speed := r.logUniform(0.3, 10), r.integer(60, 300)
 	if chosen.slowDisk {
 		sync = 10.0
 	}
@@ -223,7 +223,7 @@
 	return list
 }
 
-// machineCounts draws how many machines of a class each zone has.
+// machineCounts draws the number of machines of a class in each zone.
 func (r random) machineCounts(class string, zones int, chosen scenario, fleet *machineFleet) (counts []int) {
 	switch class {
 	case "core":
@@ -238,13 +238,13 @@
 			counts = append(counts, n)
 		}
 	}
-	if chosen.few && class == "front" {
+	if chosen.small && class == "front" {
 		counts = spread(2*zones, zones)
 	}
 	return counts
 }
 
-// services gives each service other endpoints.
+// services replaces the endpoints of each service.
 func (r random) services(site Table, zones []string, chosen scenario) {
 	for _, service := range tables(site["services"]) {
 		total := r.integer(6, 14)
@@ -275,7 +275,7 @@
 	}
 }
 
-// traffic gives each zone its own share of requests; long days get fewer of them a second.
+// traffic draws the request rate of each zone. Days longer than 60 s get a third of the rate.
 func (r random) traffic(site Table, zones []string, chosen scenario) {
 	like := tables(site["traffic"])[0]
 	factor := r.between(0.3, 0.9) * 16 / float64(len(zones))
@@ -299,14 +299,15 @@
 	site["traffic"] = list
 }
 
-// minAckMS is the least bound of an operator's order. The operator waits a second at a machine that is silent, may go to
-// it a second time, and pauses in between, which has taken 2.4 s before an order came to any machine that runs.
+// minAckMS is the minimum time limit for the acknowledgement of an operator's command. The operator waits a second for a
+// machine that does not respond, may try the same machine again, and pauses between attempts: it has taken 2.4 s until a
+// command reached a running machine.
 const minAckMS = 4000
 
-// manyServers is the number of endpoints above which the platform's pages are not drawn small.
+// manyServers is the number of endpoints above which the platform's list has no small pages.
 const manyServers = 40
 
-// bounds gives the site other bounds of time, each of which can be kept.
+// bounds replaces the time bounds of the site by bounds that a correct tier can meet.
 func (r random) bounds(site Table) {
 	bounds := site["bounds"].(Table)
 	touch := r.integer(12, 50) * 100
@@ -321,12 +322,12 @@
 	discovery["beat_ms"] = r.integer(4, 20) * 100
 	discovery["lag_ms"] = r.integer(3, 15) * 100
 	discovery["page"] = pick(r, 3, 7, 20, 50)
-	// The rate lets the whole list, with those that a release adds, be read twice in the drain time: else no sender
-	// could keep it.
+	// The rate allows the complete list, with the endpoints that a release adds, to be read twice within the drain time:
+	// otherwise no sender could meet the drain time.
 	servers := 0
 	for _, service := range tables(site["services"]) {
-		for _, place := range tables(service["servers"]) {
-			if n, ok := place["count"].(int); ok {
+		for _, group := range tables(service["servers"]) {
+			if n, ok := group["count"].(int); ok {
 				servers += n
 			}
 		}
--- a/internal/faulttest/scenariofuzz/deployment_test.go
+++ b/internal/faulttest/scenariofuzz/deployment_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// drawnFor draws some days of each scenario that fits.
+// drawnFor draws six days of each scenario that fits.
 func drawnFor(t *testing.T, fits func(scenario) bool) []*DrawnDay {
 	var all []*DrawnDay
 	for _, s := range scenarios {
@@ -33,25 +33,25 @@
 	return counts
 }
 
-// The bench refuses a day with a trouble whose part of the rules is not in force.
-func TestFaults_OfClosedContractsAreDropped(t *testing.T) {
+// The bench rejects a day with a fault whose contract is not active, so such faults must be dropped.
+func TestFaults_OfInactiveContractsAreDropped(t *testing.T) {
 	t.Parallel()
-	dropped, kept := 0, 0
+	withoutHealth, requiring := 0, 0
 	for _, drawn := range drawnFor(t, func(scenario) bool { return true }) {
-		open, _ := drawn.Site["contracts"].([]any)
+		active, _ := drawn.Site["contracts"].([]any)
 		for _, entry := range entriesOf(drawn) {
-			contract, bound := contractOf[entry["kind"].(string)]
-			if !bound {
+			contract, requiresContract := contractOf[entry["kind"].(string)]
+			if !requiresContract {
 				continue
 			}
-			kept++
-			assert.Assert(t, slices.Contains(open, any(contract)), "%s: %v", drawn.Scenario, entry)
+			requiring++
+			assert.Assert(t, slices.Contains(active, any(contract)), "%s: %v", drawn.Scenario, entry)
 		}
-		if !slices.Contains(open, any("health")) {
-			dropped++
+		if !slices.Contains(active, any("health")) {
+			withoutHealth++
 		}
 	}
-	assert.Assert(t, dropped > 0 && kept > 0, "deployments without: %d; troubles: %d", dropped, kept)
+	assert.Assert(t, withoutHealth > 0 && requiring > 0, "days without the health contract: %d; faults that need a contract: %d", withoutHealth, requiring)
 }
 
 func TestLargeAndSmallDeploymentsAreDrawn(t *testing.T) {
@@ -61,7 +61,7 @@
 		assert.Assert(t, counts["front"] >= 60 && counts["store"] == 9 && counts["core"] >= 5 && counts["core"] <= 8, "%v", counts)
 		assert.Equal(t, lossesOf(drawn.Site), 2)
 	}
-	for _, drawn := range drawnFor(t, func(s scenario) bool { return s.few }) {
+	for _, drawn := range drawnFor(t, func(s scenario) bool { return s.small }) {
 		counts := machinesOf(drawn)
 		assert.Equal(t, counts["front"], 2*len(tables(drawn.Site["zones"])))
 		assert.Assert(t, counts["store"] == 3 && counts["core"] == 3, "%v", counts)
@@ -71,7 +71,7 @@
 func TestTheSiteAsItIsKeepsItsDeployment(t *testing.T) {
 	t.Parallel()
 	seen := map[any]bool{}
-	for _, drawn := range drawnFor(t, func(s scenario) bool { return s.asItIs }) {
+	for _, drawn := range drawnFor(t, func(s scenario) bool { return s.unmodified }) {
 		seen[drawn.Scenario] = true
 		assert.DeepEqual(t, machinesOf(drawn), map[any]int{"front": 6, "store": 4, "core": 4})
 		assert.Equal(t, drawn.AckMS(), 4000.0)
@@ -79,7 +79,7 @@
 	assert.Equal(t, len(seen), 3)
 }
 
-// Only where a scenario says so do troubles come after the day's length.
+// In a scenario with afterEnd, faults also begin after the day's length, and the day has a closing fault.
 func TestFaults_DuringRecovery(t *testing.T) {
 	t.Parallel()
 	late := 0
--- a/internal/faulttest/scenariofuzz/draw_test.go
+++ b/internal/faulttest/scenariofuzz/draw_test.go
@@ -34,8 +34,9 @@
 	}
 }
 
-// What is to be borne must be there: more machines with disks than twice the loss, and none in a zone that is no zone.
-func TestDrawnDeploymentsCanBearTheirLosses(t *testing.T) {
+// A drawn deployment must be able to survive the losses it tolerates: it has more than twice as many core and store machines as may be
+// lost, and all machines are in known zones.
+func TestDrawnDeploymentsSurviveTheirLosses(t *testing.T) {
 	t.Parallel()
 	seen := map[string]bool{}
 	for seed := range int64(400) {
@@ -48,18 +49,18 @@
 		}
 		counts := map[any]int{}
 		for _, m := range tables(drawn.Site["machines"]) {
-			assert.Assert(t, zones[m["zone"]], "seed %d: zone %v", seed, m["zone"])
+			assert.Assert(t, zones[m["zone"]], "seed %d: unknown zone %v", seed, m["zone"])
 			counts[m["class"]] += m["count"].(int)
 		}
 		loss := drawn.Site["tolerate"].(Table)["machines"].(int)
-		assert.Assert(t, counts["core"] >= 2*loss+1 && counts["store"] >= 2*loss+1, "seed %d: %v, %d to be borne", seed, counts, loss)
+		assert.Assert(t, counts["core"] >= 2*loss+1 && counts["store"] >= 2*loss+1, "seed %d: machines %v, tolerated losses %d", seed, counts, loss)
 		retires := 0
 		for _, entry := range tables(drawn.Day["plan"]) {
 			if entry["kind"] == "retire" {
 				retires++
 			}
 		}
-		assert.Assert(t, counts["store"]-retires >= loss+1, "seed %d: %d retired of %d", seed, retires, counts["store"])
+		assert.Assert(t, counts["store"]-retires >= loss+1, "seed %d: %d of %d stores are retired", seed, retires, counts["store"])
 		assert.Assert(t, drawn.AckMS() >= minAckMS)
 		assert.Assert(t, len(tables(drawn.Day["plan"])) > 0)
 		last := lengthOf(drawn.Site)
@@ -101,24 +102,24 @@
 	}
 }
 
-// scenarioOf is the scenario that a day was drawn for.
+// scenarioOf returns the scenario that a day was drawn for.
 func scenarioOf(drawn *DrawnDay) scenario {
 	return scenarios[slices.IndexFunc(scenarios, func(s scenario) bool { return s.name == drawn.Scenario })]
 }
 
-// entriesOf are all troubles of a day, planned and not.
+// entriesOf returns the planned work and the faults of a day.
 func entriesOf(drawn *DrawnDay) []Table {
 	return append(tables(drawn.Day["plan"]), tables(drawn.Day["faults"])...)
 }
 
-// tokens are the parts of a trouble's variant.
+// tokens returns the words of an entry's variant.
 func tokens(entry Table) []string {
 	how, _ := entry["how"].(string)
 	return strings.Fields(how)
 }
 
-// named is what the bench's page names: each kind of trouble with the words of its variants.
-var named = map[string]string{
+// documentedVariants has the kinds of faults and planned work that the bench documents, with the words of their variants.
+var documentedVariants = map[string]string{
 	"burst": "", "release": "all across", "answer_lost": "reset", "garble": "extra late unframed early rot",
 	"node_kill": "power leader reader giver turn seed meet race hard drain", "node_freeze": "leader reader giver turn seed meet race hard drain",
 	"roll_term": "busy remove", "add_nodes": "", "replace_core": "oldest planned", "after_ack_kill": "kill timed taken gone",
@@ -136,7 +137,7 @@
 func TestAllKindsAndVariantsAreDrawn(t *testing.T) {
 	t.Parallel()
 	missing := map[string]bool{}
-	for kind, variants := range named {
+	for kind, variants := range documentedVariants {
 		missing[kind] = true
 		for _, word := range strings.Fields(variants) {
 			missing[kind+" "+word] = true
@@ -153,7 +154,7 @@
 		count, faultsAt, ordersAt, changes := map[string]int{}, map[any]int{}, map[any]int{}, 0
 		for _, entry := range all {
 			name := entry["kind"].(string)
-			variants, known := named[name]
+			variants, known := documentedVariants[name]
 			assert.Assert(t, known, "seed %d: %v", seed, entry)
 			delete(missing, name)
 			for _, word := range tokens(entry) {
@@ -207,12 +208,12 @@
 	}
 	assert.Equal(t, len(missing), 0, "never drawn: %v", missing)
 	for name, half := range moments {
-		assert.Assert(t, half[0] && half[1], "%s comes in one half of the days only", name)
+		assert.Assert(t, half[0] && half[1], "%s is drawn only in one half of the day", name)
 	}
-	assert.Assert(t, together > 100, "days with two to four troubles at one moment: %d", together)
+	assert.Assert(t, together > 100, "days with two to four faults at the same time: %d", together)
 	assert.Assert(t, twice > 100, "days with a kind more than once: %d", twice)
-	assert.Assert(t, twentySeconds > 20, "cuts of twenty seconds: %d", twentySeconds)
-	assert.Assert(t, eightOrders > 10, "days with eight orders at once: %d", eightOrders)
+	assert.Assert(t, twentySeconds > 20, "partitions of twenty seconds: %d", twentySeconds)
+	assert.Assert(t, eightOrders > 10, "days with eight commands at once: %d", eightOrders)
 	assert.Assert(t, hundreds > 10, "days of 200 s with hundreds of changes: %d", hundreds)
 }
 
@@ -239,7 +240,7 @@
 	}
 }
 
-// An entry never takes more counted machines than may be lost at once.
+// A fault never strikes more core or store machines than may be lost at once.
 func TestFaults_WithinTolerance(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(144) {
--- a/internal/faulttest/scenariofuzz/faults.go
+++ b/internal/faulttest/scenariofuzz/faults.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// kind is one kind of trouble with its variants and ranges.
+// kind is one kind of fault or planned work, with its variants and ranges.
 type kind struct {
 	kind    string
-	planned bool     // stands under a day's plan, not under its faults
-	on      []string // classes of machines; "" leaves the field out
-	how     []string // variants; "" leaves the field out
+	planned bool     // listed in the day's plan, not in its faults
+	on      []string // classes of machines; "" omits the field
+	how     []string // variants; "" omits the field
 	fill    func(r random, t Table, site Table)
 }
 
-// leaderVariants say which machine is taken and what follows it.
+// leaderVariants are the variants that select the machine to strike, and what follows the fault.
 var leaderVariants = []string{"", "leader", "reader", "giver", "turn", "seed", "giver race", "seed race drain hard", "leader meet", "leader race", "leader race hard", "leader meet drain",
 	"leader race drain hard", "meet drain", "race"}
 
-// kinds holds every kind of trouble that the bench names. A kind may stand here more than once, with other ranges.
+// kinds has every kind of fault and planned work that the bench supports. A kind may be listed more than once, with different ranges.
 var kinds = []kind{
 	{kind: "config_change", planned: true, how: []string{"route", "weights", "timeout", "tenant", "quota", "quota down", "topup", "idle"}},
 	{kind: "config_race", planned: true, fill: func(r random, t, _ Table) {
-		t["count"], t["gap_s"] = r.integer(1, 12), r.byFactor(0.05, 2)
+		t["count"], t["gap_s"] = r.integer(1, 12), r.logUniform(0.05, 2)
 	}},
 	{kind: "bad_config", planned: true,
 		how:  []string{"", "cut_short", "unknown_service", "same_place", "no_weight", "no_timeout", "old_version", "same_version", "stale_match", "shared_key"},
@@ -107,14 +107,14 @@
 	}},
 
 	{kind: "node_kill", how: []string{"", "power"}, fill: machineFraction(0.1, 0.5, 1, 5)},
-	{kind: "node_kill", on: []string{"core"}, how: append([]string{"power", "leader power hard"}, leaderVariants...), fill: counted(0.5, 5)},
-	{kind: "node_kill", on: []string{"core"}, how: []string{"reader", "turn", "seed", "turn race hard", "seed meet"}, fill: counted(0.5, 20)},
-	{kind: "node_kill", on: []string{"store"}, how: []string{"", "power"}, fill: counted(0.5, 5)},
-	{kind: "node_freeze", on: []string{"core"}, how: leaderVariants, fill: counted(0.3, 6)},
-	{kind: "node_freeze", on: []string{"store"}, fill: counted(0.3, 6)},
+	{kind: "node_kill", on: []string{"core"}, how: append([]string{"power", "leader power hard"}, leaderVariants...), fill: withinTolerance(0.5, 5)},
+	{kind: "node_kill", on: []string{"core"}, how: []string{"reader", "turn", "seed", "turn race hard", "seed meet"}, fill: withinTolerance(0.5, 20)},
+	{kind: "node_kill", on: []string{"store"}, how: []string{"", "power"}, fill: withinTolerance(0.5, 5)},
+	{kind: "node_freeze", on: []string{"core"}, how: leaderVariants, fill: withinTolerance(0.3, 6)},
+	{kind: "node_freeze", on: []string{"store"}, fill: withinTolerance(0.3, 6)},
 	{kind: "node_freeze", fill: machineFraction(0.1, 0.5, 0.3, 6)},
 	{kind: "node_slow", fill: func(r random, t, site Table) { machineFraction(0.1, 0.3, 2, 6)(r, t, site); t["x"] = r.between(2, 8) }},
-	{kind: "node_slow", on: []string{"core", "store"}, fill: func(r random, t, site Table) { counted(2, 6)(r, t, site); t["x"] = r.between(2, 8) }},
+	{kind: "node_slow", on: []string{"core", "store"}, fill: func(r random, t, site Table) { withinTolerance(2, 6)(r, t, site); t["x"] = r.between(2, 8) }},
 	{kind: "node_cut", how: []string{"", "all", "servers"}, fill: machineFraction(0.1, 0.4, 1, 20)},
 	{kind: "herd_kill", how: []string{"", "power"}, fill: func(r random, t, _ Table) { t["share"], t["for_s"] = r.between(0.3, 0.8), r.between(0.3, 2) }},
 	{kind: "herd_kill", on: []string{"core"}, how: []string{"", "power", "taken", "taken all", "off", "race drain hard"}, fill: lasting(0.3, 2)},
@@ -125,20 +125,20 @@
 
 	{kind: "replace_core", on: []string{"", "store"}, how: []string{"", "oldest"}, fill: func(r random, t, _ Table) { t["x"] = r.between(0.3, 4) }},
 	{kind: "after_ack_kill", how: []string{"", "kill", "timed", "taken"}, fill: lasting(0.5, 4)},
-	{kind: "after_ack_kill", on: []string{"store"}, how: []string{"", "kill", "timed", "taken", "taken gone"}, fill: counted(0.5, 4)},
+	{kind: "after_ack_kill", on: []string{"store"}, how: []string{"", "kill", "timed", "taken", "taken gone"}, fill: withinTolerance(0.5, 4)},
 	{kind: "after_ack_wipe", how: []string{"", "timed", "taken", "oldest"}, fill: lasting(0.5, 4)},
-	{kind: "after_ack_wipe", on: []string{"store"}, how: []string{"", "timed", "taken", "oldest"}, fill: counted(0.5, 4)},
+	{kind: "after_ack_wipe", on: []string{"store"}, how: []string{"", "timed", "taken", "oldest"}, fill: withinTolerance(0.5, 4)},
 	{kind: "core_cut", fill: func(r random, t, site Table) {
-		counted(1, 7)(r, t, site)
+		withinTolerance(1, 7)(r, t, site)
 		setHow(t, pick(r, partitionScopes...), pick(r, partitionFollowers...))
 		if r.Intn(4) == 0 {
 			t["for_s"] = 20.0
 		}
 	}},
-	{kind: "core_cut", on: []string{"store"}, how: []string{"", "one_way", "reset", "refuse", "all", "near", "oldest", "split", "both", "behind"}, fill: counted(1, 10)},
-	{kind: "disk_slow", on: []string{"core", "store"}, fill: func(r random, t, site Table) { counted(2, 8)(r, t, site); t["x"] = r.byFactor(10, 200) }},
-	{kind: "disk_full", on: []string{"core", "store"}, fill: counted(2, 8)},
-	{kind: "disk_stall", on: []string{"core", "store"}, fill: counted(1, 6)},
+	{kind: "core_cut", on: []string{"store"}, how: []string{"", "one_way", "reset", "refuse", "all", "near", "oldest", "split", "both", "behind"}, fill: withinTolerance(1, 10)},
+	{kind: "disk_slow", on: []string{"core", "store"}, fill: func(r random, t, site Table) { withinTolerance(2, 8)(r, t, site); t["x"] = r.logUniform(10, 200) }},
+	{kind: "disk_full", on: []string{"core", "store"}, fill: withinTolerance(2, 8)},
+	{kind: "disk_stall", on: []string{"core", "store"}, fill: withinTolerance(1, 6)},
 }
 
 var closings = []Table{
@@ -148,24 +148,24 @@
 	newFault("kill_all"),
 }
 
-// lasting fills in how long a trouble lasts.
+// lasting draws the duration of a fault.
 func lasting(low, high float64) func(random, Table, Table) {
 	return func(r random, t, _ Table) { t["for_s"] = r.between(low, high) }
 }
 
-// counted takes no more machines than may be lost at once.
-func counted(low, high float64) func(random, Table, Table) {
+// withinTolerance draws a number of machines, at most as many as may be lost at once, and a duration.
+func withinTolerance(low, high float64) func(random, Table, Table) {
 	return func(r random, t, site Table) {
 		t["count"], t["for_s"] = r.integer(1, lossesOf(site)), r.between(low, high)
 	}
 }
 
-// machineFraction takes a share of all machines.
+// machineFraction draws a fraction of all machines and a duration.
 func machineFraction(least, most, low, high float64) func(random, Table, Table) {
 	return func(r random, t, _ Table) { t["share"], t["for_s"] = r.between(least, most), r.between(low, high) }
 }
 
-// endpoints takes a share of a service's endpoints, with a strength unless its range is empty.
+// endpoints draws a fraction of a service's endpoints, a duration and, unless strong is 0, an intensity.
 func endpoints(least, most, weak, strong float64) func(random, Table, Table) {
 	return func(r random, t, site Table) {
 		t["share"], t["for_s"] = r.between(least, most), r.between(2, 8)
@@ -176,31 +176,31 @@
 	}
 }
 
-// service names a service in half of the draws; without it the day's seed picks.
+// service selects a service in half of the draws; in the others the field is omitted and the day's seed selects the service.
 func (r random) service(t, site Table) {
 	if services := tables(site["services"]); r.Intn(2) == 0 {
 		t["service"] = services[r.Intn(len(services))]["name"]
 	}
 }
 
-// setHow joins the words of a variant; without any the field is left out.
+// setHow sets the variant to the joined words; it omits the field if there are none.
 func setHow(t Table, words ...string) {
 	if how := strings.Join(strings.Fields(strings.Join(words, " ")), " "); how != "" {
 		t["how"] = how
 	}
 }
 
-// setField fills in a field unless it is empty.
+// setField sets a field unless the value is empty.
 func setField(t Table, field, value string) {
 	if value != "" {
 		t[field] = value
 	}
 }
 
-// entry draws one trouble of any kind, without its moment.
-func (r random) entry(site Table) Table { return r.filled(kinds[r.Intn(len(kinds))], site) }
+// entry draws one fault or planned work of any kind, without its time.
+func (r random) entry(site Table) Table { return r.drawKind(kinds[r.Intn(len(kinds))], site) }
 
-// entryOf draws one trouble of the named kind, without its moment.
+// entryOf draws one entry of the named kind, without its time.
 func (r random) entryOf(name string, site Table) Table {
 	var fitting []kind
 	for _, k := range kinds {
@@ -208,10 +208,10 @@
 			fitting = append(fitting, k)
 		}
 	}
-	return r.filled(pick(r, fitting...), site)
+	return r.drawKind(pick(r, fitting...), site)
 }
 
-func (r random) filled(k kind, site Table) Table {
+func (r random) drawKind(k kind, site Table) Table {
 	t := Table{"kind": k.kind}
 	if len(k.on) > 0 {
 		setField(t, "on", pick(r, k.on...))
@@ -225,7 +225,7 @@
 	return t
 }
 
-// isPlanned tells whether a trouble belongs under a day's plan: replace_core does only as planned.
+// isPlanned reports whether an entry belongs to the day's plan. A replace_core belongs to the plan only in its planned variant.
 func isPlanned(t Table) bool {
 	if t["kind"] == "replace_core" {
 		how, _ := t["how"].(string)
@@ -239,5 +239,5 @@
 	return false
 }
 
-// math3 rounds to thousandths.
-func math3(x float64) float64 { return math.Round(x*1000) / 1000 }
+// roundThousandths rounds to thousandths.
+func roundThousandths(x float64) float64 { return math.Round(x*1000) / 1000 }
--- a/internal/faulttest/scenariofuzz/pressure.go
+++ b/internal/faulttest/scenariofuzz/pressure.go
@@ -1,10 +1,10 @@
 package scenariofuzz
 
-// plannedKinds is work that the operator plans; a day of nothing else binds what is lost around it most strictly.
+// plannedKinds are the kinds of planned maintenance. The bounds on losses are strictest on a day with nothing else.
 var plannedKinds = []string{"roll_term", "release", "hup", "add_nodes", "retire", "scale_out", "scale_in", "seed_turnover",
 	"bad_config", "config_race", "config_change"}
 
-// plannedWork restarts, replaces, adds and empties machines and endpoints all along, with nothing unplanned beside it.
+// plannedWork restarts, replaces, adds and retires machines and endpoints throughout the day, without unplanned faults.
 func plannedWork(r random, site Table) []Table {
 	length := lengthOf(site)
 	var all []Table
@@ -22,8 +22,8 @@
 	return all
 }
 
-// impatientClients leave while endpoints are slow, silent or hard to reach.
-func impatientClients(r random, site Table) []Table {
+// clientCancellations has clients cancel requests while endpoints are slow, unresponsive or hard to reach.
+func clientCancellations(r random, site Table) []Table {
 	length := lengthOf(site)
 	var all []Table
 	for from := r.between(0.5, 2); from < length-5; from += r.between(3, 7) {
@@ -39,8 +39,8 @@
 	return all
 }
 
-// programsThatRunAway lets many programs start helper after helper while stores and machines come and go.
-func programsThatRunAway(r random, site Table) []Table {
+// runawayPrograms has many programs start one sub-agent after the other while stores and machines fail and return.
+func runawayPrograms(r random, site Table) []Table {
 	for _, class := range tables(site["classes"]) {
 		if agent, ok := class["agent"].(Table); ok {
 			agent["runaway"], agent["fan"] = r.between(0.2, 0.5), r.between(0.1, 0.5)
@@ -49,8 +49,8 @@
 	return turnsDuringStoreFaults(r, site)
 }
 
-// splitStores cuts stores from each other, freezes them and takes their power while many programs run away: what a
-// program has used of its budget and what it has said must neither be lost nor counted by two stores at once.
+// splitStores partitions, freezes and powers off stores while many runaway programs are active: a program's budget usage and
+// its turns must neither be lost nor be counted by two stores at once.
 func splitStores(r random, site Table) []Table {
 	for _, class := range tables(site["classes"]) {
 		if agent, ok := class["agent"].(Table); ok {
--- a/internal/faulttest/scenariofuzz/repeats.go
+++ b/internal/faulttest/scenariofuzz/repeats.go
@@ -2,7 +2,7 @@
 
 import "maps"
 
-// repeatingFault are troubles that can strike the same machine again and again, without their lengths.
+// repeatingFault draws a fault that can strike the same machine repeatedly, without its duration.
 func (r random) repeatingFault(site Table) Table {
 	losses := lossesOf(site)
 	return pick(r,
@@ -24,7 +24,7 @@
 		newFault("reset_conns", "share", 1.0, "x", 1.0))
 }
 
-// repeatedFault repeats one trouble three to six times in a row, with short pauses, twice a day.
+// repeatedFault repeats one fault three to six times in a row, with short pauses, twice a day.
 func repeatedFault(r random, site Table) []Table {
 	length := lengthOf(site)
 	all := at(0.7, newFault("config_race", "count", int(length/1.5), "gap_s", 1.4))
@@ -40,8 +40,9 @@
 	return all
 }
 
-// rightAfter has a second trouble begin within half a second of the first one's end.
-func rightAfter(r random, site Table) []Table {
+// consecutiveFaults draws sequences of two or three faults. Each fault after the first begins from 0.2 s before to 0.5 s after the
+// end of the previous one.
+func consecutiveFaults(r random, site Table) []Table {
 	length := lengthOf(site)
 	all := at(0.7, newFault("config_race", "count", int(length/2), "gap_s", 1.8))
 	for from := r.between(1, 3); from < length-8; from += r.between(1.5, 5) {
@@ -56,7 +57,7 @@
 	return all
 }
 
-// earlyFaults come within the first three seconds of traffic.
+// earlyFaults draws faults within the first three seconds of traffic.
 func earlyFaults(r random, site Table) []Table {
 	var all []Table
 	for range r.integer(3, 6) {
@@ -70,7 +71,7 @@
 	return append(all, at(r.between(0.1, 2), newFault("config_race", "count", 6, "gap_s", 0.5))...)
 }
 
-// lateFaults come just before the closing fault and during the recovery from it.
+// lateFaults draws faults just before the closing fault and during the recovery from it.
 func lateFaults(r random, site Table) []Table {
 	length := lengthOf(site)
 	var all []Table
@@ -84,7 +85,7 @@
 	return append(all, at(length+r.between(0.5, 6), newFault("config_change", "how", pick(r, "timeout", "idle", "route")))...)
 }
 
-// diskFaultsWithKills fills and stops disks of both classes while machines are killed.
+// diskFaultsWithKills fills, stalls and slows disks of both classes while machines are killed.
 func diskFaultsWithKills(r random, site Table) []Table {
 	length, losses := lengthOf(site), lossesOf(site)
 	all := at(0.7, newFault("config_race", "count", int(length/1.5), "gap_s", 1.4))
@@ -92,7 +93,7 @@
 		for _, on := range []string{"core", "store"} {
 			t := newFault(pick(r, "disk_full", "disk_stall", "disk_slow"), "on", on, "count", losses, "for_s", r.between(1, 6))
 			if t["kind"] == "disk_slow" {
-				t["x"] = r.byFactor(10, 200)
+				t["x"] = r.logUniform(10, 200)
 			}
 			all = append(all, at(from+r.between(0, 0.5), t)...)
 		}
@@ -108,8 +109,9 @@
 	return all
 }
 
-// cutsThatCostMore cuts core machines off so that what follows the cut meets those that missed changes.
-func cutsThatCostMore(r random, site Table) []Table {
+// partitionsDuringChanges partitions core machines while the configuration changes, so that the faults at the end of a partition strike
+// machines that have missed changes.
+func partitionsDuringChanges(r random, site Table) []Table {
 	length, losses := lengthOf(site), lossesOf(site)
 	all := at(0.7, newFault("config_race", "count", int(length/1.3), "gap_s", 1.2))
 	for from := r.between(1, 4); from < length-9; from += r.between(8, 13) {
@@ -124,7 +126,7 @@
 	return all
 }
 
-// staleSeeds changes the seeds and then restarts, replaces or cuts off those that are named.
+// staleSeeds changes the seed nodes, and then restarts, replaces or partitions the named seed nodes.
 func staleSeeds(r random, site Table) []Table {
 	length, losses := lengthOf(site), lossesOf(site)
 	var all []Table
@@ -150,7 +152,7 @@
 	return append(all, at(1, newFault("config_race", "count", int(length/2.5), "gap_s", 2.0))...)
 }
 
-// falseHealth has endpoints give false health answers, go down and up by turns, and forget connections.
+// falseHealth has endpoints respond wrongly to health checks, flap, and drop idle connections.
 func falseHealth(r random, site Table) []Table {
 	var all []Table
 	for _, name := range []string{"srv_lying_health", "srv_flap", "idle_race", "srv_grey", "srv_crash", "srv_cut", "scale_in"} {
@@ -161,7 +163,7 @@
 	return append(all, at(r.between(2, 20), newFault("reset_conns", "share", 0.6, "x", 0.6))...)
 }
 
-// clockSteps has the time of day jump all along, back and ahead, beside other troubles.
+// clockSteps moves the time of day backward and forward throughout the day, together with other faults.
 func clockSteps(r random, site Table) []Table {
 	length := lengthOf(site)
 	all := at(0.7, newFault("config_race", "count", int(length/2), "gap_s", 1.8))
@@ -176,8 +178,8 @@
 	return all
 }
 
-// manyMachinesComeAndGo kills, cuts off, adds and restarts large shares of all machines, while endpoints are replaced.
-func manyMachinesComeAndGo(r random, site Table) []Table {
+// machineChurn kills, partitions, adds and restarts large fractions of all machines while endpoints are replaced.
+func machineChurn(r random, site Table) []Table {
 	length := lengthOf(site)
 	var all []Table
 	for from := r.between(1, 3); from < length-5; from += r.between(3, 7) {
--- a/internal/faulttest/scenariofuzz/report.go
+++ b/internal/faulttest/scenariofuzz/report.go
@@ -9,7 +9,7 @@
 	"github.com/joomcode/errorx"
 )
 
-// Report is the part of a played day's report that tells of broken rules.
+// Report is the part of a day's report that is needed to find broken rules.
 type Report struct {
 	Value   float64        `json:"G"`
 	Served  float64        `json:"served"`
@@ -24,7 +24,7 @@
 	AckMS   float64        `json:"config_ack_ms"`
 }
 
-// ParseReport reads the JSON report of one play.
+// ParseReport parses the JSON report of one day.
 func ParseReport(raw []byte) (*Report, error) {
 	var r Report
 	if err := json.Unmarshal(raw, &r); err != nil {
@@ -33,8 +33,8 @@
 	return &r, nil
 }
 
-// Findings tells what a day broke, one line each; none for a clean day.
-// A configuration acknowledged later than ackMS is told of: it breaks nothing while the core is not settled.
+// Findings lists what went wrong on a day, one line each; the list is empty if nothing did. It includes a configuration that
+// was acknowledged later than ackMS, although this breaks no rule while the core is not settled.
 func (r *Report) Findings(ackMS float64) []string {
 	var out []string
 	if r.AckMS > ackMS {
@@ -65,7 +65,7 @@
 	return out
 }
 
-// Evidence gives the first broken rules as the bench tells of them, shortened.
+// Evidence returns the first three broken rules as the bench reports them, each cut to 600 characters.
 func (r *Report) Evidence() string {
 	var lines []string
 	for i, f := range r.First {
--- a/internal/faulttest/scenariofuzz/scenarios.go
+++ b/internal/faulttest/scenariofuzz/scenarios.go
@@ -2,35 +2,35 @@
 
 import "maps"
 
-// scenario fixes parts of a deployment and gives the troubles that its days must hold.
+// scenario fixes parts of a deployment, and the faults that its days must contain.
 type scenario struct {
 	name string
 
 	zones, cores, stores int // numbers of zones, core machines and store machines; 0: drawn
-	losses               int // counted machines that may be lost at once; 0: one
+	losses               int // core machines, or store machines, that may be lost at once; 0: one
 	processors           int // processors of each machine; 0: drawn
-	perZone              int // core machines and stores of each zone where a whole zone may be lost; 0: one
+	perZone              int // core machines, and store machines, in each zone if an entire zone may be lost; 0: one
 	loseZone, loseRegion bool
-	asItIs               bool // the deployment stays as the site file has it
+	unmodified           bool // the deployment is that of the site file
 	far, slowDisk        bool
 	large                bool    // 60 and more gateways, nine stores, five to eight core machines, two of which may be lost
-	few                  bool    // two gateways a zone, three stores, three core machines
+	small                bool    // two gateways a zone, three stores, three core machines
 	veryFar              bool    // 50 to 100 ms one way between regions
-	pressed              bool    // bodies of megabytes, many connections
-	routes               int     // routes that the configuration holds beside those in use; 0: drawn
-	sorts                bool    // turns are kept or not, and may be resumed or not
-	scarce               bool    // engines of few places and little memory, tight aims
-	tight                bool    // short timeouts and retention, one try or four, bodies up to the limit
-	afterEnd             bool    // troubles may come after the day's length, while it recovers from the closing fault
-	lengthSeconds        float64 // length of the day; 0: as the site has it
+	largeBodies          bool    // bodies of megabytes, many connections
+	idleRoutes           int     // unused routes of the configuration; 0: drawn
+	varyTurnKinds        bool    // draws whether turns are persisted and whether they are resumable
+	scarceEngines        bool    // engines with few slots and little memory, tight latency targets
+	shortTimeouts        bool    // short timeouts and retention, one, two or four attempts, bodies up to the limit
+	afterEnd             bool    // faults may begin after the day's length, during the recovery from the closing fault
+	lengthSeconds        float64 // length of the day; 0: that of the site
 
-	must    []Table                            // at drawn moments
-	timed   func(r random, site Table) []Table // at moments that they set themselves
-	closing []Table                            // one of these ends the day; none: drawn
-	alone   bool                               // nothing is drawn beside must and timed but single changes
+	required       []Table                            // faults that every day has, at random times
+	timed          func(r random, site Table) []Table // draws faults with their times
+	closing        []Table                            // possible closing faults; empty: any, or none
+	noRandomFaults bool                               // no faults are drawn in addition to required and timed, only single configuration changes
 }
 
-// newFault makes an entry of a day from its kind and from pairs of field and value.
+// newFault returns an entry of a day with its kind and with pairs of field name and value.
 func newFault(kind string, fields ...any) Table {
 	t := Table{"kind": kind}
 	for i := 0; i+1 < len(fields); i += 2 {
@@ -50,21 +50,21 @@
 	{name: "a zone may be lost", zones: 3, loseZone: true, timed: zoneLosses},
 	{name: "five zones, one may be lost", zones: 5, loseZone: true, timed: zoneLosses},
 	{name: "a region may be lost", loseZone: true, loseRegion: true, far: true, timed: zoneLosses},
-	{name: "all machines restarted while they answer", must: []Table{newFault("roll_term", "how", "busy", "gap_s", 1.0)}},
-	{name: "core restarted across far zones", far: true, must: []Table{
+	{name: "all machines restarted while they answer", required: []Table{newFault("roll_term", "how", "busy", "gap_s", 1.0)}},
+	{name: "core restarted across far zones", far: true, required: []Table{
 		newFault("roll_term", "on", "core", "share", 1.0, "gap_s", 2.0), newFault("config_race", "count", 5, "gap_s", 1.0)}},
-	{name: "core machines replaced", must: []Table{
+	{name: "core machines replaced", required: []Table{
 		newFault("replace_core", "x", 1.2), newFault("replace_core", "x", 2.0, "how", "planned")}},
-	{name: "core machine replaced while stores restart", must: []Table{
+	{name: "core machine replaced while stores restart", required: []Table{
 		newFault("replace_core", "how", "planned", "x", 1.0), newFault("roll_term", "on", "store", "share", 1.0, "gap_s", 1.0),
 		newFault("replace_core", "on", "store", "how", "planned", "x", 1.0)}},
-	{name: "store emptied while others lose their disks", must: []Table{
+	{name: "store emptied while others lose their disks", required: []Table{
 		newFault("retire", "for_s", 7.0, "how", "wipe"), newFault("add_nodes", "on", "store", "count", 1)}},
-	{name: "machines added", must: []Table{
+	{name: "machines added", required: []Table{
 		newFault("add_nodes"), newFault("add_nodes", "on", "core", "count", 1), newFault("add_nodes", "on", "store", "count", 1)}},
-	{name: "core cut at its leader", must: []Table{
+	{name: "core cut at its leader", required: []Table{
 		newFault("core_cut", "for_s", 4.0, "how", "leader one_way race"), newFault("core_cut", "for_s", 4.0, "how", "leader reset hard")}},
-	{name: "core cut and refused", must: []Table{
+	{name: "core cut and refused", required: []Table{
 		newFault("core_cut", "for_s", 5.0, "how", "leader refuse race drain hard"), newFault("core_cut", "for_s", 4.0, "how", "leader meet one_way")}},
 	{name: "closing fault after any acknowledgement", closing: []Table{
 		newFault("wipe_after_ack", "how", "timed"), newFault("wipe_after_ack", "how", "taken"), newFault("wipe_after_ack", "how", "oldest"),
@@ -73,88 +73,88 @@
 	{name: "closing fault with two losses", cores: 5, stores: 5, losses: 2, closing: []Table{
 		newFault("wipe_after_ack", "how", "all"), newFault("wipe_after_ack", "how", "taken"), newFault("wipe_after_ack", "how", "all taken"),
 		newFault("wipe_after_ack", "how", "oldest")}},
-	{name: "control machine cut off for twenty seconds", timed: longCuts},
-	{name: "control machine of five cut off for twenty seconds", cores: 5, stores: 5, losses: 2, timed: longCuts},
-	{name: "machines cut off from control for twenty seconds", timed: longNodeCuts},
-	{name: "equal orders and lost acknowledgements", timed: pairedOrders},
-	{name: "equal orders with two losses", cores: 5, stores: 5, losses: 2, timed: pairedOrders},
+	{name: "control machine cut off for twenty seconds", timed: longControlPartitions},
+	{name: "control machine of five cut off for twenty seconds", cores: 5, stores: 5, losses: 2, timed: longControlPartitions},
+	{name: "machines cut off from control for twenty seconds", timed: longNodePartitions},
+	{name: "equal orders and lost acknowledgements", timed: conflictingCommands},
+	{name: "equal orders with two losses", cores: 5, stores: 5, losses: 2, timed: conflictingCommands},
 	{name: "second loss after a repair", lengthSeconds: 60, timed: secondLosses},
 	{name: "second loss after a repair, two may be lost", cores: 5, stores: 5, losses: 2, lengthSeconds: 60, timed: secondLosses},
-	{name: "restart after hundreds of changes", lengthSeconds: 200, timed: hundredsOfChanges, alone: true},
-	{name: "restart after hundreds of changes, two may be lost", cores: 7, stores: 5, losses: 2, lengthSeconds: 200, timed: hundredsOfChanges, alone: true},
-	{name: "answers out of place", timed: corruptAnswers},
+	{name: "restart after hundreds of changes", lengthSeconds: 200, timed: hundredsOfChanges, noRandomFaults: true},
+	{name: "restart after hundreds of changes, two may be lost", cores: 7, stores: 5, losses: 2, lengthSeconds: 200, timed: hundredsOfChanges, noRandomFaults: true},
+	{name: "answers out of place", timed: corruptResponses},
 	{name: "full disks", timed: fullDisks},
-	{name: "slow and silent disks", timed: hangingDisks},
+	{name: "slow and silent disks", timed: stalledDisks},
 	{name: "endpoints in trouble", timed: endpointFaults},
 	{name: "all core machines gone at once", timed: entireCore},
 	{name: "long day", lengthSeconds: 200, timed: manyFaults},
 	{name: "any trouble"},
-	{name: "orders while core machines come and go", lengthSeconds: 100, timed: ordersDuringCoreFaults, alone: true},
+	{name: "orders while core machines come and go", lengthSeconds: 100, timed: commandsDuringCoreFaults, noRandomFaults: true},
 	{name: "orders while core machines come and go, two may be lost", cores: 5, stores: 5, losses: 2, lengthSeconds: 100,
-		timed: ordersDuringCoreFaults, alone: true},
-	{name: "turns while stores come and go", cores: 3, stores: 4, lengthSeconds: 100, timed: turnsDuringStoreFaults, alone: true},
+		timed: commandsDuringCoreFaults, noRandomFaults: true},
+	{name: "turns while stores come and go", cores: 3, stores: 4, lengthSeconds: 100, timed: turnsDuringStoreFaults, noRandomFaults: true},
 	{name: "turns while stores come and go, two may be lost", cores: 5, stores: 6, losses: 2, lengthSeconds: 100,
-		timed: turnsDuringStoreFaults, alone: true},
-	{name: "a loss right after sessions have lapsed", lengthSeconds: 60, timed: lossesAfterLapses, alone: true},
+		timed: turnsDuringStoreFaults, noRandomFaults: true},
+	{name: "a loss right after sessions have lapsed", lengthSeconds: 60, timed: lossesAfterLapses, noRandomFaults: true},
 	{name: "a loss right after sessions have lapsed, two may be lost", cores: 5, stores: 6, losses: 2, lengthSeconds: 60,
-		timed: lossesAfterLapses, alone: true},
+		timed: lossesAfterLapses, noRandomFaults: true},
 	{name: "many machines", large: true},
-	{name: "many machines, the same trouble again and again", large: true, timed: repeatedFault, alone: true},
-	{name: "many machines, a second trouble right after the first", large: true, timed: rightAfter, alone: true},
-	{name: "many machines, false health", large: true, tight: true, timed: falseHealth},
-	{name: "many machines, machines come and go", large: true, timed: manyMachinesComeAndGo},
-	{name: "few machines", few: true, tight: true},
-	{name: "few machines, the same trouble again and again", few: true, timed: repeatedFault, alone: true},
+	{name: "many machines, the same trouble again and again", large: true, timed: repeatedFault, noRandomFaults: true},
+	{name: "many machines, a second trouble right after the first", large: true, timed: consecutiveFaults, noRandomFaults: true},
+	{name: "many machines, false health", large: true, shortTimeouts: true, timed: falseHealth},
+	{name: "many machines, machines come and go", large: true, timed: machineChurn},
+	{name: "few machines", small: true, shortTimeouts: true},
+	{name: "few machines, the same trouble again and again", small: true, timed: repeatedFault, noRandomFaults: true},
 	{name: "the same trouble again and again, two may be lost", cores: 5, stores: 5, losses: 2, lengthSeconds: 50, timed: repeatedFault},
-	{name: "a second trouble right after the first", timed: rightAfter, alone: true},
-	{name: "a second trouble right after the first, two may be lost", cores: 7, stores: 5, losses: 2, timed: rightAfter, alone: true},
+	{name: "a second trouble right after the first", timed: consecutiveFaults, noRandomFaults: true},
+	{name: "a second trouble right after the first, two may be lost", cores: 7, stores: 5, losses: 2, timed: consecutiveFaults, noRandomFaults: true},
 	{name: "troubles as traffic starts", timed: earlyFaults},
 	{name: "troubles beside the closing fault", timed: lateFaults, closing: closings, afterEnd: true},
-	{name: "full and silent disks beside kills", timed: diskFaultsWithKills, alone: true},
-	{name: "full and silent disks beside kills, two may be lost", cores: 5, stores: 5, losses: 2, timed: diskFaultsWithKills, alone: true},
-	{name: "cuts whose end costs more", cores: 5, stores: 4, losses: 2, timed: cutsThatCostMore, alone: true},
-	{name: "stale seeds", cores: 4, timed: staleSeeds, alone: true},
-	{name: "short timeouts and large bodies", tight: true, timed: corruptAnswers},
-	{name: "clocks step beside troubles", timed: clockSteps, alone: true},
-	{name: "planned work alone", timed: plannedWork, alone: true},
-	{name: "planned work alone, short timeouts", tight: true, timed: plannedWork, alone: true},
-	{name: "planned work alone, many machines", large: true, timed: plannedWork, alone: true},
-	{name: "turns of every sort", sorts: true, timed: endpointFaults},
-	{name: "turns of every sort, many machines", sorts: true, scarce: true, large: true},
-	{name: "turns of every sort as stores come and go, two losses", sorts: true, cores: 5, stores: 6, losses: 2, lengthSeconds: 60,
-		timed: turnsDuringStoreFaults, alone: true},
-	{name: "turns of every sort of programs that run away", sorts: true, timed: programsThatRunAway},
-	{name: "turns of every sort as answers are spoilt", sorts: true, timed: corruptAnswers},
-	{name: "few places, little memory and tight aims", scarce: true, timed: endpointFaults},
-	{name: "clients that give up", timed: impatientClients, alone: true},
-	{name: "clients that give up, short timeouts", tight: true, timed: impatientClients, alone: true},
-	{name: "programs that run away", lengthSeconds: 60, timed: programsThatRunAway, alone: true, closing: closings},
-	{name: "short retention while stores come and go", tight: true, cores: 3, stores: 4, lengthSeconds: 60, timed: turnsDuringStoreFaults, alone: true},
+	{name: "full and silent disks beside kills", timed: diskFaultsWithKills, noRandomFaults: true},
+	{name: "full and silent disks beside kills, two may be lost", cores: 5, stores: 5, losses: 2, timed: diskFaultsWithKills, noRandomFaults: true},
+	{name: "cuts whose end costs more", cores: 5, stores: 4, losses: 2, timed: partitionsDuringChanges, noRandomFaults: true},
+	{name: "stale seeds", cores: 4, timed: staleSeeds, noRandomFaults: true},
+	{name: "short timeouts and large bodies", shortTimeouts: true, timed: corruptResponses},
+	{name: "clocks step beside troubles", timed: clockSteps, noRandomFaults: true},
+	{name: "planned work alone", timed: plannedWork, noRandomFaults: true},
+	{name: "planned work alone, short timeouts", shortTimeouts: true, timed: plannedWork, noRandomFaults: true},
+	{name: "planned work alone, many machines", large: true, timed: plannedWork, noRandomFaults: true},
+	{name: "turns of every sort", varyTurnKinds: true, timed: endpointFaults},
+	{name: "turns of every sort, many machines", varyTurnKinds: true, scarceEngines: true, large: true},
+	{name: "turns of every sort as stores come and go, two losses", varyTurnKinds: true, cores: 5, stores: 6, losses: 2, lengthSeconds: 60,
+		timed: turnsDuringStoreFaults, noRandomFaults: true},
+	{name: "turns of every sort of programs that run away", varyTurnKinds: true, timed: runawayPrograms},
+	{name: "turns of every sort as answers are spoilt", varyTurnKinds: true, timed: corruptResponses},
+	{name: "few places, little memory and tight aims", scarceEngines: true, timed: endpointFaults},
+	{name: "clients that give up", timed: clientCancellations, noRandomFaults: true},
+	{name: "clients that give up, short timeouts", shortTimeouts: true, timed: clientCancellations, noRandomFaults: true},
+	{name: "programs that run away", lengthSeconds: 60, timed: runawayPrograms, noRandomFaults: true, closing: closings},
+	{name: "short retention while stores come and go", shortTimeouts: true, cores: 3, stores: 4, lengthSeconds: 60, timed: turnsDuringStoreFaults, noRandomFaults: true},
 	{name: "a zone of several may be lost", zones: 3, perZone: 2, loseZone: true, timed: zoneLosses},
 	{name: "a zone of several may be lost, the same trouble again", zones: 5, perZone: 2, losses: 2, loseZone: true, timed: repeatedFault},
 	{name: "a region of several may be lost", perZone: 2, loseZone: true, loseRegion: true, timed: zoneLosses},
-	{name: "three may be lost", cores: 7, stores: 7, losses: 3, timed: rightAfter},
+	{name: "three may be lost", cores: 7, stores: 7, losses: 3, timed: consecutiveFaults},
 	{name: "three may be lost, turns while stores come and go", cores: 7, stores: 8, losses: 3, lengthSeconds: 60,
-		timed: turnsDuringStoreFaults, alone: true},
+		timed: turnsDuringStoreFaults, noRandomFaults: true},
 	{name: "one zone", zones: 1},
 	{name: "very far zones", far: true, veryFar: true},
-	{name: "very far zones, orders beside core troubles", far: true, veryFar: true, lengthSeconds: 60, timed: ordersDuringCoreFaults, alone: true},
-	{name: "large bodies and many connections", pressed: true, timed: impatientClients},
-	{name: "large bodies and many connections, many machines", large: true, pressed: true, timed: impatientClients},
-	{name: "many routes on a long day", routes: 510, lengthSeconds: 200, timed: hundredsOfChanges, alone: true},
-	{name: "stores split while programs run away", cores: 3, stores: 4, lengthSeconds: 60, timed: splitStores, alone: true},
-	{name: "stores split while programs run away, two may be lost", cores: 5, stores: 6, losses: 2, lengthSeconds: 60, timed: splitStores, alone: true},
-	{name: "stores split while programs run away, many machines", large: true, timed: splitStores, alone: true},
-	{name: "the site as it is", asItIs: true},
-	{name: "the site as it is, two scenarios at once", asItIs: true, timed: overlaid, alone: true},
-	{name: "the site as it is, its own troubles again and again", asItIs: true, timed: singleFaults, alone: true},
-	{name: "two scenarios at once", timed: overlaid},
-	{name: "two scenarios at once, two may be lost", cores: 5, stores: 5, losses: 2, timed: overlaid},
-	{name: "two scenarios at once, many machines", large: true, timed: overlaid, alone: true},
+	{name: "very far zones, orders beside core troubles", far: true, veryFar: true, lengthSeconds: 60, timed: commandsDuringCoreFaults, noRandomFaults: true},
+	{name: "large bodies and many connections", largeBodies: true, timed: clientCancellations},
+	{name: "large bodies and many connections, many machines", large: true, largeBodies: true, timed: clientCancellations},
+	{name: "many routes on a long day", idleRoutes: 510, lengthSeconds: 200, timed: hundredsOfChanges, noRandomFaults: true},
+	{name: "stores split while programs run away", cores: 3, stores: 4, lengthSeconds: 60, timed: splitStores, noRandomFaults: true},
+	{name: "stores split while programs run away, two may be lost", cores: 5, stores: 6, losses: 2, lengthSeconds: 60, timed: splitStores, noRandomFaults: true},
+	{name: "stores split while programs run away, many machines", large: true, timed: splitStores, noRandomFaults: true},
+	{name: "the site as it is", unmodified: true},
+	{name: "the site as it is, two scenarios at once", unmodified: true, timed: combinedScenarios, noRandomFaults: true},
+	{name: "the site as it is, its own troubles again and again", unmodified: true, timed: repeatedSiteFaults, noRandomFaults: true},
+	{name: "two scenarios at once", timed: combinedScenarios},
+	{name: "two scenarios at once, two may be lost", cores: 5, stores: 5, losses: 2, timed: combinedScenarios},
+	{name: "two scenarios at once, many machines", large: true, timed: combinedScenarios, noRandomFaults: true},
 }
 
-// singleFaults has the troubles that the site file names come two to four times each, at any moment.
-func singleFaults(r random, site Table) []Table {
+// repeatedSiteFaults repeats each fault that the site file lists up to four times, at random times.
+func repeatedSiteFaults(r random, site Table) []Table {
 	var all []Table
 	for _, own := range tables(site["troubles"]) {
 		for range r.integer(0, 4) {
@@ -165,19 +165,19 @@
 	return all
 }
 
-// overlaid lays two ways to place troubles over each other.
-func overlaid(r random, site Table) []Table {
+// combinedScenarios combines the faults of two scenarios.
+func combinedScenarios(r random, site Table) []Table {
 	var all []Table
 	for range 2 {
-		way := pick(r, longCuts, longNodeCuts, pairedOrders, secondLosses, corruptAnswers, fullDisks, hangingDisks, endpointFaults, entireCore,
-			manyFaults, ordersDuringCoreFaults, turnsDuringStoreFaults, lossesAfterLapses, repeatedFault, rightAfter, earlyFaults,
-			diskFaultsWithKills, cutsThatCostMore, staleSeeds, falseHealth, clockSteps, manyMachinesComeAndGo, plannedWork, impatientClients)
+		way := pick(r, longControlPartitions, longNodePartitions, conflictingCommands, secondLosses, corruptResponses, fullDisks, stalledDisks, endpointFaults, entireCore,
+			manyFaults, commandsDuringCoreFaults, turnsDuringStoreFaults, lossesAfterLapses, repeatedFault, consecutiveFaults, earlyFaults,
+			diskFaultsWithKills, partitionsDuringChanges, staleSeeds, falseHealth, clockSteps, machineChurn, plannedWork, clientCancellations)
 		all = append(all, way(r, site)...)
 	}
 	return all
 }
 
-// at places troubles at one moment.
+// at sets the time of faults.
 func at(moment float64, all ...Table) []Table {
 	for _, t := range all {
 		t["at"] = moment
@@ -185,7 +185,7 @@
 	return all
 }
 
-// lengthOf is the length of a site's days in seconds.
+// lengthOf returns the length of a site's days in seconds.
 func lengthOf(site Table) float64 {
 	if length, ok := site["length_s"].(float64); ok && length >= 20 {
 		return length
@@ -193,7 +193,7 @@
 	return 34
 }
 
-// lossesOf is how many counted machines may be lost at once.
+// lossesOf returns how many core machines, or store machines, may be lost at once.
 func lossesOf(site Table) int {
 	if n, ok := site["tolerate"].(Table)["machines"].(int); ok && n > 0 {
 		return n
@@ -201,18 +201,18 @@
 	return 1
 }
 
-// zoneLosses takes a whole zone or region away, twice.
+// zoneLosses kills, freezes or partitions an entire zone or region, twice a day.
 func zoneLosses(r random, site Table) []Table {
 	var all []Table
 	zones := tables(site["zones"])
 	for _, from := range []float64{4, 18} {
 		zone := zones[r.Intn(len(zones))]
-		field, place := "zone", zone["name"]
+		field, target := "zone", zone["name"]
 		if n, _ := site["tolerate"].(Table)["regions"].(int); n > 0 {
-			field, place = "region", zone["region"]
+			field, target = "region", zone["region"]
 		}
 		kind := pick(r, "node_kill", "node_freeze", "node_cut")
-		t := newFault(kind, field, place, "share", 1.0, "for_s", r.between(2, 6))
+		t := newFault(kind, field, target, "share", 1.0, "for_s", r.between(2, 6))
 		switch kind {
 		case "node_kill":
 			t["how"] = "power"
@@ -230,8 +230,8 @@
 	partitionFollowers = []string{"", "", "meet", "race", "race hard", "meet drain", "race drain hard", "meet hard"}
 )
 
-// longCuts cuts a control machine off for twenty seconds, with changes all along and a trouble as it returns.
-func longCuts(r random, site Table) []Table {
+// longControlPartitions partitions a control machine for twenty seconds while the configuration changes, with another fault when it returns.
+func longControlPartitions(r random, site Table) []Table {
 	from := r.between(1, 8)
 	cut := newFault("core_cut", "for_s", 20.0, "count", 1)
 	setHow(cut, pick(r, partitionScopes...), pick(r, partitionFollowers...))
@@ -248,8 +248,8 @@
 	return all
 }
 
-// longNodeCuts cuts machines of all classes off from control, some while endpoints are replaced.
-func longNodeCuts(r random, site Table) []Table {
+// longNodePartitions cuts machines of all classes off from the control machines while endpoints are replaced.
+func longNodePartitions(r random, site Table) []Table {
 	from := r.between(1, 8)
 	cut := newFault("node_cut", "for_s", 20.0, "share", r.between(0.1, 0.5))
 	setHow(cut, pick(r, "", "all", "servers"))
@@ -260,8 +260,8 @@
 		newFault("core_cut", "for_s", 8.0, "how", "leader")))...)
 }
 
-// pairedOrders sends orders of equal number together, up to eight at once, and loses most acknowledgements.
-func pairedOrders(r random, site Table) []Table {
+// conflictingCommands sends concurrent commands with the same revision, up to eight at once, and loses most acknowledgements.
+func conflictingCommands(r random, site Table) []Table {
 	length := lengthOf(site)
 	all := at(0.5, newFault("ack_lost", "x", r.between(0.6, 0.95), "for_s", length-4))
 	for from := r.between(1, 3); from < length-5; from += r.between(2, 5) {
@@ -286,7 +286,7 @@
 		newFault("after_ack_kill", "for_s", 2.0, "how", "timed")))...)
 }
 
-// secondLosses loses a machine again and again, each right after the time in which the one before is repaired.
+// secondLosses loses machines repeatedly, each right after the time that is allowed for the repair of the previous loss.
 func secondLosses(r random, site Table) []Table {
 	repair, _ := site["timing"].(Table)["catch_up_s"].(float64)
 	losses := lossesOf(site)
@@ -313,13 +313,13 @@
 	return all
 }
 
-// hundredsOfChanges has members restart, return emptied and join after ever more changes.
+// hundredsOfChanges has core machines restart, return with an empty disk and join after an increasing number of changes.
 func hundredsOfChanges(r random, site Table) []Table {
 	length := lengthOf(site)
 	var all []Table
 	for from := 1.0; from < length-10; from += 20 {
 		count := r.integer(12, 30)
-		all = append(all, at(from, newFault("config_race", "count", count, "gap_s", math3(18/float64(count))))...)
+		all = append(all, at(from, newFault("config_race", "count", count, "gap_s", roundThousandths(18/float64(count))))...)
 	}
 	losses := lossesOf(site)
 	for from := r.between(15, 25); from < length-25; from += r.between(18, 30) {
@@ -336,8 +336,8 @@
 	return all
 }
 
-// corruptAnswers spoils, doubles, loses and breaks off answers while machines and connections go.
-func corruptAnswers(r random, site Table) []Table {
+// corruptResponses corrupts, duplicates, loses and truncates responses while machines fail and connections are reset.
+func corruptResponses(r random, site Table) []Table {
 	var all []Table
 	for _, how := range []string{"", "extra", "unframed", "early", "extra late"} {
 		t := newFault("garble", "share", r.between(0.4, 1), "x", r.between(0.02, 0.15), "for_s", r.between(4, 10))
@@ -354,7 +354,7 @@
 		newFault("release", "share", 0.5, "x", 2.0, "gap_s", 0.6), newFault("reset_conns", "share", 1.0, "x", 1.0)))...)
 }
 
-// fullDisks fills disks of core and store machines several times, with changes meanwhile.
+// fullDisks fills disks of core and store machines several times while the configuration changes.
 func fullDisks(r random, site Table) []Table {
 	losses := lossesOf(site)
 	all := at(r.between(1, 4), newFault("config_race", "count", 20, "gap_s", 1.2))
@@ -366,21 +366,21 @@
 	return all
 }
 
-// hangingDisks slows and stops disks of core and store machines several times, with changes meanwhile.
-func hangingDisks(r random, site Table) []Table {
+// stalledDisks slows and stalls disks of core and store machines several times while the configuration changes.
+func stalledDisks(r random, site Table) []Table {
 	losses := lossesOf(site)
 	all := at(r.between(1, 4), newFault("config_race", "count", 15, "gap_s", 1.4))
 	for from := r.between(2, 5); from < lengthOf(site)-6; from += r.between(8, 12) {
 		t := newFault(pick(r, "disk_stall", "disk_slow"), "on", pick(r, "core", "store"), "count", r.integer(1, losses), "for_s", r.between(2, 6))
 		if t["kind"] == "disk_slow" {
-			t["x"] = r.byFactor(10, 200)
+			t["x"] = r.logUniform(10, 200)
 		}
 		all = append(all, at(from, t)...)
 	}
 	return all
 }
 
-// endpointFaults has endpoints crash, slow down, fail, fall silent, leave and hand their addresses on.
+// endpointFaults has endpoints crash, slow down, return errors, stop responding, leave, and be replaced at the same address.
 func endpointFaults(r random, site Table) []Table {
 	var all []Table
 	for _, kind := range []string{"srv_crash", "srv_slow", "srv_grey", "srv_cut", "replace_with_reuse", "scale_out", "scale_in", "give_up",
@@ -392,7 +392,7 @@
 	return all
 }
 
-// entireCore kills all core machines at once, in the middle of the day, twice.
+// entireCore kills all core machines at once, twice a day.
 func entireCore(r random, site Table) []Table {
 	var all []Table
 	for _, from := range []float64{5, 20} {
@@ -403,23 +403,23 @@
 	return all
 }
 
-// manyFaults fills a long day with hundreds of changes and with troubles in turn.
+// manyFaults draws hundreds of configuration changes and consecutive faults for a long day.
 func manyFaults(r random, site Table) []Table {
 	length := lengthOf(site)
 	all := at(2, newFault("config_race", "count", 120, "gap_s", 1.5))
 	for from := 4.0; from < length-15; from += r.between(4, 9) {
 		kind := kinds[r.Intn(len(kinds))].kind
-		all = append(all, at(math3(from), r.entryOf(kind, site))...)
+		all = append(all, at(roundThousandths(from), r.entryOf(kind, site))...)
 	}
 	return all
 }
 
-// ordersDuringCoreFaults has pairs of orders close to each other while a core machine is in trouble at all times.
-func ordersDuringCoreFaults(r random, site Table) []Table {
+// commandsDuringCoreFaults sends pairs of commands in quick succession, with a core fault every few seconds.
+func commandsDuringCoreFaults(r random, site Table) []Table {
 	length, losses := lengthOf(site), lossesOf(site)
 	all := at(0.5, newFault("ack_lost", "x", r.between(0.5, 0.95), "for_s", length-4))
 	for from := r.between(1, 3); from < length-10; from += r.between(4, 8) {
-		all = append(all, at(from, newFault("config_race", "count", r.integer(4, 12), "gap_s", r.byFactor(0.05, 0.5)))...)
+		all = append(all, at(from, newFault("config_race", "count", r.integer(4, 12), "gap_s", r.logUniform(0.05, 0.5)))...)
 		all = append(all, at(from+r.between(0, 2), pick(r,
 			newFault("node_kill", "on", "core", "count", losses, "for_s", r.between(0.3, 2), "how", "leader power race hard"),
 			newFault("node_kill", "on", "core", "count", losses, "for_s", r.between(0.3, 2), "how", "leader race"),
@@ -436,8 +436,8 @@
 	return all
 }
 
-// turnsDuringStoreFaults has programs go on from turn to turn while a store is in trouble at all times, and while
-// endpoints spoil answers and machines that take requests go.
+// turnsDuringStoreFaults has programs continue their turns with a store fault every few seconds, while endpoints corrupt
+// responses and gateways fail.
 func turnsDuringStoreFaults(r random, site Table) []Table {
 	length, losses := lengthOf(site), lossesOf(site)
 	var all []Table
@@ -465,8 +465,8 @@
 	return all
 }
 
-// lossesAfterLapses ends all connections, or stops machines for a moment where two may be lost, and takes a store's or
-// a core machine's disk within a second: what counts as a lapse only must not cost a copy.
+// lossesAfterLapses resets all connections or, where two machines may be lost, briefly freezes or partitions a store, and wipes
+// the disk of a store or a core machine within a second. A session that has merely lapsed must not cost a replica.
 func lossesAfterLapses(r random, site Table) []Table {
 	repair, _ := site["timing"].(Table)["catch_up_s"].(float64)
 	var all []Table
--- a/internal/faulttest/scenariofuzz/tight.go
+++ b/internal/faulttest/scenariofuzz/tight.go
@@ -1,21 +1,21 @@
 package scenariofuzz
 
-// machineSize is what a machine of a class has on a deployment of many machines.
+// machineSize is the size of a machine of a class in a deployment of many machines.
 type machineSize struct {
 	processorFraction float64
 	memoryMB          int
 	linkMbps          float64
 }
 
-// largeSizes are the small machines of which a deployment of many machines is made, by class.
+// largeSizes are the sizes of the small machines that make up a deployment of many machines, by class.
 var largeSizes = map[string]machineSize{
 	"front": {processorFraction: 0.192, memoryMB: 184, linkMbps: 30},
 	"store": {processorFraction: 0.48, memoryMB: 294, linkMbps: 600},
 	"core":  {processorFraction: 0.176, memoryMB: 280, linkMbps: 86},
 }
 
-// tighten gives the classes of requests short timeouts and retention, one try or four, and bodies up to the limit.
-func (r random) tighten(site Table) {
+// shortenTimeouts gives the classes of requests short timeouts and retention, one, two or four attempts, and bodies up to the limit.
+func (r random) shortenTimeouts(site Table) {
 	limit := pick(r, 1<<16, 1<<18, 1<<20)
 	if config, ok := site["config"].(Table); ok {
 		config["body_bytes"] = limit
@@ -28,7 +28,7 @@
 		if r.Intn(2) == 0 {
 			class["timeout_ms"] = float64(r.integer(3, 20) * 100)
 			if class["kind"] == "stream" {
-				// A stream lasts half a second and more on an idle engine: below this most could never end in time.
+				// A stream takes at least half a second on an idle engine: with a shorter timeout most streams could never end in time.
 				class["timeout_ms"] = float64(r.integer(15, 30) * 100)
 			}
 		}
@@ -38,7 +38,7 @@
 	}
 }
 
-// widenBounds gives bounds that some twenty round trips between very far regions fit into.
+// widenBounds raises the bounds so that some twenty round trips between very distant regions fit into each.
 func widenBounds(site Table) {
 	bounds := site["bounds"].(Table)
 	bounds["touch_ms"] = max(bounds["touch_ms"].(int), 4000)
@@ -47,8 +47,9 @@
 	bounds["drain_ms"] = max(bounds["drain_ms"].(int), 3000)
 }
 
-// press gives some classes bodies of up to the limit of four megabytes, and all traffic more connections and requests.
-func (r random) press(site Table) {
+// enlargeBodies gives POST classes large bodies, up to the limit of four megabytes where the response is not a stream, and gives all
+// traffic more connections and another request rate.
+func (r random) enlargeBodies(site Table) {
 	for _, class := range tables(site["classes"]) {
 		bytes, ok := class["req_bytes"].(Table)
 		if !ok || class["method"] != "POST" {
--- a/internal/faulttest/scenariofuzz/turn_kinds.go
+++ b/internal/faulttest/scenariofuzz/turn_kinds.go
@@ -1,6 +1,6 @@
 package scenariofuzz
 
-// drawTurnKinds has each kind of turn kept or not, and its stream resumable or not.
+// drawTurnKinds draws for each class of turns whether turns are persisted and whether their streams are resumable.
 func (r random) drawTurnKinds(site Table) {
 	for _, class := range tables(site["classes"]) {
 		agent, isTurn := class["agent"].(Table)
@@ -13,16 +13,17 @@
 	}
 }
 
-// makeScarce gives engines few places and memory for hardly more than the requests in them, and programs tight aims.
-func (r random) makeScarce(site Table) {
+// limitEngines gives engines few slots and little more memory than the requests in these slots need, and gives programs
+// tight latency targets.
+func (r random) limitEngines(site Table) {
 	for _, service := range tables(site["services"]) {
 		engine, ok := service["llm"].(Table)
 		if !ok {
 			continue
 		}
-		places := r.integer(4, 12)
-		service["slots"], service["queue"], engine["batch"] = places, r.integer(3, 12), places
-		engine["kv_tokens"] = places * r.integer(4000, 15000)
+		slots := r.integer(4, 12)
+		service["slots"], service["queue"], engine["batch"] = slots, r.integer(3, 12), slots
+		engine["kv_tokens"] = slots * r.integer(4000, 15000)
 	}
 	for _, class := range tables(site["classes"]) {
 		if agent, ok := class["agent"].(Table); ok {
--- a/internal/faulttest/scenariofuzz/turn_kinds_test.go
+++ b/internal/faulttest/scenariofuzz/turn_kinds_test.go
@@ -7,11 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// Over some seeds turns of every sort are drawn: kept or not, resumable or not.
+// All four kinds of turns are drawn: persisted or not, resumable or not.
 func TestTurns_OfEveryKind(t *testing.T) {
 	text, err := os.ReadFile("testdata/site.toml")
 	assert.NilError(t, err)
-	sorts := map[[2]bool]int{}
+	counts := map[[2]bool]int{}
 	for seed := range int64(40) {
 		drawn, err := Draw(text, seed, "turns of every sort")
 		assert.NilError(t, err)
@@ -20,14 +20,14 @@
 			if !ok {
 				continue
 			}
-			sorts[[2]bool{agent["kept"].(bool), class["stream"].(Table)["resume"].(bool)}]++
+			counts[[2]bool{agent["kept"].(bool), class["stream"].(Table)["resume"].(bool)}]++
 		}
 	}
-	assert.Equal(t, len(sorts), 4, "%v", sorts)
+	assert.Equal(t, len(counts), 4, "%v", counts)
 }
 
-// An engine's memory holds a long prompt in each of its few places, and no more than some.
-func TestFewPlacesAndLittleMemory(t *testing.T) {
+// An engine has 4 to 12 slots, and memory for 4,000 to 15,000 tokens in each slot.
+func TestScarceEngines(t *testing.T) {
 	text, err := os.ReadFile("testdata/site.toml")
 	assert.NilError(t, err)
 	for seed := range int64(10) {
@@ -38,9 +38,9 @@
 			if !ok {
 				continue
 			}
-			places, memory := engine["batch"].(int), engine["kv_tokens"].(int)
-			assert.Assert(t, places >= 4 && places <= 12 && memory >= 4000*places && memory <= 15000*places)
-			assert.Equal(t, service["slots"].(int), places)
+			slots, memory := engine["batch"].(int), engine["kv_tokens"].(int)
+			assert.Assert(t, slots >= 4 && slots <= 12 && memory >= 4000*slots && memory <= 15000*slots)
+			assert.Equal(t, service["slots"].(int), slots)
 		}
 	}
 }
