--- a/internal/faulttest/tierdemo/client.go
+++ b/internal/faulttest/tierdemo/client.go
@@ -20,7 +20,7 @@
 	body         string   // of a tool call
 	events       []string // data of the events of a turn
 	idsInOrder   bool     // ids rise from 1 by one
-	complete     bool     // it was received to its end
+	complete     bool     // received to its end
 	firstEventAt time.Time
 }
 
@@ -42,7 +42,7 @@
 	host     string
 }
 
-// newCaller makes a caller with connections of its own.
+// newCaller returns a caller with its own connection pool.
 func newCaller(checker *ruleChecker, gateways []string) *caller {
 	dial := &net.Dialer{Timeout: time.Second}
 	return &caller{checker: checker, gateways: gateways, host: routeHost, client: &http.Client{
@@ -126,9 +126,10 @@
 	}
 }
 
-// ask makes attempts until there is a final response, within the request's time. It retries at another gateway after a response
-// that promises that the request has not run and, where the request is idempotent, after any failure.
-func (caller *caller) ask(ctx context.Context, request request) (id string, answer response) {
+// sendWithRetries makes attempts until it gets a success or a final response, within the request's time-out and number of attempts.
+// It retries at another gateway after a response that promises that the request was not executed and, if the request is idempotent,
+// after any failure.
+func (caller *caller) sendWithRetries(ctx context.Context, request request) (id string, answer response) {
 	until := time.Now().Add(request.timeout)
 	gateway := rand.N(len(caller.gateways))
 	for n := 1; ; n++ {
--- a/internal/faulttest/tierdemo/demo.go
+++ b/internal/faulttest/tierdemo/demo.go
@@ -1,5 +1,5 @@
-// Package tierdemo plays a small serving tier on loopback, with all of its roles and with fakes of the platform, the endpoints,
-// the operator and agent programs, and checks what the tier promises.
+// Package tierdemo runs a small serving tier on loopback, with all of its roles and with fakes of the platform, the endpoints,
+// the operator and agent programs, and checks the guarantees of the tier.
 package tierdemo
 
 import (
@@ -29,7 +29,7 @@
 	Calm, Faults time.Duration
 	Rate         float64 // programs a second
 	Log          io.Writer
-	// Progress is called each second, and Note at each event, if they are set. They must not call back.
+	// Progress is called each second, and OnEvent at each event, if they are set. They must not call back.
 	Progress func(at time.Duration, phase string, c Counts)
 	OnEvent  func(at time.Duration, what string)
 }
@@ -44,7 +44,7 @@
 	checker      *ruleChecker
 	recorder     *recorder
 	stallMeter   stallMeter
-	trafficBegan time.Time // of the traffic
+	trafficBegan time.Time
 
 	mu        sync.Mutex
 	phase     string
@@ -52,11 +52,11 @@
 	takeovers []Takeover
 }
 
-// Run plays the demo and returns its report. Errors are those of the demo itself; a rule that was broken is in the report only.
-// No files or processes remain. If ctx ends, the report covers the time until then.
+// Run runs the demo and returns its report. Errors are those of the demo itself; a broken rule is only in the report. Run leaves no
+// files or processes behind. If ctx ends, the report covers the time until then.
 func Run(ctx context.Context, options Options) (report *Report, err error) {
 	if options.Rate <= 0 || options.Calm < 0 || options.Faults < 0 || options.Calm+options.Faults <= 0 {
-		return nil, errorx.IllegalArgument.New("a rehearsal needs a rate and a time above 0")
+		return nil, errorx.IllegalArgument.New("the demo needs a rate and a time above 0")
 	}
 	dir, err := os.MkdirTemp("", "serving-tier-demo-")
 	if err != nil {
@@ -69,10 +69,10 @@
 	}()
 	demo := &demo{options: options, checker: newRuleChecker(), phase: "start"}
 	begun := time.Now()
-	measured, over := context.WithCancel(context.Background())
+	measureCtx, stopMeasuring := context.WithCancel(context.Background())
 	var measuring sync.WaitGroup
-	measuring.Go(func() { _ = demo.stallMeter.run(measured, dir) })
-	defer func() { demo.stopAll(); over(); measuring.Wait() }()
+	measuring.Go(func() { _ = demo.stallMeter.run(measureCtx, dir) })
+	defer func() { demo.stopAll(); stopMeasuring(); measuring.Wait() }()
 	if err := demo.start(ctx, dir); err != nil {
 		return nil, err
 	}
@@ -99,7 +99,7 @@
 	}
 	var err error
 	if demo.platform, err = startPlatform(demo.checker, "127.0.0.1"); err != nil {
-		return errorx.Decorate(err, "platform")
+		return errorx.Decorate(err, "start the platform")
 	}
 	for i := range modelCount + toolCount {
 		service := modelService
@@ -107,7 +107,7 @@
 			service = toolService
 		}
 		if err := demo.platform.add(service, zoneName(i%perRole)); err != nil {
-			return errorx.Decorate(err, "endpoint")
+			return errorx.Decorate(err, "start an endpoint")
 		}
 	}
 	if demo.tier, err = newTier(dir, demo.platform.address, logs); err != nil {
@@ -129,49 +129,49 @@
 	if err := demo.operator.change(ctx); err != nil {
 		return err
 	}
-	if err := pollUntil(ctx, "all copies of all partitions", demo.tier.hasAllReplicas); err != nil {
+	if err := pollUntil(ctx, "all replicas of all partitions", demo.tier.hasAllReplicas); err != nil {
 		return err
 	}
-	return pollUntil(ctx, "gateways that take clients", demo.tier.ready)
+	return pollUntil(ctx, "all gateways to be ready", demo.tier.ready)
 }
 
-// play runs programs during all phases, and waits for the last ones.
+// play runs programs during all phases, and waits at most finishTime for those that still run at the end.
 func (demo *demo) play(ctx context.Context) {
 	demo.trafficBegan = time.Now()
 	demo.recorder = newRecorder(demo.trafficBegan)
-	asking, noMore := context.WithCancel(ctx)
-	last, cancel := context.WithCancel(ctx)
-	defer cancel()
-	var traffic, showing sync.WaitGroup
-	traffic.Go(func() { demo.runPrograms(asking, last) })
-	shown, over := context.WithCancel(context.Background())
-	showing.Go(func() { demo.reportProgress(shown) })
+	startCtx, stopStarting := context.WithCancel(ctx)
+	runCtx, interruptPrograms := context.WithCancel(ctx)
+	defer interruptPrograms()
+	var traffic, progress sync.WaitGroup
+	traffic.Go(func() { demo.runPrograms(startCtx, runCtx) })
+	progressCtx, stopProgress := context.WithCancel(context.Background())
+	progress.Go(func() { demo.reportProgress(progressCtx) })
 	demo.runCalmPhase(ctx)
 	if demo.options.Faults > 0 && ctx.Err() == nil {
 		demo.injectFaults(ctx)
 	}
 	demo.setPhase("end")
-	noMore()
-	t := time.AfterFunc(finishTime, cancel)
+	stopStarting()
+	t := time.AfterFunc(finishTime, interruptPrograms)
 	traffic.Wait()
 	t.Stop()
-	over()
-	showing.Wait()
+	stopProgress()
+	progress.Wait()
 }
 
-// runPrograms starts programs at random times, at the rate of the options, until asking ends, and waits for all. They are
-// interrupted when last ends.
-func (demo *demo) runPrograms(asking, last context.Context) {
+// runPrograms starts programs at random times, at the rate of the options, until startCtx ends, and waits for all programs. They
+// are interrupted when runCtx ends.
+func (demo *demo) runPrograms(startCtx, runCtx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
 	for n := 0; ; n++ {
-		sleep(asking, time.Duration(rand.ExpFloat64()/demo.options.Rate*float64(time.Second)))
-		if asking.Err() != nil {
+		sleep(startCtx, time.Duration(rand.ExpFloat64()/demo.options.Rate*float64(time.Second)))
+		if startCtx.Err() != nil {
 			return
 		}
 		demo.recorder.programStarted()
 		running.Go(func() {
-			o, why := newProgram(n, demo.caller, demo.recorder).run(last)
+			o, why := newProgram(n, demo.caller, demo.recorder).run(runCtx)
 			demo.recorder.programEnded(o, why)
 		})
 	}
@@ -190,7 +190,7 @@
 
 // change has the operator change the configuration, and checks that all gateways have the new route within bound.
 func (demo *demo) change(ctx context.Context, bound time.Duration) {
-	if err := demo.operator.change(ctx); err != nil { // it may be in force, or not
+	if err := demo.operator.change(ctx); err != nil { // the new configuration may be in force
 		demo.recordEvent("not acknowledged: %v", err)
 		return
 	}
@@ -204,8 +204,8 @@
 	demo.recordEvent("configuration %d in force", demo.operator.revision)
 }
 
-// checkRoute checks that a gateway has a new route within bound. It returns false where no bound can be checked: ctx has ended,
-// or the machine has stalled.
+// checkRoute checks that a gateway has a new route within bound. It returns false if the bound cannot be checked because ctx has
+// ended or the machine has stalled.
 func (demo *demo) checkRoute(ctx context.Context, gateway *member, path string, acknowledged time.Time, bound time.Duration) bool {
 	for {
 		request := request{path: path + "x", attempt: attempt{input: "new route", idempotent: true}}
@@ -224,13 +224,13 @@
 			return true
 		}
 		if late {
-			return true // the responses do not show what is in force there
+			return true // the response does not show which configuration is in force at this gateway
 		}
 		sleep(ctx, pollInterval)
 	}
 }
 
-// stalledSince reports whether the machine has stalled since then for so long that sessions may have lapsed.
+// stalledSince reports whether the machine has stalled since a time for so long that sessions may have expired.
 func (demo *demo) stalledSince(since time.Time) bool {
 	return demo.stallMeter.longestSince(since) > demo.tier.gateways[0].settings.ContactWindow/10
 }
@@ -274,7 +274,7 @@
 	}
 }
 
-// stopAll stops all that was started.
+// stopAll stops the fakes and kills the processes of the tier.
 func (demo *demo) stopAll() {
 	if demo.caller != nil {
 		demo.caller.close()
--- a/internal/faulttest/tierdemo/demo_test.go
+++ b/internal/faulttest/tierdemo/demo_test.go
@@ -30,7 +30,7 @@
 	assert.Equal(t, len(left), 0)
 }
 
-// An interrupt in the first moment of the traffic ends it, and leaves nothing.
+// An interrupt at the start of the traffic ends the demo, and no files remain.
 func TestRun_Interrupted(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/faulttest/tierdemo/endpoint.go
+++ b/internal/faulttest/tierdemo/endpoint.go
@@ -44,7 +44,7 @@
 	checker                     *ruleChecker
 }
 
-// startEndpoint listens on a port of its own at the IP address.
+// startEndpoint starts an endpoint that listens on a free port of the IP address.
 func startEndpoint(config endpointConfig) (*endpoint, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(config.ip, "0"))
 	if err != nil {
@@ -115,7 +115,7 @@
 	endpoint.stream(w, r, id)
 }
 
-// work takes some time, and reports whether the caller is still there.
+// work waits for a time between from and to that depends on the id, and reports whether the caller is still connected.
 func (endpoint *endpoint) work(r *http.Request, id string, from, to time.Duration) bool {
 	t := time.NewTimer(from + time.Duration(draw(id, uint64(to-from))))
 	defer t.Stop()
@@ -127,7 +127,7 @@
 	}
 }
 
-// stream runs a turn: some events, no more than X-Token-Usage allows.
+// stream runs a turn: it sends events, at most as many as X-Token-Usage allows, but at least one.
 func (endpoint *endpoint) stream(w http.ResponseWriter, r *http.Request, id string) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	_, out, _ := strings.Cut(r.Header.Get("X-Token-Usage"), ",")
--- a/internal/faulttest/tierdemo/fakes_test.go
+++ b/internal/faulttest/tierdemo/fakes_test.go
@@ -24,7 +24,7 @@
 	return e
 }
 
-// testCaller sends to gateways that are not there: to handlers, or straight to endpoints.
+// testCaller returns a caller that sends to handlers or directly to endpoints instead of gateways.
 func testCaller(t *testing.T, w *ruleChecker, addresses ...string) *caller {
 	t.Helper()
 	c := newCaller(w, addresses)
@@ -48,12 +48,13 @@
 	w := newRuleChecker()
 	c := testCaller(t, w, testEndpoint(t, w, modelService, 4).address)
 	b := &budget{limit: 100, maxPerTurn: 12}
-	first, a := c.ask(t.Context(), turnRequest(b, "", "one\n"))
+	first, a := c.sendWithRetries(t.Context(), turnRequest(b, "", "one\n"))
 	assert.Equal(t, a.status, 200)
 	assert.Assert(t, a.complete && a.idsInOrder && len(a.events) >= 3 && len(a.events) <= 6, "%v", a)
-	_, a = c.ask(t.Context(), turnRequest(b, first, "one\n"+strings.Join(a.events, "\n")+"\ntwo\n"))
+	_, a = c.sendWithRetries(t.Context(), turnRequest(b, first, "one\n"+strings.Join(a.events, "\n")+"\ntwo\n"))
 	assert.Assert(t, a.complete)
-	// The body was the chain, but the program's input is said to be all of it: the endpoint must see that.
+	// Without a gateway the test puts the complete chain into the input. The checker expects the first turn's text before the input,
+	// so it must report a wrong body.
 	assert.DeepEqual(t, broken(w.results()), []Rule{RuleNotMixed})
 }
 
@@ -72,12 +73,12 @@
 		resp.Body.Close()
 		return resp
 	}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		status int
 		fields []string
 	}{{421, []string{"X-Attempt-Id", "a", "X-Target-Instance", "i-2"}}, {400, nil}, {503, []string{"X-Attempt-Id", "a", "X-Target-Instance", "i-1"}}} {
-		resp := ask(idempotentPath, one.fields...)
-		assert.Equal(t, resp.StatusCode, one.status)
+		resp := ask(idempotentPath, test.fields...)
+		assert.Equal(t, resp.StatusCode, test.status)
 		assert.Assert(t, resp.Header.Get("X-Not-Executed") != "")
 	}
 	assert.Equal(t, ask(healthPath).StatusCode, 200)
@@ -122,7 +123,7 @@
 	assert.Equal(t, now[0].State, "draining")
 	assert.Equal(t, len(now), pageSize+2)
 	assert.Equal(t, p.count(), pageSize+1)
-	cancel() // its time is over
+	cancel() // ends the drain time
 	p.draining.Wait()
 	now, _ = list("")
 	assert.Equal(t, len(now), pageSize+1)
@@ -176,7 +177,7 @@
 	assert.Equal(t, o.revision, int64(0))
 }
 
-// A change whose answer was lost may be in force: either of the two is right when it is read back, and it is sent again as it was.
+// A change whose response was lost may be in force: readBack must accept it, and the next change must send the same configuration again.
 func TestOperator_UnconfirmedChange(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var taken atomic.Value
@@ -194,7 +195,7 @@
 		}
 	})})
 	t.Cleanup(o.close)
-	assert.ErrorContains(t, o.change(ctx), "no clear answer")
+	assert.ErrorContains(t, o.change(ctx), "no conclusive response")
 	for text, right := range map[string]bool{string(configuration(1)): true, "{}": false} {
 		taken.Store([]byte(text))
 		same, err := o.readBack(t.Context())
@@ -211,7 +212,7 @@
 	begun := time.Now()
 	assert.Equal(t, h.longestSince(begun), time.Duration(0))
 	h.measuredFrom = begun.Add(-time.Second)
-	assert.Assert(t, h.longestSince(begun) >= time.Second, "under way")
+	assert.Assert(t, h.longestSince(begun) >= time.Second, "a stall in progress")
 	h.end(&h.disk)
 	processor, disk := h.longest()
 	assert.Assert(t, processor == 0 && disk >= time.Second)
--- a/internal/faulttest/tierdemo/faults.go
+++ b/internal/faulttest/tierdemo/faults.go
@@ -13,12 +13,12 @@
 	What string
 }
 
-// Takeover is how long it took until others had the work of a process that was stopped.
+// Takeover is a failover: how long it took until other processes had taken over the work of a process that was stopped.
 type Takeover struct {
 	Node string
 	Work string
 	Took time.Duration
-	Done bool // else there was none within Took
+	Done bool // false: the work was not taken over within Took
 }
 
 // recordEvent records an event.
@@ -37,8 +37,8 @@
 func (demo *demo) injectFaults(ctx context.Context) {
 	demo.setPhase("trouble")
 	begun := time.Now()
-	at := func(part float64) { // part of the time
-		sleep(ctx, time.Until(begun.Add(time.Duration(part*float64(demo.options.Faults)))))
+	at := func(fraction float64) { // fraction of the phase
+		sleep(ctx, time.Until(begun.Add(time.Duration(fraction*float64(demo.options.Faults)))))
 	}
 	var releasing sync.WaitGroup
 	releasing.Go(func() { demo.releaseAll(ctx) })
@@ -67,14 +67,14 @@
 	}
 }
 
-// kill kills a process and measures the time until others have its work.
-func (demo *demo) kill(ctx context.Context, member *member, work string, taken func(context.Context) bool) {
+// kill kills a process and measures the time until other processes have taken over its work.
+func (demo *demo) kill(ctx context.Context, member *member, work string, takenOver func(context.Context) bool) {
 	member.kill()
 	stopped := time.Now()
 	demo.recordEvent("%s stopped", member.node())
 	ctx, cancel := context.WithTimeout(ctx, recoveryTime)
 	defer cancel()
-	err := pollUntil(ctx, "takeover from "+member.node(), taken)
+	err := pollUntil(ctx, "takeover from "+member.node(), takenOver)
 	takeover := Takeover{Node: member.node(), Work: work, Took: time.Since(stopped), Done: err == nil}
 	demo.mu.Lock()
 	demo.takeovers = append(demo.takeovers, takeover)
@@ -84,8 +84,8 @@
 	}
 }
 
-// restart restarts a process and waits until it has its part again and the tier survives another loss.
-func (demo *demo) restart(ctx context.Context, member *member, part func(context.Context) bool) {
+// restart restarts a process and waits until it serves its role again and the tier can survive another loss.
+func (demo *demo) restart(ctx context.Context, member *member, serving func(context.Context) bool) {
 	if err := member.start(); err != nil {
 		demo.recordEvent("%s does not start: %v", member.node(), err)
 		return
@@ -93,40 +93,40 @@
 	demo.recordEvent("%s started", member.node())
 	ctx, cancel := context.WithTimeout(ctx, recoveryTime)
 	defer cancel()
-	if pollUntil(ctx, "the part of "+member.node(), func(ctx context.Context) bool { return part(ctx) && demo.tier.hasAllReplicas(ctx) }) == nil {
+	if pollUntil(ctx, "recovery of "+member.node(), func(ctx context.Context) bool { return serving(ctx) && demo.tier.hasAllReplicas(ctx) }) == nil {
 		demo.recordEvent("%s does its part, and all copies are whole", member.node())
 	}
 }
 
 // loseTurnStore kills a turn store that is a primary, and restarts it.
 func (demo *demo) loseTurnStore(ctx context.Context, at func(float64)) {
-	lost := demo.tier.turnStores[0]
-	for _, store := range demo.tier.turnStores { // one that is a primary
-		one, cancel := context.WithTimeout(ctx, pollTimeout)
-		primary, _ := demo.tier.isPrimary(one, store.node())
+	killed := demo.tier.turnStores[0]
+	for _, store := range demo.tier.turnStores {
+		pollCtx, cancel := context.WithTimeout(ctx, pollTimeout)
+		primary, _ := demo.tier.isPrimary(pollCtx, store.node())
 		cancel()
 		if primary {
-			lost = store
+			killed = store
 			break
 		}
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	demo.kill(ctx, lost, "partitions of "+lost.node(), func(ctx context.Context) bool {
-		primary, known := demo.tier.isPrimary(ctx, lost.node())
+	demo.kill(ctx, killed, "partitions of "+killed.node(), func(ctx context.Context) bool {
+		primary, known := demo.tier.isPrimary(ctx, killed.node())
 		return known && !primary
 	})
 	at(.25)
-	demo.restart(ctx, lost, func(ctx context.Context) bool { return demo.tier.hasReplica(ctx, lost.node()) })
+	demo.restart(ctx, killed, func(ctx context.Context) bool { return demo.tier.hasReplica(ctx, killed.node()) })
 }
 
 // losePrimary kills the control-plane primary, changes the configuration, and restarts it.
 func (demo *demo) losePrimary(ctx context.Context, at func(float64)) {
-	one, cancel := context.WithTimeout(ctx, recoveryTime)
+	pollCtx, cancel := context.WithTimeout(ctx, recoveryTime)
 	defer cancel()
 	var primary *member
-	if pollUntil(one, "a primary", func(ctx context.Context) bool {
+	if pollUntil(pollCtx, "a primary", func(ctx context.Context) bool {
 		primary, _ = demo.tier.primary(ctx)
 		return primary != nil
 	}) != nil {
--- a/internal/faulttest/tierdemo/operator.go
+++ b/internal/faulttest/tierdemo/operator.go
@@ -12,7 +12,7 @@
 	"github.com/joomcode/errorx"
 )
 
-// Values of the configuration, and times of the operator.
+// Values of the configuration, and time-outs of the operator.
 const (
 	routeHost         = "agents.example"
 	turnPath          = "/turn/"
@@ -21,24 +21,24 @@
 	addedPath         = "/added/"
 	latencyTarget     = 400 * time.Millisecond
 	retention         = 120 * time.Second
-	callTimeout       = time.Second // of one call
-	redirects         = 2
-	changeTimeout     = 10 * time.Second // of one change with its retries; the first configuration is sent until it is accepted
+	callTimeout       = time.Second
+	maxRedirects      = 2
+	changeTimeout     = 10 * time.Second // of one change with its retries; the first configuration is retried without a time-out
 )
 
-// operator is a fake operator: it sends configurations, changes them and reads them back.
+// operator is a fake operator that sends configurations, changes them and reads them back.
 type operator struct {
 	client      *http.Client
 	addresses   []string // control_plane addresses
-	revision    int64    // the last one acknowledged
-	body        []byte
-	unconfirmed []byte // a change without a clear response, which may be in force
+	revision    int64    // last acknowledged revision
+	body        []byte   // configuration of revision
+	unconfirmed []byte   // change with unknown outcome, which may be in force
 }
 
-// newOperator makes an operator that has sent nothing yet.
+// newOperator returns an operator that has sent no configuration yet.
 func newOperator(addresses []string) *operator {
 	return &operator{addresses: addresses, client: &http.Client{CheckRedirect: func(_ *http.Request, via []*http.Request) error {
-		if len(via) > redirects {
+		if len(via) > maxRedirects {
 			return http.ErrUseLastResponse
 		}
 		return nil
@@ -47,10 +47,10 @@
 
 func (operator *operator) close() { operator.client.CloseIdleConnections() }
 
-// addedRoute is the path of the route that a revision adds.
+// addedRoute returns the path of the route that a revision adds.
 func addedRoute(revision int64) string { return addedPath + strconv.FormatInt(revision, 10) + "/" }
 
-// configuration is that of a revision: each but the first adds a route, and each has other time-outs.
+// configuration returns the configuration of a revision. Each revision except the first adds a route, and each has different time-outs.
 func configuration(revision int64) []byte {
 	type object = map[string]any
 	turn := object{"name": "turn", "hostname": routeHost, "path_prefix": turnPath, "route_type": "streaming", "timeout_ms": turnTime.Milliseconds() + revision,
@@ -76,26 +76,28 @@
 func (operator *operator) change(ctx context.Context) error {
 	next := operator.revision + 1
 	body := configuration(next)
-	status, _, err := operator.untilClear(ctx, http.MethodPost, "/saffronyard/Configuration.Replace", body)
+	status, _, err := operator.untilConclusive(ctx, http.MethodPost, "/saffronyard/Configuration.Replace", body)
 	if err != nil {
 		operator.unconfirmed = body
 		return errorx.Decorate(err, "configuration %d", next)
 	}
 	if status != http.StatusOK {
-		return errorx.ExternalError.New("configuration %d: the answer is %d", next, status)
+		return errorx.ExternalError.New("configuration %d: rejected with status %d", next, status)
 	}
 	operator.revision, operator.body, operator.unconfirmed = next, body, nil
 	return nil
 }
 
-// readBack reads the configuration, and reports whether it is the last one acknowledged, or a later one with unknown outcome.
+// readBack reads the configuration and reports whether it is that of the last acknowledged change, or of a later change with
+// unknown outcome.
 func (operator *operator) readBack(ctx context.Context) (bool, error) {
-	status, body, err := operator.untilClear(ctx, http.MethodGet, "/saffronyard/Configuration.Describe", nil)
+	status, body, err := operator.untilConclusive(ctx, http.MethodGet, "/saffronyard/Configuration.Describe", nil)
 	return status == http.StatusOK && (bytes.Equal(body, operator.body) || operator.unconfirmed != nil && bytes.Equal(body, operator.unconfirmed)), err
 }
 
-// untilClear calls one control_plane address after the other, with backoff, until the response of one is clear.
-func (operator *operator) untilClear(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
+// untilConclusive calls one control_plane address after the other, with backoff, until a response has a conclusive status: below
+// 500, and not 307, 408 or 429.
+func (operator *operator) untilConclusive(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
 	if operator.revision > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, changeTimeout)
@@ -108,7 +110,7 @@
 			return status, answer, nil
 		}
 		if ctx.Err() != nil {
-			return status, nil, errorx.TimeoutElapsed.New("no clear answer, the last one is %d (%v)", status, err)
+			return status, nil, errorx.TimeoutElapsed.New("no conclusive response; the last status is %d (%v)", status, err)
 		}
 		sleep(ctx, wait)
 		wait = min(wait*3/2, 300*time.Millisecond)
--- a/internal/faulttest/tierdemo/page.go
+++ b/internal/faulttest/tierdemo/page.go
@@ -30,20 +30,20 @@
 {{end}}</table></body></html>
 `))
 
-// line is one series of a plot, with a value for each second.
+// line is one series of a plot with a value for each second.
 type line struct {
 	Name, Color string
 	values      []float64
 }
 
-// plot is a chart by seconds.
+// plot is a chart over time.
 type plot struct {
 	Title string
 	Lines []line
 	SVG   template.HTML
 }
 
-// Page writes the report as a self-contained page of HTML.
+// Page writes the report as a self-contained HTML page.
 func (report *Report) Page(out io.Writer) error {
 	var text strings.Builder
 	report.Print(&text)
--- a/internal/faulttest/tierdemo/platform.go
+++ b/internal/faulttest/tierdemo/platform.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	platformRate  = 40.0 // calls a second
+	platformRate  = 40.0 // limit of calls a second to the platform, for each process
 	pageSize      = 4    // entries; small, so that lists have several pages
 	drainTime     = time.Second
 	endpointSlots = 16 // slots of an endpoint
@@ -114,8 +114,8 @@
 	return err
 }
 
-// release replaces the oldest endpoint by a new one. The old one is listed as draining, serves for its drain time and a little
-// longer, and ends.
+// release replaces the oldest endpoint by a new one. The old endpoint is listed as draining, serves for one and a half times the
+// drain time, and is shut down.
 func (platform *platform) release(ctx context.Context) (instance string, err error) {
 	platform.mu.Lock()
 	var oldest *endpoint
@@ -147,14 +147,14 @@
 			}
 		}
 		platform.mu.Unlock()
-		last, cancel := context.WithTimeout(context.Background(), drainTime)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), drainTime)
 		defer cancel()
-		oldest.shutDown(last)
+		oldest.shutDown(shutdownCtx)
 	})
 	return oldest.instance, nil
 }
 
-// count is the number of endpoints that are not draining.
+// count returns the number of endpoints that are not draining.
 func (platform *platform) count() (n int) {
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
--- a/internal/faulttest/tierdemo/program.go
+++ b/internal/faulttest/tierdemo/program.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	turnTime      = 6 * time.Second // of one request of a turn, with its attempts
-	toolTime      = 4 * time.Second
-	maxAttempts   = 12
-	turnRetries   = 2 // of a turn that failed
-	maxTurnTokens = 24
-	tightEvery    = 6 // one program in so many has a budget that is too small for its turns
+	turnTime            = 6 * time.Second // time-out of a request for a turn, with its attempts
+	toolTime            = 4 * time.Second // time-out of a tool call, with its attempts
+	maxAttempts         = 12
+	turnRetries         = 2 // further requests for a turn that failed
+	maxTurnTokens       = 24
+	smallBudgetInterval = 6 // every sixth program has a budget that is too small for its turns
 )
 
 // Outcome is how a program ended.
@@ -25,7 +25,7 @@
 // The outcomes.
 const (
 	Completed       Outcome = iota
-	BudgetExhausted         // ended by its budget, as it should
+	BudgetExhausted         // a turn was correctly rejected because the budget did not suffice
 	Failed                  // a turn failed three times, or a tool call failed
 	Interrupted             // interrupted by the end of the demo
 )
@@ -36,23 +36,23 @@
 	caller         *caller
 	recorder       *recorder
 	budget         *budget
-	mayHaveCharged bool // an attempt has failed that may have run: what it reserved may be charged
+	mayHaveCharged bool // an attempt that failed may have run, and its reservation may have been charged to the budget
 	mu             sync.Mutex
 	failure        string
 }
 
-// newProgram makes the n-th program.
+// newProgram returns the n-th program.
 func newProgram(n int, caller *caller, recorder *recorder) *program {
 	made := &program{name: fmt.Sprintf("p%d-%x", n, rand.Uint32()), caller: caller, recorder: recorder}
 	made.budget = &budget{limit: 50 * maxTurnTokens, maxPerTurn: maxTurnTokens}
-	if n%tightEvery == tightEvery-1 {
+	if n%smallBudgetInterval == smallBudgetInterval-1 {
 		made.budget.limit = 2 * maxTurnTokens
 	}
 	return made
 }
 
-// tight reports whether the budget is too small for the turns of the program.
-func (program *program) tight() bool { return program.budget.limit < 10*maxTurnTokens }
+// hasSmallBudget reports whether the budget is too small for the turns of the program.
+func (program *program) hasSmallBudget() bool { return program.budget.limit < 10*maxTurnTokens }
 
 // fail records why the program failed, the first time.
 func (program *program) fail(why string, args ...any) {
@@ -66,11 +66,11 @@
 // run runs the program to its end.
 func (program *program) run(ctx context.Context) (outcome Outcome, why string) {
 	turns := 3 + rand.N(3)
-	if program.tight() {
+	if program.hasSmallBudget() {
 		turns = 8
 	}
-	var beside sync.WaitGroup
-	side := Completed
+	var subAgents sync.WaitGroup
+	subAgentOutcome := Completed
 	previous := ""
 	for n := range turns {
 		id, got := program.turn(ctx, "main", previous, fmt.Sprintf("%s asks %d\n", program.name, n+1))
@@ -78,17 +78,17 @@
 			break
 		}
 		previous = id
-		if n == 1 && !program.tight() && rand.N(3) == 0 {
-			beside.Go(func() { side = program.agent(ctx, id) })
+		if n == 1 && !program.hasSmallBudget() && rand.N(3) == 0 {
+			subAgents.Go(func() { subAgentOutcome = program.agent(ctx, id) })
 		}
 		if outcome = program.tools(ctx, rand.N(3)); outcome != Completed {
 			break
 		}
 		sleep(ctx, rand.N(60*time.Millisecond))
 	}
-	beside.Wait()
+	subAgents.Wait()
 	if outcome == Completed {
-		outcome = side
+		outcome = subAgentOutcome
 	}
 	program.mu.Lock()
 	defer program.mu.Unlock()
@@ -107,18 +107,18 @@
 	return Completed
 }
 
-// turn runs one turn, and returns its id.
-func (program *program) turn(ctx context.Context, line, previous, input string) (id string, outcome Outcome) {
+// turn runs one turn, with retries, and returns the id of its last attempt.
+func (program *program) turn(ctx context.Context, sessionSuffix, previous, input string) (id string, outcome Outcome) {
 	begun := time.Now()
 	request := request{path: turnPath + "x", timeout: turnTime, maxAttempts: maxAttempts, attempt: attempt{program: program.budget, previous: previous, input: input},
-		header: map[string]string{"Program": program.name, "Session": program.name + "-" + line, "Finish-Ms": "20000",
+		header: map[string]string{"Program": program.name, "Session": program.name + "-" + sessionSuffix, "Finish-Ms": "20000",
 			"Budget": strconv.Itoa(program.budget.limit), "X-Token-Usage": fmt.Sprintf("%d,%d", len(input), maxTurnTokens), "X-Model": "m"}}
 	if previous != "" {
 		request.header["Previous"] = previous
 	}
 	var answer response
 	for retries := 0; ; retries++ {
-		id, answer = program.caller.ask(ctx, request)
+		id, answer = program.caller.sendWithRetries(ctx, request)
 		if answer.complete && answer.status == 200 {
 			program.recorder.turn(answer.firstEventAt.Sub(begun))
 			return id, Completed
@@ -126,7 +126,7 @@
 		if ctx.Err() != nil {
 			return id, Interrupted
 		}
-		if answer.status == 402 && program.mayBeSpent() {
+		if answer.status == 402 && program.mayBeExhausted() {
 			return id, BudgetExhausted
 		}
 		if answer.final() || retries == turnRetries {
@@ -143,8 +143,8 @@
 	}
 }
 
-// mayBeSpent reports whether the budget may be too small for one more turn.
-func (program *program) mayBeSpent() bool {
+// mayBeExhausted reports whether the budget may be too small for one more turn.
+func (program *program) mayBeExhausted() bool {
 	program.mu.Lock()
 	defer program.mu.Unlock()
 	program.caller.checker.mu.Lock()
@@ -152,7 +152,7 @@
 	return program.mayHaveCharged || program.budget.used+program.budget.maxPerTurn > program.budget.limit
 }
 
-// tools makes so many tool calls at once.
+// tools makes n concurrent tool calls.
 func (program *program) tools(ctx context.Context, n int) Outcome {
 	outcomes := make([]Outcome, n)
 	var calls sync.WaitGroup
@@ -168,14 +168,14 @@
 	return Completed
 }
 
-// tool makes one tool call: of every two, one that is idempotent and one that is not.
+// tool makes the i-th tool call. Calls with an odd i are not idempotent.
 func (program *program) tool(ctx context.Context, i int) Outcome {
 	request := request{path: idempotentPath + "x", timeout: toolTime, maxAttempts: maxAttempts, attempt: attempt{input: program.name + " calls " + strconv.Itoa(i), idempotent: true},
 		header: map[string]string{"Program": program.name, "Session": program.name + "-main", "Finish-Ms": "20000"}}
 	if i%2 == 1 {
 		request.path, request.attempt.idempotent = nonIdempotentPath+"x", false
 	}
-	_, answer := program.caller.ask(ctx, request)
+	_, answer := program.caller.sendWithRetries(ctx, request)
 	if answer.complete && answer.status == 200 {
 		return Completed
 	}
--- a/internal/faulttest/tierdemo/recorder.go
+++ b/internal/faulttest/tierdemo/recorder.go
@@ -7,12 +7,12 @@
 	hdrhistogram "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Second has the figures of one second.
+// Second has the counts and latencies of one second.
 type Second struct {
 	Served   int           // turns that were completed
-	Late     int           // of them, those whose first event came after the target latency
+	Late     int           // completed turns whose first event came after the latency target
 	Failed   int           // turns that failed
-	P50, P99 time.Duration // from a turn's first attempt to its first event; 0 without turns
+	P50, P99 time.Duration // from a turn's first attempt to its first event; 0 without completed turns
 }
 
 // Counts has the totals so far.
@@ -28,17 +28,17 @@
 	begun   time.Time
 	counts  Counts
 	all     *hdrhistogram.Histogram
-	current *hdrhistogram.Histogram // of the last second
+	current *hdrhistogram.Histogram // of the last second in seconds
 	seconds []Second
 	reasons []string
 }
 
-// newHistogram makes a histogram of microseconds up to a minute, with two significant digits.
+// newHistogram returns a histogram of microseconds up to a minute, with two significant digits.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, time.Minute.Microseconds(), 2)
 }
 
-// newRecorder makes a recorder whose first second begins at begun.
+// newRecorder returns a recorder whose first second begins at begun.
 func newRecorder(begun time.Time) *recorder {
 	return &recorder{begun: begun, all: newHistogram(), current: newHistogram()}
 }
@@ -47,14 +47,14 @@
 func (recorder *recorder) second() *Second {
 	n := int(time.Since(recorder.begun) / time.Second)
 	for len(recorder.seconds) <= n {
-		recorder.close()
+		recorder.finishSecond()
 		recorder.seconds = append(recorder.seconds, Second{})
 	}
 	return &recorder.seconds[len(recorder.seconds)-1]
 }
 
-// close computes the percentiles of the last second.
-func (recorder *recorder) close() {
+// finishSecond computes the percentiles of the last second.
+func (recorder *recorder) finishSecond() {
 	if n := len(recorder.seconds); n > 0 && recorder.current.TotalCount() > 0 {
 		second := &recorder.seconds[n-1]
 		second.P50, second.P99 = quantile(recorder.current, 50), quantile(recorder.current, 99)
@@ -67,7 +67,7 @@
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// turn counts a completed turn, whose first event came after first.
+// turn counts a completed turn; first is the latency of its first event.
 func (recorder *recorder) turn(first time.Duration) {
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
@@ -79,7 +79,7 @@
 		recorder.counts.Late++
 	}
 	us := min(max(first.Microseconds(), 1), time.Minute.Microseconds())
-	_ = recorder.all.RecordValue(us) // it is within its bounds
+	_ = recorder.all.RecordValue(us) // cannot fail: us is within the histogram's range
 	_ = recorder.current.RecordValue(us)
 }
 
@@ -127,11 +127,11 @@
 	return c
 }
 
-// series returns all seconds, and the first reasons of failed programs.
+// series returns all seconds, and the reasons why the first programs failed.
 func (recorder *recorder) series() (seconds []Second, reasons []string) {
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
 	recorder.second()
-	recorder.close()
+	recorder.finishSecond()
 	return append([]Second(nil), recorder.seconds...), append([]string(nil), recorder.reasons...)
 }
--- a/internal/faulttest/tierdemo/report.go
+++ b/internal/faulttest/tierdemo/report.go
@@ -9,22 +9,22 @@
 
 // Report is the result of a demo.
 type Report struct {
-	Begun       time.Duration // until the tier took clients
-	Calm        time.Duration // of Lasted; the rest is the phases with faults and at the end
-	Lasted      time.Duration
+	Begun       time.Duration // until the tier accepted clients
+	Calm        time.Duration // planned length of the phase without faults, which is part of Lasted
+	Lasted      time.Duration // from the start of the traffic to its end
 	Rate        float64       // programs a second
-	Processor   time.Duration // longest stall of the machine: for the processor,
-	Disk        time.Duration // and for the disk to sync
+	Processor   time.Duration // longest wait of the machine for the processor
+	Disk        time.Duration // longest fsync of the machine
 	Interrupted bool
 	Counts      Counts
 	Seconds     []Second
-	Failures    []string // the first reasons why programs failed
+	Failures    []string // reasons why the first programs failed
 	Events      []Event
 	Takeovers   []Takeover
 	Verdicts    []Verdict
 }
 
-// Broken is the number of rules that were broken.
+// Broken returns the number of rules that were broken.
 func (report *Report) Broken() (n int) {
 	for _, v := range report.Verdicts {
 		if v.Broken > 0 {
@@ -68,7 +68,7 @@
 		if i == 0 {
 			label = "rules"
 		}
-		fmt.Fprintf(table, "%s\t%s: %s\n", label, verdict.Rule, verdict.say())
+		fmt.Fprintf(table, "%s\t%s: %s\n", label, verdict.Rule, verdict.text())
 		for _, how := range verdict.How {
 			fmt.Fprintf(table, "\t  %s\n", how)
 		}
@@ -78,8 +78,8 @@
 	}
 }
 
-// say returns the verdict in words.
-func (verdict Verdict) say() string {
+// text returns the verdict as the report prints it.
+func (verdict Verdict) text() string {
 	switch {
 	case verdict.Broken > 0:
 		return fmt.Sprintf("BROKEN %d times (%d checks)", verdict.Broken, verdict.Checked)
--- a/internal/faulttest/tierdemo/report_test.go
+++ b/internal/faulttest/tierdemo/report_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestRecorder_Counts(t *testing.T) {
-	r := newRecorder(time.Now().Add(-1500 * time.Millisecond)) // in its second second
+	r := newRecorder(time.Now().Add(-1500 * time.Millisecond)) // the current second is the recorder's second one
 	for n := range 100 {
 		r.turn(time.Duration(n+1) * 5 * time.Millisecond)
 	}
@@ -43,12 +43,12 @@
 	assert.Equal(t, total, Second{Served: 100, Late: 20, Failed: 1})
 }
 
-func testReport(spoilt bool) *Report {
+func testReport(broken bool) *Report {
 	w := newRuleChecker()
 	for r := range ruleCount {
 		w.check(r, true, "")
 	}
-	if spoilt {
+	if broken {
 		w.check(RuleRunOnce, false, "%s ran 2 times", "<a>")
 	}
 	return &Report{Calm: 2 * time.Second, Lasted: 4 * time.Second, Rate: 5, Counts: Counts{Started: 10, Completed: 8, BudgetExhausted: 1, Failed: 1, Turns: 30},
@@ -77,16 +77,16 @@
 }
 
 func TestReport_UncheckedRuleNotKept(t *testing.T) {
-	assert.Equal(t, Verdict{}.say(), "not seen (0 checks)")
+	assert.Equal(t, Verdict{}.text(), "not seen (0 checks)")
 }
 
 func TestReport_Page(t *testing.T) {
 	var b strings.Builder
 	assert.NilError(t, testReport(true).Page(&b))
 	text := b.String()
-	assert.Assert(t, !strings.Contains(text, "<a>") && !strings.Contains(text, "<stopped>"), "texts are escaped")
+	assert.Assert(t, !strings.Contains(text, "<a>") && !strings.Contains(text, "<stopped>"), "texts are not escaped")
 	for _, outside := range []string{"http://", "https://", "<script", "src="} {
-		assert.Assert(t, !strings.Contains(text, outside), "it needs %s", outside)
+		assert.Assert(t, !strings.Contains(text, outside), "the page refers to %s", outside)
 	}
 	plots := 0
 	for rest := text; ; plots++ {
--- a/internal/faulttest/tierdemo/rule_checker.go
+++ b/internal/faulttest/tierdemo/rule_checker.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Rule is a promise of the tier that the demo checks.
+// Rule is a guarantee of the tier that the demo checks.
 type Rule int
 
 // The rules.
@@ -20,19 +20,19 @@
 	ruleCount
 )
 
-// ruleNames are the rules in words, as reports have them.
+// ruleNames are the texts of the rules in reports.
 var ruleNames = [ruleCount]string{"no turn is lost", "none runs twice", "none runs that was refused", "no budget is passed", "nothing is mixed",
 	"acknowledged configurations are in force"}
 
-// String returns the rule in words.
+// String returns the text of the rule in reports.
 func (rule Rule) String() string { return ruleNames[rule] }
 
 // Verdict is the result of the checks of a rule.
 type Verdict struct {
 	Rule    Rule
-	Checked int      // times that it was checked
-	Broken  int      // times that it was broken
-	How     []string // the first examples
+	Checked int      // number of checks
+	Broken  int      // number of checks that failed
+	How     []string // the first violations, at most maxExamples
 }
 
 // maxExamples is how many examples of a broken rule or a failure are recorded.
@@ -41,27 +41,27 @@
 // attempt is one request as a program sends it, with its own id.
 type attempt struct {
 	id         string
-	program    *budget // of a turn; nil: a tool call
+	program    *budget // budget of the program for a turn; nil for a tool call
 	path       string
-	previous   string // turn that it continues
+	previous   string // id of the turn that this turn continues
 	input      string
 	idempotent bool
 
 	runs              int
 	output            string // of a turn: data of its events, each with a line feed
 	events            []string
-	endpointCompleted bool // its endpoint has completed it
-	complete          bool // its client has received it completely
-	rejectedStatus    int  // status that promised its client that it does not run
+	endpointCompleted bool // the endpoint has completed the request
+	complete          bool // the client has received the complete response
+	rejectedStatus    int  // status of a response which promised the client that the attempt does not run
 }
 
-// budget is how many tokens the turns of a program may generate together.
+// budget limits the total number of tokens that the turns of a program may generate.
 type budget struct {
 	limit, maxPerTurn, used int
 }
 
-// ruleChecker observes what programs send and receive and what endpoints run, and checks the rules. Programs and endpoints are in
-// one process, so that it knows what an endpoint does before its bytes are sent.
+// ruleChecker observes what programs send and receive and what endpoints run, and checks the rules. Programs and endpoints run in
+// the same process, so the checker records what an endpoint does before the endpoint's bytes are sent.
 type ruleChecker struct {
 	mu       sync.Mutex
 	attempts map[string]*attempt
@@ -111,7 +111,8 @@
 	checker.attempts[attempt.id] = &attempt
 }
 
-// chain is the text before a turn's input: the inputs and outputs of the turns that it continues, the oldest first.
+// chain returns the text that precedes a turn's input: the inputs and outputs of previous and of the turns that previous
+// continues, the oldest first.
 func (checker *ruleChecker) chain(previous string) string {
 	var parts []string
 	for attempt := checker.attempts[previous]; attempt != nil; attempt = checker.attempts[attempt.previous] {
@@ -124,7 +125,7 @@
 	return b.String()
 }
 
-// recordRun records that an endpoint of a service begins to run a request.
+// recordRun records that an endpoint of a service starts to execute a request, and checks the rules for it.
 func (checker *ruleChecker) recordRun(id, service, path, body string) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -167,7 +168,8 @@
 	}
 }
 
-// recordResponse records what a client received in an attempt. Its tokens are counted whether it is complete or not.
+// recordResponse records what a client received in an attempt, and checks the rules for it. The tokens of an incomplete response
+// count, too.
 func (checker *ruleChecker) recordResponse(id string, answer response) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
--- a/internal/faulttest/tierdemo/rule_checker_test.go
+++ b/internal/faulttest/tierdemo/rule_checker_test.go
@@ -6,25 +6,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// played is a program of two turns and a call, all as they should be; each step can be spoilt by a test.
-type played struct {
+// testProgram is a correct program of two turns and a tool call. A test can change any step to break a rule.
+type testProgram struct {
 	w       *ruleChecker
 	b       *budget
 	body    string // of the second turn
 	second  response
 	call    response
-	service string // that runs the second turn
-	after   func() // before the verdict
+	service string // service whose endpoint runs the second turn
+	after   func() // runs before the verdict, if set
 }
 
-func newPlayed() *played {
-	p := &played{w: newRuleChecker(), b: &budget{limit: 20, maxPerTurn: 4}, body: "one\na-1\na-2\ntwo\n", service: modelService}
+func newTestProgram() *testProgram {
+	p := &testProgram{w: newRuleChecker(), b: &budget{limit: 20, maxPerTurn: 4}, body: "one\na-1\na-2\ntwo\n", service: modelService}
 	p.second = response{status: 200, signature: signature("b"), events: []string{"b-1"}, idsInOrder: true, complete: true}
 	p.call = response{status: 200, signature: signature("c"), body: toolResponse("c", "call"), complete: true}
 	return p
 }
 
-func (p *played) run() []Verdict {
+func (p *testProgram) run() []Verdict {
 	w := p.w
 	w.recordSent(attempt{id: "a", path: turnPath, program: p.b, input: "one\n"})
 	w.recordRun("a", modelService, turnPath, "one\n")
@@ -58,7 +58,7 @@
 }
 
 func TestRuleChecker_CompleteProgramKeepsRules(t *testing.T) {
-	list := newPlayed().run()
+	list := newTestProgram().run()
 	assert.Equal(t, len(broken(list)), 0, "%v", list)
 	for _, v := range list {
 		assert.Assert(t, v.Checked > 0, "%s was not looked at", v.Rule)
@@ -66,49 +66,49 @@
 }
 
 func TestRuleChecker_EachRuleBroken(t *testing.T) {
-	for name, one := range map[string]struct {
-		spoil func(*played)
-		rules []Rule
+	for name, test := range map[string]struct {
+		breakRule func(*testProgram)
+		rules     []Rule
 	}{
-		"the turn before is not known": {func(p *played) { p.second = response{status: 404} }, []Rule{RuleTurnsKept}},
-		"its text is gone":             {func(p *played) { p.body = "two\n" }, []Rule{RuleTurnsKept, RuleNotMixed}},
-		"its output is cut":            {func(p *played) { p.body = "one\na-1\ntwo\n" }, []Rule{RuleTurnsKept, RuleNotMixed}},
-		"a turn runs twice": {func(p *played) {
+		"previous turn unknown":     {func(p *testProgram) { p.second = response{status: 404} }, []Rule{RuleTurnsKept}},
+		"previous text missing":     {func(p *testProgram) { p.body = "two\n" }, []Rule{RuleTurnsKept, RuleNotMixed}},
+		"previous output truncated": {func(p *testProgram) { p.body = "one\na-1\ntwo\n" }, []Rule{RuleTurnsKept, RuleNotMixed}},
+		"a turn runs twice": {func(p *testProgram) {
 			p.after = func() { p.w.recordRun("b", modelService, turnPath, p.body) }
 		}, []Rule{RuleRunOnce}},
-		"a call runs twice": {func(p *played) {
+		"a call runs twice": {func(p *testProgram) {
 			p.after = func() { p.w.recordRun("c", toolService, nonIdempotentPath, "call") }
 		}, []Rule{RuleRunOnce}},
-		"refused though it ran": {func(p *played) { p.second = response{status: 503} }, []Rule{RuleRejectedNotRun}},
-		"spent though it ran":   {func(p *played) { p.second = response{status: 402} }, []Rule{RuleRejectedNotRun}},
-		"runs after a refusal": {func(p *played) {
+		"rejected after execution":         {func(p *testProgram) { p.second = response{status: 503} }, []Rule{RuleRejectedNotRun}},
+		"budget exhausted after execution": {func(p *testProgram) { p.second = response{status: 402} }, []Rule{RuleRejectedNotRun}},
+		"executed after rejection": {func(p *testProgram) {
 			p.after = func() {
 				p.w.recordSent(attempt{id: "d", path: turnPath, program: p.b, input: "three\n"})
 				p.w.recordResponse("d", response{status: 429})
 				p.w.recordRun("d", modelService, turnPath, "three\n")
 			}
 		}, []Rule{RuleRejectedNotRun}},
-		"more than the budget and a turn": {func(p *played) { p.b.limit, p.b.maxPerTurn = 3, 2 }, []Rule{RuleBudget}},
-		"another's answer":                {func(p *played) { p.second.signature = signature("a") }, []Rule{RuleNotMixed}},
-		"another's events":                {func(p *played) { p.second.events = []string{"a-1"} }, []Rule{RuleNotMixed}},
-		"events out of order":             {func(p *played) { p.second.idsInOrder = false }, []Rule{RuleNotMixed}},
-		"cut short, and looks whole":      {func(p *played) { p.second.events = nil }, []Rule{RuleNotMixed}},
-		"another's body":                  {func(p *played) { p.call.body = toolResponse("d", "call") }, []Rule{RuleNotMixed}},
-		"another service":                 {func(p *played) { p.service = toolService }, []Rule{RuleNotMixed}},
-		"nobody sent it": {func(p *played) {
+		"more than the budget and a turn": {func(p *testProgram) { p.b.limit, p.b.maxPerTurn = 3, 2 }, []Rule{RuleBudget}},
+		"response of another attempt":     {func(p *testProgram) { p.second.signature = signature("a") }, []Rule{RuleNotMixed}},
+		"events of another attempt":       {func(p *testProgram) { p.second.events = []string{"a-1"} }, []Rule{RuleNotMixed}},
+		"events out of order":             {func(p *testProgram) { p.second.idsInOrder = false }, []Rule{RuleNotMixed}},
+		"truncated, but looks complete":   {func(p *testProgram) { p.second.events = nil }, []Rule{RuleNotMixed}},
+		"body of another attempt":         {func(p *testProgram) { p.call.body = toolResponse("d", "call") }, []Rule{RuleNotMixed}},
+		"another service":                 {func(p *testProgram) { p.service = toolService }, []Rule{RuleNotMixed}},
+		"unknown attempt": {func(p *testProgram) {
 			p.after = func() { p.w.recordRun("x", modelService, turnPath, "") }
 		}, []Rule{RuleNotMixed}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPlayed()
-			one.spoil(p)
-			assert.DeepEqual(t, broken(p.run()), one.rules)
+			p := newTestProgram()
+			test.breakRule(p)
+			assert.DeepEqual(t, broken(p.run()), test.rules)
 		})
 	}
 }
 
 func TestRuleChecker_CountsTokensOfIncompleteAttempts(t *testing.T) {
-	p := newPlayed()
+	p := newTestProgram()
 	p.b.limit, p.b.maxPerTurn = 4, 1
 	p.second.complete = false
 	assert.DeepEqual(t, broken(p.run()), []Rule{RuleBudget})
--- a/internal/faulttest/tierdemo/stall.go
+++ b/internal/faulttest/tierdemo/stall.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// stallInterval is how often is measured, and from which length a stall is recorded.
+// stallInterval is the interval of the measurements, and the duration above which a stall is recorded.
 const stallInterval = 100 * time.Millisecond
 
-// stallMeter measures how long the machine itself delays the demo: in waiting for the processor, and for a sync of the disk.
+// stallMeter measures how long the machine itself delays the demo: by waits for the processor, and by waits for fsync.
 // Rules with a time bound are not checked during a stall.
 type stallMeter struct {
 	mu           sync.Mutex
-	measuredFrom time.Time // begin of the current measurement; zero: none
-	allowed      time.Duration
-	processor    time.Duration // longest
-	disk         time.Duration
-	stalls       []stall // those longer than stallInterval
+	measuredFrom time.Time     // start of the current measurement; zero: none
+	allowed      time.Duration // time that the measured operation takes without a stall
+	processor    time.Duration // longest wait for the processor
+	disk         time.Duration // longest fsync
+	stalls       []stall       // stalls longer than stallInterval
 }
 
 // stall is one delay by the machine.
@@ -28,7 +28,7 @@
 	duration time.Duration
 }
 
-// run measures until ctx ends, with a file of its own in dir.
+// run measures until ctx ends. It writes to a file in dir.
 func (meter *stallMeter) run(ctx context.Context, dir string) error {
 	file, err := os.Create(filepath.Join(dir, "stall"))
 	if err != nil {
@@ -51,14 +51,14 @@
 	return nil
 }
 
-// begin starts a measurement of something that takes the time allowed without a stall.
+// begin starts a measurement of an operation that takes the time allowed without a stall.
 func (meter *stallMeter) begin(allowed time.Duration) {
 	meter.mu.Lock()
 	defer meter.mu.Unlock()
 	meter.measuredFrom, meter.allowed = time.Now(), allowed
 }
 
-// end ends the measurement, and updates the longest stall of its kind.
+// end ends the measurement and updates the longest stall of its kind.
 func (meter *stallMeter) end(longest *time.Duration) {
 	meter.mu.Lock()
 	defer meter.mu.Unlock()
@@ -70,13 +70,13 @@
 	meter.measuredFrom = time.Time{}
 }
 
-// longestSince returns the longest stall that has ended since, or is under way.
+// longestSince returns the longest stall that ended after since or is still in progress.
 func (meter *stallMeter) longestSince(since time.Time) (worst time.Duration) {
 	meter.mu.Lock()
 	defer meter.mu.Unlock()
-	for _, one := range meter.stalls {
-		if one.ended.After(since) {
-			worst = max(worst, one.duration)
+	for _, recorded := range meter.stalls {
+		if recorded.ended.After(since) {
+			worst = max(worst, recorded.duration)
 		}
 	}
 	if !meter.measuredFrom.IsZero() {
@@ -85,7 +85,7 @@
 	return worst
 }
 
-// longest returns the longest stalls.
+// longest returns the longest wait for the processor and for fsync.
 func (meter *stallMeter) longest() (processor, disk time.Duration) {
 	meter.mu.Lock()
 	defer meter.mu.Unlock()
--- a/internal/faulttest/tierdemo/tier.go
+++ b/internal/faulttest/tierdemo/tier.go
@@ -34,14 +34,14 @@
 	settings settings.Settings
 	log      *log.Logger
 
-	mu      sync.Mutex // guards what follows, and is held while the process starts or stops
+	mu      sync.Mutex // guards process; held while the process starts or stops
 	process *process.Process
 }
 
-// node is the name of its machine.
+// node returns the name of the member's machine.
 func (member *member) node() string { return member.settings.Node }
 
-// start starts the process unless it runs. Errors are those of its folder and its ports.
+// start starts the process unless it is running. Errors come from its folder and its ports.
 func (member *member) start() error {
 	member.mu.Lock()
 	defer member.mu.Unlock()
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// kill ends the process like SIGKILL: connections are reset, nothing is handed over, the folder stays.
+// kill ends the process like SIGKILL: connections are reset, there is no handover, and the folder remains.
 func (member *member) kill() {
 	member.mu.Lock()
 	defer member.mu.Unlock()
@@ -75,21 +75,21 @@
 	return member.process != nil
 }
 
-// tier is the processes of all roles.
+// tier has the processes of all roles.
 type tier struct {
 	controlPlanes, turnStores, gateways []*member
 	network                             string       // first three bytes of all addresses
 	client                              *http.Client // for calls of the demo itself
 }
 
-// perRole is how many control-plane and turn-store processes there are: one may be lost, and another takes its place.
+// perRole is the number of control-plane processes, and of turn-store processes: with three, one of them may be lost.
 const (
 	perRole      = 3
 	gatewayCount = 2
 )
 
-// newTier makes the processes without starting them: their machines are addresses of a loopback network, their folders are in
-// dir.
+// newTier configures the processes without starting them. Their machines are addresses of a loopback network, their folders are
+// in dir.
 func newTier(dir, platform string, logs *log.Logger) (*tier, error) {
 	tier := &tier{network: fmt.Sprintf("127.%d.%d.", 1+rand.N(254), rand.N(256)), client: rpc.NewClient()}
 	var addresses []string
@@ -124,20 +124,20 @@
 	return tier, nil
 }
 
-// site is what the processes of a tier have in common.
+// site has the settings that the processes of a tier share.
 type site struct {
-	dir       string // of their folders
+	dir       string // parent of their folders
 	platform  string // address of the platform
-	firstPort int    // of all machines
+	firstPort int    // first port of each machine
 	seeds     []string
 }
 
-// at is the address of a port, counted from the first, of a machine.
+// at returns the address of a port of a machine. The offset counts from the first port.
 func (site site) at(ip string, offset int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(site.firstPort+offset))
 }
 
-// settings returns the settings of the process of a role with that index, and makes its folder if it needs one.
+// settings returns the settings of a role's process with an index, and creates its data folder if the role has one.
 func (site site) settings(role string, index int, ip string) (settings.Settings, error) {
 	configured, err := settings.Parse(fmt.Appendf(nil, "node_name: %s-%d\nip_address: %s\ninternal_port_range: [%d, %d]\n",
 		role, index+1, ip, site.firstPort, site.firstPort+turnStorePort))
@@ -166,7 +166,7 @@
 	return configured, nil
 }
 
-// zoneName is the name of the zone with an index.
+// zoneName returns the name of the zone with an index.
 func zoneName(i int) string { return "zone-" + strconv.Itoa(i+1) }
 
 // freePorts finds a range of ports that is free on all addresses, below the ephemeral ports of the system.
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// killAll kills all processes, those that call others first.
+// killAll kills all processes, callers before the processes that they call.
 func (tier *tier) killAll() {
 	for _, group := range [][]*member{tier.gateways, tier.turnStores, tier.controlPlanes} {
 		var stopping sync.WaitGroup
--- a/internal/faulttest/tierdemo/tier_status.go
+++ b/internal/faulttest/tierdemo/tier_status.go
@@ -20,15 +20,15 @@
 	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
-		one, cancel := context.WithTimeout(ctx, pollTimeout)
-		ok := met(one)
+		pollCtx, cancel := context.WithTimeout(ctx, pollTimeout)
+		ok := met(pollCtx)
 		cancel()
 		if ok {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return errorx.TimeoutElapsed.Wrap(ctx.Err(), "waited for: %s", what)
+			return errorx.TimeoutElapsed.Wrap(ctx.Err(), "timed out waiting for %s", what)
 		case <-t.C:
 		}
 	}
@@ -40,7 +40,7 @@
 	return client.Status(ctx, &tierv1.StatusRequest{})
 }
 
-// primary asks the control-plane processes which of them is the primary, and returns it with its status; nil if none is.
+// primary queries the control-plane processes and returns the primary with its status, or nil if there is no primary.
 func (tier *tier) primary(ctx context.Context) (*member, *tierv1.StatusReply) {
 	for _, member := range tier.controlPlanes {
 		if !member.running() {
@@ -78,7 +78,7 @@
 	return len(status.GetPartitionMap().GetPartitions()) > 0
 }
 
-// isPrimary reports whether a turn store is primary of a partition by the newest map; known is false where there is no map.
+// isPrimary reports whether a turn store is the primary of a partition in the newest map; known is false if there is no map.
 func (tier *tier) isPrimary(ctx context.Context, node string) (primary, known bool) {
 	_, status := tier.primary(ctx)
 	for _, store := range status.GetPartitionMap().GetStoreNodes() {
@@ -91,7 +91,7 @@
 	return false, len(status.GetPartitionMap().GetPartitions()) > 0
 }
 
-// hasReplica reports whether a turn store has a replica of a partition by the newest map.
+// hasReplica reports whether a turn store has a replica of a partition in the newest map.
 func (tier *tier) hasReplica(ctx context.Context, node string) bool {
 	_, status := tier.primary(ctx)
 	for _, store := range status.GetPartitionMap().GetStoreNodes() {
@@ -112,7 +112,7 @@
 	return false
 }
 
-// isCurrent reports whether a control-plane process knows the record of the primary.
+// isCurrent reports whether a control-plane process has a record of the same epoch as the primary.
 func (tier *tier) isCurrent(ctx context.Context, process *member) bool {
 	_, newest := tier.primary(ctx)
 	status, err := tier.status(ctx, process)
