--- a/internal/faulttest/policytest/policytest.go
+++ b/internal/faulttest/policytest/policytest.go
@@ -1,6 +1,6 @@
-// Package policytest plays days on which a fleet changes its policy while links between its senders fail and processes are paused,
-// killed, or come back with an old folder, and judges from outside whether the change took hold everywhere or nowhere: by what
-// receivers got, and by what operators were told. It knows a sender by its sockets and files only.
+// Package policytest runs fault tests in which a fleet changes its policy while links between its senders fail and processes are
+// paused, killed, or restarted with an old state folder. It checks from the outside that each change takes effect on all senders or on
+// none: by the calls that receivers get, and by the results that operators get. It uses only the sockets and files of a sender.
 package policytest
 
 import (
@@ -26,61 +26,63 @@
 	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
-// Options say what is played.
+// Options configure a test day.
 type Options struct {
 	Seed          uint64
 	Senders       int
 	Voters        int
-	Seconds       float64       // of faults and changes; healing comes behind
+	Seconds       float64       // duration of faults and changes, without the recovery that follows
 	Lease         time.Duration // default 1s
 	Quiet         bool          // no faults
-	KillAll       bool          // all are killed at once, twice
-	PartitionLast bool          // the last sender is cut off from all others before the first change, and stays so
-	Down          int           // so many are killed before the first change and stay so
-	Command       []string      // the sender's program
+	KillAll       bool          // all senders are killed at once, twice
+	PartitionLast bool          // the last sender is partitioned from all others before the first change, for the rest of the faults
+	Down          int           // number of senders that are paused before the first change, for the rest of the faults
+	Command       []string      // command line of the sender
 	Folder        string
 }
 
-// Change is one that an operator handed in, as that operator and others saw it. Times are the day's.
+// Change is a policy change that an operator proposed, as that operator and others observed it. Times are relative to the start of
+// the day.
 type Change struct {
 	Base         uint64
-	Asked        time.Duration
-	Version      uint64        // that it made; 0: none, or unknown
-	Known        bool          // how it ended was told
-	Refused      string        // by the fleet, at once
-	InForce      uint64        // then, if Refused says so
-	Aborted      bool          // it was
-	Acknowledged time.Duration // its end, to the operator
+	Asked        time.Duration // time of the proposal
+	Version      uint64        // version that the change committed; 0: none, or unknown
+	Known        bool          // the outcome is known
+	Refused      string        // reason why the fleet rejected the proposal at once
+	InForce      uint64        // version in force according to Refused; 0: not stated
+	Aborted      bool
+	Acknowledged time.Duration // time at which the operator learned the outcome
 }
 
-// Result is what became of a day.
+// Result is the outcome of a test day.
 type Result struct {
 	Events         []eventlog.Event
 	Changes        []Change
-	Seen           map[uint64]time.Duration // a version was first seen at some sender
-	FinalHistories []string                 // of each sender: its past, when all was healed
+	Seen           map[uint64]time.Duration // time at which each version was first seen in force at any sender
+	FinalHistories []string                 // policy history of each sender after recovery
 	Faults         int
 }
 
 const (
-	look        = 15 * time.Millisecond // senders are asked for the version so often
-	askTime     = 300 * time.Millisecond
-	proposeTime = 5 * time.Second  // bounds the wait for the answer to a proposal
-	healTime    = 30 * time.Second // all senders are of one mind within it
-	maxSuspend  = 2500 * time.Millisecond
-	calm        = 4 * time.Second // of traffic behind the faults
+	pollInterval    = 15 * time.Millisecond // interval at which senders are polled for their version
+	queryTimeout    = 300 * time.Millisecond
+	proposeTimeout  = 5 * time.Second  // time-out of the response to a proposal
+	recoveryTimeout = 30 * time.Second // time within which all senders must agree after the faults
+	maxSuspend      = 2500 * time.Millisecond
+	calmTraffic     = 4 * time.Second // traffic after the faults
 
-	twoOperators = 2
-	// minVersionTime is how long a version stands on a day with a sender cut off before the next is proposed. Once the next is
-	// proposed a call that the version forbids may be that one's: only what comes before tells a sender that has left it for sure.
+	operatorCount = 2
+	// minVersionTime is the minimum time between a version's commit and the next proposal on a day with a partitioned sender. Once
+	// the next version is proposed, a call that the current version forbids may have been made under the next version. Only a call
+	// before that proposal proves that a sender does not obey the current version.
 	minVersionTime = 1500 * time.Millisecond
 )
 
-// Script is the day of a seed: traffic for two receivers, and faults.
+// Script returns the test script of a seed: traffic for two receivers, and faults.
 func (o Options) Script() string {
 	rng := rand.New(rand.NewPCG(o.Seed, 7))
 	var b strings.Builder
-	fmt.Fprintf(&b, "[day]\nseconds = %v\nseed = %d\nrate = 80\nsenders = %d\nreceivers = 2\nendpoints = [1, 1]\nload = 0.2\nzipf = 0.0\nretries = 0\ngrace = \"400ms\"\nfeatures = '''\n", o.Seconds+calm.Seconds(), o.Seed, o.Senders)
+	fmt.Fprintf(&b, "[day]\nseconds = %v\nseed = %d\nrate = 80\nsenders = %d\nreceivers = 2\nendpoints = [1, 1]\nload = 0.2\nzipf = 0.0\nretries = 0\ngrace = \"400ms\"\nfeatures = '''\n", o.Seconds+calmTraffic.Seconds(), o.Seed, o.Senders)
 	fmt.Fprintf(&b, "[fleet]\ncluster = \"concord\"\nlease = \"%v\"\n", o.Lease)
 	for v := range o.Voters {
 		fmt.Fprintf(&b, "[[fleet.voter]]\nname = \"n%d\"\naddress = \"{n%d:7948}\"\n", v, v)
@@ -104,55 +106,55 @@
 	return b.String()
 }
 
-// Faults are lines of a script that strike links and processes of so many senders between two times, by draws.
+// Faults returns script entries with random faults, between two times, of the links and processes of a number of senders.
 func Faults(rng *rand.Rand, senders int, from, until time.Duration) string {
 	var b strings.Builder
 	at := from
 	span := func(least, most time.Duration) time.Duration {
 		return least + time.Duration(rng.Int64N(int64(most-least)))
 	}
-	which := func() int { return rng.IntN(senders) }
-	kept := map[int]bool{}
-	free := make([]time.Duration, senders) // a process is struck by one thing at a time
+	randomSender := func() int { return rng.IntN(senders) }
+	snapshotTaken := map[int]bool{}
+	freeFrom := make([]time.Duration, senders) // earliest next fault of each process, so that a process has one fault at a time
 	for {
 		at += span(150*time.Millisecond, 900*time.Millisecond)
 		if at > until {
 			return b.String()
 		}
-		a, c := which(), which()
+		a, c := randomSender(), randomSender()
 		for c == a {
-			c = which()
+			c = randomSender()
 		}
 		lasts := span(200*time.Millisecond, maxSuspend)
 		switch n := rng.IntN(10); {
-		case n < 2: // one way
+		case n < 2: // one-way partition of two senders
 			fmt.Fprintf(&b, "[[link]]\ndo = \"cut\"\nfrom = \"n%d\"\nto = \"n%d\"\nat = \"%v\"\nfor = \"%v\"\n", a, c, at, lasts)
-		case n < 4: // one off from all
+		case n < 4: // partition of one sender from all others
 			fmt.Fprintf(&b, "[[link]]\ndo = \"cut\"\nfrom = \"n%d\"\nto = \"all\"\nboth = true\nat = \"%v\"\nfor = \"%v\"\n", a, at, lasts)
 		case n < 5:
 			do := []string{"do = \"reset\"", "do = \"freeze\"\nfor = \"" + lasts.String() + "\"", "do = \"slow\"\ndelay = \"80ms\"\njitter = \"60ms\"\nfor = \"" + lasts.String() + "\"",
 				"do = \"refuse\"\nfor = \"" + lasts.String() + "\""}[rng.IntN(4)]
 			fmt.Fprintf(&b, "[[link]]\n%s\nfrom = \"n%d\"\nto = \"n%d\"\nat = \"%v\"\n", do, a, c, at)
-		case at < free[a]:
+		case at < freeFrom[a]:
 		case n < 7:
-			free[a] = at + lasts + 300*time.Millisecond
+			freeFrom[a] = at + lasts + 300*time.Millisecond
 			fmt.Fprintf(&b, "[[sender]]\ndo = \"pause\"\nwhich = \"n%d\"\nat = \"%v\"\nfor = \"%v\"\n", a, at, lasts)
-		case n < 8 && !kept[a]:
-			kept[a] = true
+		case n < 8 && !snapshotTaken[a]:
+			snapshotTaken[a] = true
 			fmt.Fprintf(&b, "[[sender]]\ndo = \"keep\"\nwhich = \"n%d\"\nat = \"%v\"\n", a, at)
-			free[a] = at + 300*time.Millisecond
+			freeFrom[a] = at + 300*time.Millisecond
 		case n < 8:
-			kept[a] = false
-			free[a] = at + 2*time.Second
+			snapshotTaken[a] = false
+			freeFrom[a] = at + 2*time.Second
 			fmt.Fprintf(&b, "[[sender]]\ndo = \"old\"\nwhich = \"n%d\"\nat = \"%v\"\n", a, at)
 		default:
-			free[a] = at + 2*time.Second
+			freeFrom[a] = at + 2*time.Second
 			fmt.Fprintf(&b, "[[sender]]\ndo = \"kill\"\nwhich = \"n%d\"\nat = \"%v\"\n", a, at)
 		}
 	}
 }
 
-// Run plays the day of a seed.
+// Run runs the test day of a seed.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if o.Lease == 0 {
 		o.Lease = time.Second
@@ -166,13 +168,13 @@
 		return nil, err
 	}
 	r := &Result{Seen: map[uint64]time.Duration{}, Faults: len(plan.Acts)}
-	p := &play{o: o, r: r}
+	p := &operators{o: o, r: r}
 	r.Events, _, err = day.Play(ctx, plan, day.Options{Command: o.Command, Folder: o.Folder, During: p.during})
 	return r, errors.Join(err, p.err)
 }
 
-// play is the operators beside a day.
-type play struct {
+// operators simulates the operators during a day.
+type operators struct {
 	o   Options
 	r   *Result
 	d   *day.Day
@@ -180,7 +182,7 @@
 	err error
 }
 
-// report is what a sender tells of the policy; other fields are not looked at.
+// report is the part of a sender's status that concerns the policy.
 type report struct {
 	Acts   bool `json:"acts"`
 	Policy struct {
@@ -196,40 +198,40 @@
 	} `json:"policy"`
 }
 
-// Version is which one a sender goes by.
+// Version queries the policy version in force at sender i.
 func Version(ctx context.Context, d *day.Day, i int, patience time.Duration) (uint64, error) {
 	var r report
-	err := query{method: http.MethodGet, path: "/fleet", timeout: patience}.ask(ctx, d.Sender(i), &r)
+	err := query{method: http.MethodGet, path: "/fleet", timeout: patience}.send(ctx, d.Sender(i), &r)
 	return r.Policy.Version, err
 }
 
-// SeenVerdict is one that a sender goes by.
+// SeenVerdict is a health verdict in force at a sender.
 type SeenVerdict struct {
 	Destination uint32 `json:"destination"`
 	Verdict     string `json:"verdict"`
 	Since       uint64 `json:"since"`
 }
 
-// Verdicts are those that a sender goes by.
+// Verdicts queries the health verdicts in force at sender i.
 func Verdicts(ctx context.Context, d *day.Day, i int, patience time.Duration) (all []SeenVerdict, err error) {
-	return all, query{method: http.MethodGet, path: "/verdicts", timeout: patience}.ask(ctx, d.Sender(i), &all)
+	return all, query{method: http.MethodGet, path: "/verdicts", timeout: patience}.send(ctx, d.Sender(i), &all)
 }
 
-// Propose hands a document, made from version base, in at sender i.
+// Propose proposes a policy document, based on version base, to sender i.
 func Propose(ctx context.Context, d *day.Day, i int, base uint64, document []byte) error {
 	q := url.Values{"base": {fmt.Sprint(base)}, "wait": {"20s"}, "why": {"rehearsal"}}
-	return query{method: http.MethodPost, path: "/policy/propose?" + q.Encode(), body: document, timeout: proposeTime}.ask(ctx, d.Sender(i), &struct{}{})
+	return query{method: http.MethodPost, path: "/policy/propose?" + q.Encode(), body: document, timeout: proposeTimeout}.send(ctx, d.Sender(i), &struct{}{})
 }
 
-// query is a question to a sender's admin socket.
+// query is a request to a sender's admin socket.
 type query struct {
 	method, path string
 	body         []byte
 	timeout      time.Duration
 }
 
-// ask asks a sender and decodes its answer, which is JSON. An answer that is no success is an answerError.
-func (q query) ask(ctx context.Context, sender *fleet.Sender, into any) error {
+// send sends the query to a sender and decodes the JSON response. A status other than 200 is an answerError.
+func (q query) send(ctx context.Context, sender *fleet.Sender, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, q.timeout)
 	defer cancel()
 	socket := filepath.Join(sender.State(), "sender.sock")
@@ -264,10 +266,10 @@
 // Error implements error.
 func (e *answerError) Error() string { return e.text }
 
-// look sees which version a sender is at.
-func (p *play) look(ctx context.Context, i int) (report, error) {
+// pollStatus queries the policy state of a sender and records the versions that are seen for the first time.
+func (p *operators) pollStatus(ctx context.Context, i int) (report, error) {
 	var r report
-	err := query{method: http.MethodGet, path: "/fleet", timeout: askTime}.ask(ctx, p.d.Sender(i), &r)
+	err := query{method: http.MethodGet, path: "/fleet", timeout: queryTimeout}.send(ctx, p.d.Sender(i), &r)
 	if err == nil {
 		p.mu.Lock()
 		for v := r.Policy.Version; v > 0; v-- {
@@ -281,85 +283,86 @@
 	return r, err
 }
 
-// during makes changes until the day's time is over, then has all healed and waits until the senders are of one mind.
-func (p *play) during(ctx context.Context, d *day.Day) {
+// during makes changes until the time of the faults is over, then heals all faults, waits until the senders agree, and makes a final
+// change.
+func (p *operators) during(ctx context.Context, d *day.Day) {
 	p.d = d
 	if p.o.PartitionLast {
-		p.o.Down = max(1, p.o.Down) // operators are at the others
+		p.o.Down = max(1, p.o.Down) // operators do not use the partitioned sender
 		time.Sleep(time.Second)
 	}
-	over := time.Duration(p.o.Seconds * float64(time.Second))
-	watch, stop := context.WithCancel(ctx)
+	faultsEnd := time.Duration(p.o.Seconds * float64(time.Second))
+	watchCtx, stop := context.WithCancel(ctx)
 	var watching, operators sync.WaitGroup
 	for i := range p.o.Senders {
 		watching.Add(1)
 		go func() {
 			defer watching.Done()
-			for watch.Err() == nil {
-				p.look(watch, i)
-				time.Sleep(look)
+			for watchCtx.Err() == nil {
+				p.pollStatus(watchCtx, i)
+				time.Sleep(pollInterval)
 			}
 		}()
 	}
-	count, stands := twoOperators, time.Duration(0)
-	if p.o.PartitionLast { // two would nearly always have the next one proposed
-		count, stands = 1, minVersionTime
+	count, minTime := operatorCount, time.Duration(0)
+	if p.o.PartitionLast { // with two operators the next version would nearly always be proposed already
+		count, minTime = 1, minVersionTime
 	}
-	for n := range count { // each at senders of its own choice
+	for n := range count { // each operator picks senders at random
 		operators.Add(1)
 		go func() {
 			defer operators.Done()
 			rng := rand.New(rand.NewPCG(p.o.Seed, uint64(100+n)))
-			for d.Now() < over && ctx.Err() == nil {
-				p.change(ctx, rng.IntN(p.o.Senders-p.o.Down), over)
-				time.Sleep(stands + time.Duration(200+rng.IntN(900))*time.Millisecond)
+			for d.Now() < faultsEnd && ctx.Err() == nil {
+				p.change(ctx, rng.IntN(p.o.Senders-p.o.Down), faultsEnd)
+				time.Sleep(minTime + time.Duration(200+rng.IntN(900))*time.Millisecond)
 			}
 		}()
 	}
 	operators.Wait()
 	d.Heal()
-	if p.err = p.agree(ctx); p.err == nil {
-		p.err = p.last(ctx)
+	if p.err = p.awaitAgreement(ctx); p.err == nil {
+		p.err = p.commitFinalChange(ctx)
 	}
 	stop()
 	watching.Wait()
 }
 
-// Document is of the version that it would make: odd ones close receiver 1, even ones receiver 0. So a call tells under which
-// sort of version it was begun.
+// Document returns the policy document of a version: odd versions close receiver 1, even versions receiver 0. The receiver of a call
+// thus shows whether the call was started under an odd or an even version.
 func Document(version uint64) string {
 	return fmt.Sprintf("# version %d\n[[route]]\ndestinations = [%d]\nstate = \"closed\"\n", version, version%2)
 }
 
-// change hands one in at a sender, and sees to its end.
-func (p *play) change(ctx context.Context, at int, over time.Duration) {
-	was, err := p.look(ctx, at)
+// change proposes a change to a sender and records its outcome.
+func (p *operators) change(ctx context.Context, at int, faultsEnd time.Duration) {
+	status, err := p.pollStatus(ctx, at)
 	if err != nil {
 		return
 	}
-	c := Change{Base: was.Policy.Version, Asked: p.d.Now()}
+	c := Change{Base: status.Policy.Version, Asked: p.d.Now()}
 	q := url.Values{"base": {fmt.Sprint(c.Base)}, "wait": {"20s"}, "why": {"concord"}}
-	var in struct{ Change uint64 }
-	err = query{method: http.MethodPost, path: "/policy/propose?" + q.Encode(), body: []byte(Document(c.Base + 1)), timeout: proposeTime}.ask(ctx, p.d.Sender(at), &in)
+	var proposed struct{ Change uint64 }
+	err = query{method: http.MethodPost, path: "/policy/propose?" + q.Encode(), body: []byte(Document(c.Base + 1)), timeout: proposeTimeout}.send(ctx, p.d.Sender(at), &proposed)
 	c.Acknowledged = p.d.Now()
-	var said *answerError
+	var rejection *answerError
 	switch {
-	case errors.As(err, &said) && said.status == http.StatusConflict:
-		c.Refused, c.Known = said.text, true
-		fmt.Sscanf(said.text[max(0, strings.Index(said.text, "; version ")):], "; version %d", &c.InForce)
+	case errors.As(err, &rejection) && rejection.status == http.StatusConflict:
+		c.Refused, c.Known = rejection.text, true
+		fmt.Sscanf(rejection.text[max(0, strings.Index(rejection.text, "; version ")):], "; version %d", &c.InForce)
 	case err == nil:
-		c = p.follow(ctx, c, in.Change, over+10*time.Second)
+		c = p.awaitOutcome(ctx, c, proposed.Change, faultsEnd+10*time.Second)
 	}
 	p.mu.Lock()
 	p.r.Changes = append(p.r.Changes, c)
 	p.mu.Unlock()
 }
 
-// follow sees how a change ends, at whatever sender says so first.
-func (p *play) follow(ctx context.Context, c Change, id uint64, until time.Duration) Change {
-	for end := time.Now().Add(healTime); p.d.Now() < until && time.Now().Before(end) && ctx.Err() == nil; {
+// awaitOutcome polls the senders for the outcome of a change, until the first sender reports the outcome or the time is up.
+func (p *operators) awaitOutcome(ctx context.Context, c Change, id uint64, until time.Duration) Change {
+	for end := time.Now().Add(recoveryTimeout); p.d.Now() < until && time.Now().Before(end) && ctx.Err() == nil; {
 		for i := range p.o.Senders - p.o.Down {
-			r, err := p.look(ctx, i)
+			r, err := p.pollStatus(ctx, i)
 			if err != nil {
 				continue
 			}
@@ -370,55 +373,55 @@
 				}
 			}
 		}
-		time.Sleep(look)
+		time.Sleep(pollInterval)
 	}
 	return c
 }
 
-// last makes a change in a fleet that was healed: it takes hold.
-func (p *play) last(ctx context.Context) error {
-	for end := time.Now().Add(healTime); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
+// commitFinalChange makes changes in the recovered fleet until one is committed.
+func (p *operators) commitFinalChange(ctx context.Context) error {
+	for end := time.Now().Add(recoveryTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
 		p.change(ctx, 0, time.Duration(1<<62))
 		p.mu.Lock()
 		c := p.r.Changes[len(p.r.Changes)-1]
 		p.mu.Unlock()
 		if c.Version > 0 {
-			return p.agree(ctx)
+			return p.awaitAgreement(ctx)
 		}
 	}
 	return errNoChange
 }
 
-// agree waits until all senders tell the same past, and act.
-func (p *play) agree(ctx context.Context) error {
-	ends := make([]string, p.o.Senders)
-	for end := time.Now().Add(healTime); ; time.Sleep(50 * time.Millisecond) {
+// awaitAgreement waits until all senders report the same policy history, none has an open change, and all act.
+func (p *operators) awaitAgreement(ctx context.Context) error {
+	histories := make([]string, p.o.Senders)
+	for end := time.Now().Add(recoveryTimeout); ; time.Sleep(50 * time.Millisecond) {
 		same := true
-		for i := range ends {
-			r, err := p.look(ctx, i)
+		for i := range histories {
+			r, err := p.pollStatus(ctx, i)
 			raw, _ := json.Marshal(r.Policy.History)
-			if ends[i] = string(raw); err != nil || !r.Acts || r.Policy.Open != nil {
-				ends[i], same = fmt.Sprintf("acts %v, open %v, %v", r.Acts, r.Policy.Open, err), false
+			if histories[i] = string(raw); err != nil || !r.Acts || r.Policy.Open != nil {
+				histories[i], same = fmt.Sprintf("acts %v, open %v, %v", r.Acts, r.Policy.Open, err), false
 			}
 		}
-		if same && len(slices.Compact(slices.Clone(ends))) == 1 {
-			p.r.FinalHistories = ends
+		if same && len(slices.Compact(slices.Clone(histories))) == 1 {
+			p.r.FinalHistories = histories
 			return nil
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
-			p.r.FinalHistories = ends
-			return &divergedError{histories: ends}
+			p.r.FinalHistories = histories
+			return &divergedError{histories: histories}
 		}
 	}
 }
 
-// errNoChange means that the fleet accepts no change although nothing has been wrong for healTime.
-var errNoChange = errors.New(healTime.String() + " after all was healed no change takes hold")
+// errNoChange means that the fleet has committed no change within recoveryTimeout after its recovery.
+var errNoChange = errors.New("no change was committed within " + recoveryTimeout.String() + " after all faults were healed")
 
-// divergedError tells the policy histories of senders that differ although nothing has been wrong for healTime.
+// divergedError reports the policy histories of senders that still differ recoveryTimeout after all faults were healed.
 type divergedError struct{ histories []string }
 
 // Error implements error.
 func (e *divergedError) Error() string {
-	return fmt.Sprintf("%v after all was healed the senders are not of one mind: %q", healTime, e.histories)
+	return fmt.Sprintf("%v after all faults were healed the senders have not agreed: %q", recoveryTimeout, e.histories)
 }
--- a/internal/faulttest/quotatest/quotatest.go
+++ b/internal/faulttest/quotatest/quotatest.go
@@ -1,6 +1,6 @@
-// Package quotatest plays days on which a fleet shares a limit out while links between its senders fail and processes are paused, killed, or
-// come back with an old folder, and judges from outside whether the limit held: by what receivers got. It knows a sender by
-// its sockets and files only.
+// Package quotatest runs fault tests in which a fleet distributes the quota of a rate limit while links between its senders fail and
+// processes are paused, killed, or restarted with an old state folder. It checks from the outside, by the calls that receivers get, that
+// the limit is never exceeded. It uses only the sockets and files of a sender.
 package quotatest
 
 import (
@@ -19,90 +19,91 @@
 	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
-// Options say what is played.
+// Options configure a test day.
 type Options struct {
 	Seed          uint64
 	Senders       int
 	Voters        int
-	Seconds       float64 // of faults, once the limit is in force
+	Seconds       float64 // duration of the faults, which begin once the limit is in force
 	Lease         time.Duration
 	Units         int // calls in a span that the limit of receiver 0 allows; default by seed
 	Span          time.Duration
-	Over          int
+	Over          int           // units that each sender without a lease may use in addition to the limit
 	Rate          float64       // messages a second for each of the two receivers; default twice the limit
-	Halve         bool          // the limit is halved in the middle
-	Lend          time.Duration // how long units are lent for; default the sender's own
-	Transit       time.Duration // of the limit; default 100ms, as the kit's processes share the machine's cores with the senders
-	GoOn          bool          // senders that are cut off go on, as far as limits let them
-	Kill          string        // a sender that is killed a little after the last one is cut off
-	Outage        time.Duration // receiver 0 hangs for so long, from a little after the begin of the faults
-	Verdict       bool          // the fleet holds together whether it is out
-	Free          bool          // no limit of the fleet's
-	Own           bool          // both receivers keep that limit themselves, and refuse what is above it
+	Halve         bool          // the limit is halved in the middle of the faults
+	Lend          time.Duration // duration for which units are lent to a sender; default that of the sender
+	Transit       time.Duration // maximum difference of the transit times of two calls; default 100ms, as the kit and the senders share cores
+	GoOn          bool          // senders that are partitioned go on, as far as limits allow
+	Kill          string        // sender that is killed shortly after the last sender is partitioned
+	Outage        time.Duration // duration for which receiver 0 hangs, from shortly after the start of the faults
+	Verdict       bool          // the fleet decides together whether receiver 0 is ejected
+	Free          bool          // the fleet has no limit
+	Own           bool          // both receivers enforce that limit themselves, and reject the calls above it
 	Quiet         bool          // no faults
-	KillAll       bool          // all are killed at once, twice
-	PartitionLast bool          // the last sender is cut off from all others once the limit is in force
+	KillAll       bool          // all senders are killed at once, twice
+	PartitionLast bool          // the last sender is partitioned from all others once the limit is in force
 	Command       []string
 	Folder        string
 }
 
-// Result is what became of a day.
+// Result is the outcome of a test day.
 type Result struct {
 	Events  []eventlog.Event
 	Options Options
-	Limits  []Limit // limits that were in force, and from when they bind
+	Limits  []Limit // limits that were in force, with the times from which they must be observed
 	Faults  int
-	Healed  time.Duration // all is sound from here on
+	Healed  time.Duration // time at which all faults were healed
 
 	mu       sync.Mutex
-	Verdicts map[uint64]*ShownVerdict // verdicts on receiver 0 as senders showed them, by the entry from which each stands
+	Verdicts map[uint64]*ShownVerdict // verdicts on receiver 0 as senders reported them, by the log entry since which each is in force
 }
 
-// ShownVerdict is a verdict that some sender was seen to go by.
+// ShownVerdict is a verdict that at least one sender reported as in force.
 type ShownVerdict struct {
 	Kind        string
-	First, Last time.Duration
-	Gone        time.Duration // a sender that had shown it was seen without it, not before then; 0: none was
+	First, Last time.Duration // first and last time at which a sender reported the verdict
+	Gone        time.Duration // earliest time at which a sender may have dropped the verdict again; 0: none was seen to drop it
 }
 
-// lastCertain is until when it surely stood: another that follows it, or its end, may have been known before it was seen.
+// lastCertain returns the time until which the verdict was certainly in force. A sender may have learned of the following verdict, or of
+// the verdict's end, up to observationDelay before that was observed.
 func (r *Result) lastCertain(h *ShownVerdict) time.Duration {
 	end := h.Last
 	if h.Gone > 0 {
-		end = min(end, h.Gone-eager)
+		end = min(end, h.Gone-observationDelay)
 	}
 	for _, o := range r.Verdicts {
 		if o.First > h.First {
-			end = min(end, o.First-eager)
+			end = min(end, o.First-observationDelay)
 		}
 	}
 	return end
 }
 
-// Limit is a limit that binds from a time on.
+// Limit is a limit that must be observed from a time on.
 type Limit struct {
 	From  time.Duration
 	Units int
 }
 
 const (
-	transit  = 100 * time.Millisecond // the default
-	load     = 0.2
-	calm     = 12 * time.Second // of traffic behind the faults
-	heals    = 7 * time.Second  // after which a fleet that is sound again is held to use its limit
-	askTime  = time.Second
-	waitTime = 40 * time.Second
-	begins   = 8 * time.Second // by then the limit is in force, and faults begin
+	defaultTransitJitter = 100 * time.Millisecond // default of Options.Transit
+	load                 = 0.2
+	calmTraffic          = 12 * time.Second // traffic after the faults
+	recoveryTime         = 7 * time.Second  // time after the end of the faults from which the fleet's use of its limit is measured
+	queryTimeout         = time.Second
+	proposeTimeout       = 40 * time.Second
+	faultsStart          = 8 * time.Second // start of the faults; the limit is in force by then
 )
 
-// defaults fills in what a seed draws.
+// defaults sets the options that are not given, some of them by the seed.
 func (o Options) defaults() Options {
 	rng := rand.New(rand.NewPCG(o.Seed, 31))
 	if o.Lease == 0 {
 		o.Lease = time.Second
 	}
 	if o.Transit == 0 {
-		o.Transit = transit
+		o.Transit = defaultTransitJitter
 	}
 	if o.Lend == 0 {
 		o.Lend = o.Lease*3/2 + 500*time.Millisecond
@@ -119,9 +120,10 @@
 	return o
 }
 
-// binds is how long after a limit was seen to be in force it binds every call: a sender that has not heard of it has no lease by then,
-// and what was called before has left the span; of a later one, what was lent under an earlier one has lapsed as well.
-func (o Options) binds(later bool) time.Duration {
+// bindingDelay returns the time after which all calls must observe a limit that was seen in force. By then the lease of a sender that has not
+// learned of the limit has expired, and earlier calls have left the span. For a later limit, the units lent under an earlier limit must
+// have expired, too.
+func (o Options) bindingDelay(later bool) time.Duration {
 	d := time.Duration(float64(o.Lease)*1.05) + policytest.Grace + o.Span + o.Transit
 	if later {
 		d += time.Duration(float64(o.Lend)*1.05) + o.Span + o.Transit
@@ -129,41 +131,42 @@
 	return d
 }
 
-// Script is the day of a seed: traffic for two receivers, and faults.
+// Script returns the test script of a seed: traffic for two receivers, and faults.
 func (o Options) Script() string {
 	o = o.defaults()
 	var b strings.Builder
-	seconds := begins.Seconds() + o.Seconds + calm.Seconds()
+	seconds := faultsStart.Seconds() + o.Seconds + calmTraffic.Seconds()
 	fmt.Fprintf(&b, "[day]\nseconds = %v\nseed = %d\nrate = %v\nsenders = %d\nreceivers = 2\nendpoints = [1, 1]\nload = %v\nzipf = 0.0\nretries = 0\ngrace = \"400ms\"\nfeatures = '''\n", seconds, o.Seed, 2*o.Rate, o.Senders, load)
 	fmt.Fprintf(&b, "[fleet]\ncluster = \"ration\"\nlease = \"%v\"\nlend = \"%v\"\n", o.Lease, o.Lend)
 	for v := range o.Voters {
 		fmt.Fprintf(&b, "[[fleet.voter]]\nname = \"n%d\"\naddress = \"{n%d:7948}\"\n", v, v)
 	}
 	fmt.Fprintf(&b, "{reach fleet 7948}\n'''\n[[class]]\nname = \"card-event\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"2500ms\"\n")
-	if o.Own { // what a receiver takes is stated over its calls at full load
+	if o.Own { // the script states a receiver's limit as a fraction of its calls at full load
 		fmt.Fprintf(&b, "[[kind]]\nname = \"limited\"\nlimit = \"window\"\nwindow = \"%v\"\nlimit_room = [%[2]g, %[2]g]\nreports = true\n", o.Span, 1.001*float64(o.Units)/o.Span.Seconds()*load/o.Rate)
 	}
 	if o.PartitionLast {
-		fmt.Fprintf(&b, "[[link]]\ndo = \"cut\"\nfrom = \"n%d\"\nto = \"all\"\nboth = true\nat = \"%v\"\nfor = \"%vs\"\n", o.Senders-1, begins+2*time.Second, o.Seconds)
+		fmt.Fprintf(&b, "[[link]]\ndo = \"cut\"\nfrom = \"n%d\"\nto = \"all\"\nboth = true\nat = \"%v\"\nfor = \"%vs\"\n", o.Senders-1, faultsStart+2*time.Second, o.Seconds)
 	}
 	if o.Outage > 0 {
-		fmt.Fprintf(&b, "[[trouble]]\nwhat = \"hang\"\nwho = {name = \"r0\"}\nat = \"%v\"\nfor = \"%v\"\n", begins+500*time.Millisecond, o.Outage)
+		fmt.Fprintf(&b, "[[trouble]]\nwhat = \"hang\"\nwho = {name = \"r0\"}\nat = \"%v\"\nfor = \"%v\"\n", faultsStart+500*time.Millisecond, o.Outage)
 	}
 	if o.Kill != "" {
-		fmt.Fprintf(&b, "[[sender]]\ndo = \"kill\"\nwhich = %q\nat = \"%v\"\n", o.Kill, begins+2200*time.Millisecond)
+		fmt.Fprintf(&b, "[[sender]]\ndo = \"kill\"\nwhich = %q\nat = \"%v\"\n", o.Kill, faultsStart+2200*time.Millisecond)
 	}
 	if o.KillAll {
 		for _, at := range []float64{0.3, 0.6} {
-			fmt.Fprintf(&b, "[[sender]]\ndo = \"kill\"\nwhich = \"all\"\nat = \"%vs\"\n", begins.Seconds()+at*o.Seconds)
+			fmt.Fprintf(&b, "[[sender]]\ndo = \"kill\"\nwhich = \"all\"\nat = \"%vs\"\n", faultsStart.Seconds()+at*o.Seconds)
 		}
 	}
 	if !o.Quiet {
-		b.WriteString(policytest.Faults(rand.New(rand.NewPCG(o.Seed, 7)), o.Senders, begins, begins+time.Duration(o.Seconds*float64(time.Second))))
+		b.WriteString(policytest.Faults(rand.New(rand.NewPCG(o.Seed, 7)), o.Senders, faultsStart, faultsStart+time.Duration(o.Seconds*float64(time.Second))))
 	}
 	return b.String()
 }
 
-// document limits receiver 0; receiver 1 goes free, so that what is held up by something else shows.
+// document returns the policy document, which limits receiver 0. Receiver 1 has no limit unless Own is set, so that delays with another
+// cause are visible there.
 func (o Options) document(units int) []byte {
 	text := ""
 	if o.GoOn {
@@ -182,7 +185,7 @@
 	return fmt.Appendf(nil, text+"[[limit]]\ndestinations = [%s]\ncalls = %d\nspan = \"%v\"\ntransit = \"%v\"\nover = %d\n", both, units, o.Span, o.Transit, o.Over)
 }
 
-// Run plays the day of a seed.
+// Run runs the test day of a seed.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	o = o.defaults()
 	s, err := script.Parse("ration.toml", []byte(o.Script()))
@@ -199,57 +202,57 @@
 	return r, errors.Join(err, failed)
 }
 
-// during sets the limit, halves it in the middle if that is wanted, and heals all once the faults are over.
+// during sets the limit, halves it in the middle of the faults if the options say so, and heals all faults at their end.
 func (r *Result) during(ctx context.Context, d *day.Day) error {
 	o := r.Options
-	limit := func(units int) error {
+	setLimit := func(units int) error {
 		at, err := propose(ctx, d, o.Senders, o.document(units))
 		if err != nil {
 			return err
 		}
-		r.Limits = append(r.Limits, Limit{at + o.binds(len(r.Limits) > 0), units})
+		r.Limits = append(r.Limits, Limit{at + o.bindingDelay(len(r.Limits) > 0), units})
 		return nil
 	}
-	if err := limit(o.Units); err != nil {
-		return fmt.Errorf("the limit does not come in force: %w", err)
+	if err := setLimit(o.Units); err != nil {
+		return fmt.Errorf("set the limit: %w", err)
 	}
 	if o.Verdict {
-		watch, stop := context.WithCancel(ctx)
+		watchCtx, stop := context.WithCancel(ctx)
 		var watching sync.WaitGroup
 		for i := range o.Senders {
 			watching.Add(1)
 			go func() {
 				defer watching.Done()
-				r.watch(watch, d, i)
+				r.watch(watchCtx, d, i)
 			}()
 		}
 		defer func() {
-			day.Sleep(ctx, heals+WarmFor) // the return is watched, too
+			day.Sleep(ctx, recoveryTime+WarmFor) // the receiver's recovery and slow start are watched, too
 			stop()
 			watching.Wait()
 		}()
 	}
-	over := begins + time.Duration(o.Seconds*float64(time.Second))
+	faultsEnd := faultsStart + time.Duration(o.Seconds*float64(time.Second))
 	if o.Halve {
-		day.Sleep(ctx, begins+(over-begins)/2-d.Now())
-		if err := limit(max(1, o.Units/2)); err != nil {
-			return fmt.Errorf("the limit is not halved: %w", err)
+		day.Sleep(ctx, faultsStart+(faultsEnd-faultsStart)/2-d.Now())
+		if err := setLimit(max(1, o.Units/2)); err != nil {
+			return fmt.Errorf("halve the limit: %w", err)
 		}
 	}
-	day.Sleep(ctx, over-d.Now())
+	day.Sleep(ctx, faultsEnd-d.Now())
 	d.Heal()
 	r.Healed = d.Now()
 	return nil
 }
 
-// watch sees which verdict a sender goes by.
+// watch polls a sender for its verdict on receiver 0, and records when each verdict was seen first and last.
 func (r *Result) watch(ctx context.Context, d *day.Day, i int) {
 	last, shown := time.Duration(0), uint64(0)
 	for ctx.Err() == nil {
 		before := d.Now()
-		all, err := policytest.Verdicts(ctx, d, i, askTime)
+		all, err := policytest.Verdicts(ctx, d, i, queryTimeout)
 		if err != nil {
-			day.Sleep(ctx, look)
+			day.Sleep(ctx, pollInterval)
 			continue
 		}
 		r.mu.Lock()
@@ -264,24 +267,24 @@
 				h = &ShownVerdict{Kind: v.Verdict, First: d.Now()}
 				r.Verdicts[v.Since] = h
 			}
-			h.Last = max(h.Last, before) // it was still so when it was asked
+			h.Last = max(h.Last, before) // the verdict was still in force when the query was sent
 		}
 		if h := r.Verdicts[shown]; h != nil && now != shown && (h.Gone == 0 || last < h.Gone) {
 			h.Gone = last
 		}
 		last, shown = before, now
 		r.mu.Unlock()
-		day.Sleep(ctx, look)
+		day.Sleep(ctx, pollInterval)
 	}
 }
 
-// propose has a document take hold, by whichever sender answers, and gives when it was seen to.
+// propose proposes a document to the senders in turn until a new version is in force, and returns the time at which that was seen.
 func propose(ctx context.Context, d *day.Day, senders int, document []byte) (time.Duration, error) {
 	var err error
-	for end := time.Now().Add(waitTime); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(proposeTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 		for i := range senders {
 			var version uint64
-			if version, err = policytest.Version(ctx, d, i, askTime); err != nil {
+			if version, err = policytest.Version(ctx, d, i, queryTimeout); err != nil {
 				continue
 			}
 			if err = policytest.Propose(ctx, d, i, version, document); err != nil {
@@ -289,7 +292,7 @@
 			}
 			for ; time.Now().Before(end) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
 				for j := range senders {
-					if is, err := policytest.Version(ctx, d, j, askTime); err == nil && is > version {
+					if inForce, err := policytest.Version(ctx, d, j, queryTimeout); err == nil && inForce > version {
 						return d.Now(), nil
 					}
 				}
@@ -299,104 +302,105 @@
 	return 0, errors.Join(err, ctx.Err(), errNotInForce)
 }
 
-// The rule of a day with verdicts.
+// The verdict rule of a day with verdicts: probe interval while the receiver is ejected, and slow start after its return.
 const (
 	Probe         = 500 * time.Millisecond
 	SlowStartRate = 5
 	Warm          = 60
 	WarmFor       = 8 * time.Second
 
-	// acts is how long after a verdict was first seen somewhere each sender goes by it: one that has not heard of it has no lease by then.
-	acts  = 1500 * time.Millisecond
-	look  = 40 * time.Millisecond
-	eager = time.Second // by so much may the one in charge have heard of a return sooner than it was seen
+	// verdictDelay is the time after which every sender obeys a verdict that was first seen at any sender: the lease of a sender that has not
+	// learned of the verdict has expired by then.
+	verdictDelay     = 1500 * time.Millisecond
+	pollInterval     = 40 * time.Millisecond
+	observationDelay = time.Second // maximum time by which the receiver's owner may learn of its return before this was observed
 )
 
-// Return is what became of a receiver's outage, as the receiver saw it.
+// Return is the result of the check of a receiver's outage and return, from the calls that the receiver got.
 type Return struct {
 	Broken    []string
-	Judged    int           // calls that came under a verdict
-	Probes    int           // and of those, while it was held to be out
-	PeakCalls int           // calls that came in one second within WarmFor of its return
-	Early     int           // calls that came in the first two seconds of it
-	Full      time.Duration // from its return until four fifths of what is handed in for it are served again
+	Judged    int           // calls that were made under a verdict
+	Probes    int           // those of them that were made while the receiver was ejected
+	PeakCalls int           // maximum of the calls in one second, within WarmFor after the return
+	Early     int           // calls in the first two seconds after the return
+	Full      time.Duration // time from the return until four fifths of the messages for the receiver are served again
 }
 
-// CheckReturn judges an outage: while a verdict was seen to stand at some sender, from a lease after it was first seen, one call of all
-// senders comes in Probe, or no more than the ramp allows.
+// CheckReturn checks the calls of an outage. While a verdict was certainly in force at some sender, and once every sender must obey it,
+// all senders together may make one call in each Probe interval while the receiver is ejected, or as many calls as slow start allows.
 func CheckReturn(r *Result) (v Return) {
-	var off, on, back time.Duration
+	var hungFrom, hungUntil, servesFrom time.Duration
 	var calls, served []time.Duration
 	for _, e := range r.Events {
 		t := time.Duration(e.T) * time.Microsecond
 		switch {
 		case e.Dest != 0:
 		case e.Kind == eventlog.FaultChanged && e.State == "on":
-			off = t
+			hungFrom = t
 		case e.Kind == eventlog.FaultChanged:
-			on = t
+			hungUntil = t
 		case e.Kind == eventlog.Call:
 			calls = append(calls, time.Duration(e.First)*time.Microsecond)
 		case e.Kind == eventlog.Done && e.Status == 200:
-			if served = append(served, t); on > 0 && back == 0 && t > on {
-				back = t
+			if served = append(served, t); hungUntil > 0 && servesFrom == 0 && t > hungUntil {
+				servesFrom = t
 			}
 		}
 	}
 	slices.Sort(calls)
-	if back == 0 {
-		v.Broken = append(v.Broken, "it never serves again")
+	if servesFrom == 0 {
+		v.Broken = append(v.Broken, "receiver 0 served no call after its outage")
 		return v
 	}
-	// most is how many may come in a span that ends at a time.
-	most := func(t time.Duration) (n int, span time.Duration) {
+	// maxCalls returns the maximum number of calls in a span that ends at a time; a span of 0 means no limit.
+	maxCalls := func(t time.Duration) (n int, span time.Duration) {
 		for _, h := range r.Verdicts {
 			switch since := t - h.First; {
 			case t > r.lastCertain(h):
-			case h.Kind == "out" && since > acts+Probe:
+			case h.Kind == "out" && since > verdictDelay+Probe:
 				return 1, Probe
-			case h.Kind == "cold" && since > acts+time.Second:
-				grown := float64(Warm-SlowStartRate) * (since + eager).Seconds() / WarmFor.Seconds()
+			case h.Kind == "cold" && since > verdictDelay+time.Second:
+				grown := float64(Warm-SlowStartRate) * (since + observationDelay).Seconds() / WarmFor.Seconds()
 				return min(Warm, SlowStartRate+int(grown)), time.Second
 			}
 		}
 		return 0, 0
 	}
 	for i, t := range calls {
-		if t > back && t < back+2*time.Second {
+		if t > servesFrom && t < servesFrom+2*time.Second {
 			v.Early++
 		}
-		n, span := most(t)
+		n, span := maxCalls(t)
 		if span == Probe {
 			v.Probes++
 		}
-		second := 1 // with those of the second before
+		second := 1 // calls in the second that ends at t
 		for j := i - 1; j >= 0 && calls[j] > t-time.Second; j-- {
 			second++
 		}
-		if t > back && t < back+WarmFor {
+		if t > servesFrom && t < servesFrom+WarmFor {
 			v.PeakCalls = max(v.PeakCalls, second)
 		}
 		if span > 0 {
 			v.Judged++
-			came := 1
+			count := 1
 			for j := i - 1; j >= 0 && calls[j] > t-span; j-- {
-				came++
+				count++
 			}
-			if came > n {
-				v.Broken = append(v.Broken, fmt.Sprintf("%d calls of receiver 0 in the %v up to %v, where %d are the most (it hung from %v to %v, and serves since %v)", came, span, t, n, off, on, back))
+			if count > n {
+				v.Broken = append(v.Broken, fmt.Sprintf("%d calls to receiver 0 in the %v up to %v; the maximum is %d (the receiver hung from %v to %v and has served calls again since %v)", count, span, t, n, hungFrom, hungUntil, servesFrom))
 			}
 		}
 	}
-	for at := back; ; at += 250 * time.Millisecond {
+	for at := servesFrom; ; at += 250 * time.Millisecond {
 		n := 0
 		for _, t := range served {
 			if t > at && t <= at+time.Second {
 				n++
 			}
 		}
-		if float64(n) >= 0.8*r.Options.Rate || at > back+time.Minute {
-			v.Full = at - back
+		if float64(n) >= 0.8*r.Options.Rate || at > servesFrom+time.Minute {
+			v.Full = at - servesFrom
 			return v
 		}
 	}
@@ -405,28 +409,28 @@
 // Verdict is what the checker found.
 type Verdict struct {
 	Broken   []string
-	Calls    int // of receiver 0 that were judged
-	MaxUnits int // in a span
-	Spans    int // that were full
-	// Used is what share of the limit was used while all was sound: behind the healing, or all the time on a quiet day.
+	Calls    int // checked calls to receiver 0
+	MaxUnits int // maximum number of calls in a span
+	Spans    int // spans that used the limit completely
+	// Used is the fraction of the limit that was used without faults: after recovery, or all the time on a quiet day.
 	Used    float64
-	Refused int // answers of receiver 0 that was over a limit of its own, once the fleet's would bind
-	Served  int // messages that it served from then on
+	Refused int // rejections (429 or 503) by receiver 0 from faultsStart on, when the limit of the fleet applies
+	Served  int // messages that receiver 0 served from faultsStart on
 }
 
-// Check judges a day: in no span are there more calls of receiver 0 than the limit that binds then allows, and its allowance for each
-// sender. A span lies under a limit that binds from its begin to its end.
+// Check checks that no span has more calls to receiver 0 than the limit in force allows, plus the allowance Over for each sender. Only
+// spans during which a limit is binding from start to end are checked.
 func Check(r *Result) Verdict {
 	var v Verdict
 	o := r.Options
-	var at []time.Duration
+	var calls []time.Duration
 	end := time.Duration(0)
 	for _, e := range r.Events {
 		end = max(end, time.Duration(e.T)*time.Microsecond)
 		if e.Kind == eventlog.Call && e.Dest == 0 {
-			at = append(at, time.Duration(e.First)*time.Microsecond)
+			calls = append(calls, time.Duration(e.First)*time.Microsecond)
 		}
-		switch late := time.Duration(e.T)*time.Microsecond >= begins; {
+		switch late := time.Duration(e.T)*time.Microsecond >= faultsStart; {
 		case e.Kind != eventlog.Done || !late || e.Dest != 0:
 		case e.Status == 429 || e.Status == 503:
 			v.Refused++
@@ -434,20 +438,20 @@
 			v.Served++
 		}
 	}
-	slices.Sort(at)
+	slices.Sort(calls)
 	for i, w := range r.Limits {
 		until := end
 		if i+1 < len(r.Limits) {
-			until = r.Limits[i+1].From // what is lower binds then
+			until = r.Limits[i+1].From // the next, lower limit is binding from then on
 		}
-		most := w.Units + o.Over*o.Senders
+		maxCalls := w.Units + o.Over*o.Senders
 		first := 0
-		for j, t := range at {
+		for j, t := range calls {
 			if t < w.From || t > until {
 				first = j + 1
 				continue
 			}
-			for at[first] <= t-o.Span {
+			for calls[first] <= t-o.Span {
 				first++
 			}
 			n := j + 1 - first
@@ -456,20 +460,20 @@
 			if n == w.Units {
 				v.Spans++
 			}
-			if n > most {
-				v.Broken = append(v.Broken, fmt.Sprintf("%d calls of receiver 0 in the %v up to %v, where %d are the most", n, o.Span, t, most))
-				first = j + 1 // the same is not told for each call
+			if n > maxCalls {
+				v.Broken = append(v.Broken, fmt.Sprintf("%d calls to receiver 0 in the %v up to %v; the maximum is %d", n, o.Span, t, maxCalls))
+				first = j + 1 // reports the violation once, not for each further call
 			}
 		}
 	}
 	if n := len(r.Limits); n > 0 {
-		from := max(r.Limits[n-1].From, r.Healed+heals)
+		from := max(r.Limits[n-1].From, r.Healed+recoveryTime)
 		if o.Quiet && !o.KillAll && !o.PartitionLast {
 			from = r.Limits[n-1].From
 		}
-		until := begins + time.Duration(o.Seconds*float64(time.Second)) + calm
+		until := faultsStart + time.Duration(o.Seconds*float64(time.Second)) + calmTraffic
 		used := 0
-		for _, t := range at {
+		for _, t := range calls {
 			if t >= from && t < until {
 				used++
 			}
@@ -481,5 +485,5 @@
 	return v
 }
 
-// errNotInForce means that a limit did not take hold in time.
-var errNotInForce = errors.New("not within " + waitTime.String())
+// errNotInForce means that a policy document with a limit was not in force within proposeTimeout.
+var errNotInForce = errors.New("no new policy version was in force within " + proposeTimeout.String())
