--- a/cmd/saffronyard/fleet_test.go
+++ b/cmd/saffronyard/fleet_test.go
@@ -50,7 +50,7 @@
 		t.Fatalf("seed %d: %v", o.Seed, err)
 	}
 	v := policytest.Check(r)
-	t.Logf("seed %d: %d calls, %d faults; changes: %d took hold, %d were aborted, %d refused, %d unknown; took %v, switches %v", o.Seed, v.Calls, r.Faults, v.Commits, v.Aborts, v.Refused, v.Unknown, v.Takes, v.Switches)
+	t.Logf("seed %d: %d calls, %d faults; changes: %d took hold, %d were aborted, %d refused, %d unknown; took %v, switches %v", o.Seed, v.Calls, r.Faults, v.Commits, v.Aborts, v.Refused, v.Unknown, v.CommitTimes, v.Switches)
 	return r, v
 }
 
--- a/cmd/saffronyard/limits_test.go
+++ b/cmd/saffronyard/limits_test.go
@@ -115,7 +115,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o.Voters, o.Units, o.Span, o.Transit, o.Quiet, o.PartitionLast, o.GoOn, o.Rate = 3, 40, time.Second, 20*time.Millisecond, true, true, true, 70
+			o.Voters, o.Units, o.Span, o.TransitJitter, o.Quiet, o.PartitionLast, o.GoOn, o.Rate = 3, 40, time.Second, 20*time.Millisecond, true, true, true, 70
 			if v := runQuotaTest(t, o); (len(v.Broken) == 0) != (name == "none") {
 				t.Errorf("found: %q", v.Broken)
 			}
--- a/internal/faulttest/cli/fleet.go
+++ b/internal/faulttest/cli/fleet.go
@@ -19,14 +19,14 @@
 	seeds.register(f)
 	f.IntVar(&options.Senders, "senders", 0, "of each day; by default 3 to 7, by seed")
 	f.IntVar(&options.Voters, "voters", 0, "of them; by default 3, or 5 where there are so many senders, by seed")
-	f.IntVar(&options.Down, "down", 0, "so many senders stand still from the begin")
+	f.IntVar(&options.Paused, "down", 0, "so many senders stand still from the begin")
 	f.Float64Var(&options.Seconds, "seconds", 10, "of faults and changes")
 	f.DurationVar(&options.Lease, "lease", time.Second, "`length` of leases")
 	f.BoolVar(&options.Quiet, "quiet", false, "no faults")
 	if err := parse(f, args); err != nil {
 		return 0, err
 	}
-	if err := seeds.check(options.Senders >= 0 && options.Senders <= maxSenders && options.Down >= 0 && options.Seconds >= 2); err != nil {
+	if err := seeds.check(options.Senders >= 0 && options.Senders <= maxSenders && options.Paused >= 0 && options.Seconds >= 2); err != nil {
 		return 0, err
 	}
 	command, code, err := seeds.prepare(ctx, "fleet", errs)
@@ -80,7 +80,7 @@
 	t.all.Aborts += v.Aborts
 	t.all.Refused += v.Refused
 	t.all.Unknown += v.Unknown
-	t.all.Takes = append(t.all.Takes, v.Takes...)
+	t.all.CommitTimes = append(t.all.CommitTimes, v.CommitTimes...)
 	t.all.Switches = append(t.all.Switches, v.Switches...)
 }
 
@@ -88,5 +88,5 @@
 func (t *policyTally) print() {
 	all := t.all
 	fmt.Fprintf(t.out, "%d days, %d broken; %d calls judged; changes: %d took hold, %d aborted, %d refused, %d unknown\n", t.played, t.failed, all.Calls, all.Commits, all.Aborts, all.Refused, all.Unknown)
-	fmt.Fprintf(t.out, "from proposal to in force: %s\nfrom the last call under a version to the first under the next: %s\n", spread(all.Takes), spread(all.Switches))
+	fmt.Fprintf(t.out, "from proposal to in force: %s\nfrom the last call under a version to the first under the next: %s\n", spread(all.CommitTimes), spread(all.Switches))
 }
--- a/internal/faulttest/cli/limits.go
+++ b/internal/faulttest/cli/limits.go
@@ -25,7 +25,7 @@
 	if err := parse(f, args); err != nil {
 		return 0, err
 	}
-	if err := seeds.check(options.Senders >= 0 && options.Senders <= maxSenders && options.Seconds >= 2 && options.Units >= 0 && options.Over >= 0); err != nil {
+	if err := seeds.check(options.Senders >= 0 && options.Senders <= maxSenders && options.Seconds >= 2 && options.Units >= 0 && options.PartitionExtra >= 0); err != nil {
 		return 0, err
 	}
 	command, code, err := seeds.prepare(ctx, "limits", errs)
@@ -58,13 +58,13 @@
 	f.DurationVar(&o.Lease, "lease", time.Second, "`length` of the fleet's leases")
 	f.IntVar(&o.Units, "units", 0, "calls in a span; by default by seed")
 	f.DurationVar(&o.Span, "span", 0, "in which they are counted; by default by seed")
-	f.IntVar(&o.Over, "over", 0, "each sender that is cut off may go so much beyond")
+	f.IntVar(&o.PartitionExtra, "over", 0, "each sender that is cut off may go so much beyond")
 	f.Float64Var(&o.Rate, "rate", 0, "messages a second for the limited receiver; by default twice the limit")
 	f.BoolVar(&o.Halve, "halve", false, "halve the limit in the middle")
 	f.BoolVar(&o.Quiet, "quiet", false, "no faults")
 	f.DurationVar(&o.Outage, "outage", 0, "the receiver hangs for so long")
 	f.BoolVar(&o.Verdict, "verdict", false, "with -outage: the fleet holds together whether it is out")
-	f.DurationVar(&o.Transit, "transit", 0, "by so much may the ways of two calls differ; default 100ms, as the kit shares the machine with the senders")
+	f.DurationVar(&o.TransitJitter, "transit", 0, "by so much may the ways of two calls differ; default 100ms, as the kit shares the machine with the senders")
 	f.BoolVar(&o.Own, "own", false, "the receivers keep the limit themselves, and refuse what is above it")
 	f.BoolVar(&o.Free, "free", false, "no limit")
 }
--- a/internal/faulttest/policytest/check.go
+++ b/internal/faulttest/policytest/check.go
@@ -24,8 +24,8 @@
 	// Switches has, for each version after the first under which calls were made, the gap between the last call under the previous
 	// version and the first call under the new version.
 	Switches []time.Duration
-	// Takes has, for each committed change, the time from the proposal until the version was first seen in force at a sender.
-	Takes []time.Duration
+	// CommitTimes has, for each committed change, the time from the proposal until the version was first seen in force at a sender.
+	CommitTimes []time.Duration
 }
 
 // Check checks the rules for a day: no sender calls under a version after another sender was seen at the next version, each change
@@ -75,7 +75,7 @@
 			if c.Version != c.Base+1 {
 				v.broken("a change based on version %d committed as version %d", c.Base, c.Version)
 			}
-			v.Takes = append(v.Takes, r.Seen[c.Version]-c.Asked)
+			v.CommitTimes = append(v.CommitTimes, r.Seen[c.Version]-c.Asked)
 		}
 		if at, ok := proposed[c.Base+1]; !ok || c.Asked < at {
 			proposed[c.Base+1] = c.Asked
--- a/internal/faulttest/policytest/policytest.go
+++ b/internal/faulttest/policytest/policytest.go
@@ -36,7 +36,7 @@
 	Quiet         bool          // no faults
 	KillAll       bool          // all senders are killed at once, twice
 	PartitionLast bool          // the last sender is partitioned from all others before the first change, for the rest of the faults
-	Down          int           // number of senders that are paused before the first change, for the rest of the faults
+	Paused        int           // number of senders that are paused before the first change, for the rest of the faults
 	Command       []string      // command line of the sender
 	Folder        string
 }
@@ -88,7 +88,7 @@
 		fmt.Fprintf(&b, "[[fleet.voter]]\nname = \"n%d\"\naddress = \"{n%d:7948}\"\n", v, v)
 	}
 	fmt.Fprintf(&b, "'''\n[[class]]\nname = \"card-event\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"1500ms\"\n")
-	for i := range o.Down {
+	for i := range o.Paused {
 		fmt.Fprintf(&b, "[[sender]]\ndo = \"pause\"\nwhich = \"n%d\"\nat = \"50ms\"\nfor = \"%vs\"\n", o.Senders-1-i, o.Seconds+5)
 	}
 	if o.PartitionLast {
@@ -288,7 +288,7 @@
 func (p *operators) during(ctx context.Context, d *day.Day) {
 	p.d = d
 	if p.o.PartitionLast {
-		p.o.Down = max(1, p.o.Down) // operators do not use the partitioned sender
+		p.o.Paused = max(1, p.o.Paused) // operators do not use the partitioned sender
 		time.Sleep(time.Second)
 	}
 	faultsEnd := time.Duration(p.o.Seconds * float64(time.Second))
@@ -314,7 +314,7 @@
 			defer operators.Done()
 			rng := rand.New(rand.NewPCG(p.o.Seed, uint64(100+n)))
 			for d.Now() < faultsEnd && ctx.Err() == nil {
-				p.change(ctx, rng.IntN(p.o.Senders-p.o.Down), faultsEnd)
+				p.change(ctx, rng.IntN(p.o.Senders-p.o.Paused), faultsEnd)
 				time.Sleep(minTime + time.Duration(200+rng.IntN(900))*time.Millisecond)
 			}
 		}()
@@ -361,7 +361,7 @@
 // awaitOutcome polls the senders for the outcome of a change, until the first sender reports the outcome or the time is up.
 func (p *operators) awaitOutcome(ctx context.Context, c Change, id uint64, until time.Duration) Change {
 	for end := time.Now().Add(recoveryTimeout); p.d.Now() < until && time.Now().Before(end) && ctx.Err() == nil; {
-		for i := range p.o.Senders - p.o.Down {
+		for i := range p.o.Senders - p.o.Paused {
 			r, err := p.pollStatus(ctx, i)
 			if err != nil {
 				continue
--- a/internal/faulttest/quotatest/quotatest.go
+++ b/internal/faulttest/quotatest/quotatest.go
@@ -21,29 +21,29 @@
 
 // Options configure a test day.
 type Options struct {
-	Seed          uint64
-	Senders       int
-	Voters        int
-	Seconds       float64 // duration of the faults, which begin once the limit is in force
-	Lease         time.Duration
-	Units         int // calls in a span that the limit of receiver 0 allows; default by seed
-	Span          time.Duration
-	Over          int           // units that each sender without a lease may use in addition to the limit
-	Rate          float64       // messages a second for each of the two receivers; default twice the limit
-	Halve         bool          // the limit is halved in the middle of the faults
-	Lend          time.Duration // duration for which units are lent to a sender; default that of the sender
-	Transit       time.Duration // maximum difference of the transit times of two calls; default 100ms, as the kit and the senders share cores
-	GoOn          bool          // senders that are partitioned go on, as far as limits allow
-	Kill          string        // sender that is killed shortly after the last sender is partitioned
-	Outage        time.Duration // duration for which receiver 0 hangs, from shortly after the start of the faults
-	Verdict       bool          // the fleet decides together whether receiver 0 is ejected
-	Free          bool          // the fleet has no limit
-	Own           bool          // both receivers enforce that limit themselves, and reject the calls above it
-	Quiet         bool          // no faults
-	KillAll       bool          // all senders are killed at once, twice
-	PartitionLast bool          // the last sender is partitioned from all others once the limit is in force
-	Command       []string
-	Folder        string
+	Seed           uint64
+	Senders        int
+	Voters         int
+	Seconds        float64 // duration of the faults, which begin once the limit is in force
+	Lease          time.Duration
+	Units          int // calls in a span that the limit of receiver 0 allows; default by seed
+	Span           time.Duration
+	PartitionExtra int           // units that each sender without a lease may use in addition to the limit
+	Rate           float64       // messages a second for each of the two receivers; default twice the limit
+	Halve          bool          // the limit is halved in the middle of the faults
+	Lend           time.Duration // duration for which units are lent to a sender; default that of the sender
+	TransitJitter  time.Duration // maximum difference of the transit times of two calls; default 100ms, as the kit and the senders share cores
+	GoOn           bool          // senders that are partitioned go on, as far as limits allow
+	Kill           string        // sender that is killed shortly after the last sender is partitioned
+	Outage         time.Duration // duration for which receiver 0 hangs, from shortly after the start of the faults
+	Verdict        bool          // the fleet decides together whether receiver 0 is ejected
+	Free           bool          // the fleet has no limit
+	Own            bool          // both receivers enforce that limit themselves, and reject the calls above it
+	Quiet          bool          // no faults
+	KillAll        bool          // all senders are killed at once, twice
+	PartitionLast  bool          // the last sender is partitioned from all others once the limit is in force
+	Command        []string
+	Folder         string
 }
 
 // Result is the outcome of a test day.
@@ -87,7 +87,7 @@
 }
 
 const (
-	defaultTransitJitter = 100 * time.Millisecond // default of Options.Transit
+	defaultTransitJitter = 100 * time.Millisecond // default of Options.TransitJitter
 	load                 = 0.2
 	calmTraffic          = 12 * time.Second // traffic after the faults
 	recoveryTime         = 7 * time.Second  // time after the end of the faults from which the fleet's use of its limit is measured
@@ -102,8 +102,8 @@
 	if o.Lease == 0 {
 		o.Lease = time.Second
 	}
-	if o.Transit == 0 {
-		o.Transit = defaultTransitJitter
+	if o.TransitJitter == 0 {
+		o.TransitJitter = defaultTransitJitter
 	}
 	if o.Lend == 0 {
 		o.Lend = o.Lease*3/2 + 500*time.Millisecond
@@ -124,9 +124,9 @@
 // learned of the limit has expired, and earlier calls have left the span. For a later limit, the units lent under an earlier limit must
 // have expired, too.
 func (o Options) bindingDelay(later bool) time.Duration {
-	d := time.Duration(float64(o.Lease)*1.05) + policytest.Grace + o.Span + o.Transit
+	d := time.Duration(float64(o.Lease)*1.05) + policytest.Grace + o.Span + o.TransitJitter
 	if later {
-		d += time.Duration(float64(o.Lend)*1.05) + o.Span + o.Transit
+		d += time.Duration(float64(o.Lend)*1.05) + o.Span + o.TransitJitter
 	}
 	return d
 }
@@ -173,7 +173,7 @@
 		text = "cut_off = \"go-on\"\ngo_on_for = \"5m\"\n"
 	}
 	if o.Verdict {
-		text += fmt.Sprintf("[[verdict]]\ndestinations = [0]\nprobe = \"%v\"\ncold = %d\nwarm = %d\nwarm_for = \"%v\"\nlasts = \"6s\"\ntransit = \"%v\"\n", Probe, SlowStartRate, Warm, WarmFor, o.Transit)
+		text += fmt.Sprintf("[[verdict]]\ndestinations = [0]\nprobe = \"%v\"\ncold = %d\nwarm = %d\nwarm_for = \"%v\"\nlasts = \"6s\"\ntransit = \"%v\"\n", Probe, SlowStartRate, Warm, WarmFor, o.TransitJitter)
 	}
 	if o.Free {
 		return []byte(text)
@@ -182,7 +182,7 @@
 	if o.Own {
 		both = "0, 1"
 	}
-	return fmt.Appendf(nil, text+"[[limit]]\ndestinations = [%s]\ncalls = %d\nspan = \"%v\"\ntransit = \"%v\"\nover = %d\n", both, units, o.Span, o.Transit, o.Over)
+	return fmt.Appendf(nil, text+"[[limit]]\ndestinations = [%s]\ncalls = %d\nspan = \"%v\"\ntransit = \"%v\"\nover = %d\n", both, units, o.Span, o.TransitJitter, o.PartitionExtra)
 }
 
 // Run runs the test day of a seed.
@@ -418,7 +418,7 @@
 	Served  int // messages that receiver 0 served from faultsStart on
 }
 
-// Check checks that no span has more calls to receiver 0 than the limit in force allows, plus the allowance Over for each sender. Only
+// Check checks that no span has more calls to receiver 0 than the limit in force allows, plus PartitionExtra for each sender. Only
 // spans during which a limit is binding from start to end are checked.
 func Check(r *Result) Verdict {
 	var v Verdict
@@ -444,7 +444,7 @@
 		if i+1 < len(r.Limits) {
 			until = r.Limits[i+1].From // the next, lower limit is binding from then on
 		}
-		maxCalls := w.Units + o.Over*o.Senders
+		maxCalls := w.Units + o.PartitionExtra*o.Senders
 		first := 0
 		for j, t := range calls {
 			if t < w.From || t > until {
