--- a/internal/faulttest/policytest/policytest.go
+++ b/internal/faulttest/policytest/policytest.go
@@ -106,7 +106,7 @@
 	return b.String()
 }
 
-// Faults returns script entries with random faults, between two times, of the links and processes of a number of senders.
+// Faults returns script entries with random faults of the links and processes of n0 to n(senders-1), between two times.
 func Faults(rng *rand.Rand, senders int, from, until time.Duration) string {
 	var b strings.Builder
 	at := from
--- a/internal/faulttest/tierdemo/report_test.go
+++ b/internal/faulttest/tierdemo/report_test.go
@@ -27,7 +27,7 @@
 	assert.Equal(t, c.Turns, 100)
 	assert.Equal(t, c.Late, 20) // those over 400 ms
 	near := func(d, want time.Duration) {
-		assert.Assert(t, d > want*98/100 && d < want*102/100, "%v for %v", d, want)
+		assert.Assert(t, d > want*98/100 && d < want*102/100, "got %v, want about %v", d, want)
 	}
 	near(c.FirstP50, 250*time.Millisecond)
 	near(c.FirstP99, 495*time.Millisecond)
