--- a/internal/faulttest/policytest/policytest.go
+++ b/internal/faulttest/policytest/policytest.go
@@ -416,7 +416,7 @@
 }
 
 // errNoChange means that the fleet has committed no change within recoveryTimeout after its recovery.
-var errNoChange = errors.New("no change was committed within " + recoveryTimeout.String() + " after all faults were healed")
+var errNoChange = errors.New(recoveryTimeout.String() + " after all faults were healed no change has been committed")
 
 // divergedError reports the policy histories of senders that still differ recoveryTimeout after all faults were healed.
 type divergedError struct{ histories []string }
--- a/internal/faulttest/tierdemo/demo.go
+++ b/internal/faulttest/tierdemo/demo.go
@@ -99,7 +99,7 @@
 	}
 	var err error
 	if demo.platform, err = startPlatform(demo.checker, "127.0.0.1"); err != nil {
-		return errorx.Decorate(err, "start the platform")
+		return errorx.Decorate(err, "platform")
 	}
 	for i := range modelCount + toolCount {
 		service := modelService
@@ -107,7 +107,7 @@
 			service = toolService
 		}
 		if err := demo.platform.add(service, zoneName(i%perRole)); err != nil {
-			return errorx.Decorate(err, "start an endpoint")
+			return errorx.Decorate(err, "endpoint")
 		}
 	}
 	if demo.tier, err = newTier(dir, demo.platform.address, logs); err != nil {
--- a/internal/faulttest/tierdemo/demo_test.go
+++ b/internal/faulttest/tierdemo/demo_test.go
@@ -22,7 +22,7 @@
 	assert.Equal(t, report.Broken(), 0, b.String())
 	assert.Assert(t, report.Counts.Completed > 0, b.String())
 	for _, v := range report.Verdicts {
-		assert.Assert(t, v.Checked > 0, "rule %q was never checked", v.Rule)
+		assert.Assert(t, v.Checked > 0, "rule was never checked: %s", v.Rule)
 	}
 	assert.Assert(t, notes.Load() > 0 && shown.Load() > 0)
 	left, err := os.ReadDir(os.Getenv("TMPDIR"))
--- a/internal/faulttest/tierdemo/rule_checker_test.go
+++ b/internal/faulttest/tierdemo/rule_checker_test.go
@@ -61,7 +61,7 @@
 	list := newTestProgram().run()
 	assert.Equal(t, len(broken(list)), 0, "%v", list)
 	for _, v := range list {
-		assert.Assert(t, v.Checked > 0, "rule %q was never checked", v.Rule)
+		assert.Assert(t, v.Checked > 0, "rule was never checked: %s", v.Rule)
 	}
 }
 
--- a/internal/faulttest/tierdemo/tier_status.go
+++ b/internal/faulttest/tierdemo/tier_status.go
@@ -28,7 +28,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errorx.TimeoutElapsed.Wrap(ctx.Err(), "timed out waiting for %s", what)
+			return errorx.TimeoutElapsed.Wrap(ctx.Err(), "wait for %s", what)
 		case <-t.C:
 		}
 	}
