--- a/internal/faulttest/scenariofuzz/report.go
+++ b/internal/faulttest/scenariofuzz/report.go
@@ -65,7 +65,7 @@
 	return out
 }
 
-// Evidence returns the first three broken rules as the bench reports them, each cut to 600 characters.
+// Evidence returns the first three broken rules as the bench reports them, with strings cut to 600 characters.
 func (r *Report) Evidence() string {
 	var lines []string
 	for i, f := range r.First {
