--- a/internal/faulttest/tierdemo/demo_test.go
+++ b/internal/faulttest/tierdemo/demo_test.go
@@ -22,7 +22,7 @@
 	assert.Equal(t, report.Broken(), 0, b.String())
 	assert.Assert(t, report.Counts.Completed > 0, b.String())
 	for _, v := range report.Verdicts {
-		assert.Assert(t, v.Checked > 0, "%s was not looked at", v.Rule)
+		assert.Assert(t, v.Checked > 0, "rule was never checked: %s", v.Rule)
 	}
 	assert.Assert(t, notes.Load() > 0 && shown.Load() > 0)
 	left, err := os.ReadDir(os.Getenv("TMPDIR"))
@@ -30,7 +30,7 @@
 	assert.Equal(t, len(left), 0)
 }
 
-// An interrupt in the first moment of the traffic ends it, and leaves nothing.
+// An interrupt at the start of the traffic ends the demo, and no files remain.
 func TestRun_Interrupted(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	ctx, cancel := context.WithCancel(t.Context())
