--- a/internal/faulttest/cli/compare.go
+++ b/internal/faulttest/cli/compare.go
@@ -18,14 +18,15 @@
 	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
-// variant is one way to speak on a day.
+// variant is a set of message formats with which a day is played.
 type variant struct {
 	name  string
-	speak encoding.Format
-	calls []encoding.Format // of the kinds of receivers, in turns
+	speak encoding.Format   // of the clients
+	calls []encoding.Format // of the calls to each kind of receiver, assigned in turn
 }
 
-// variants is how a day is compared: plain as often as asked, for its spread, then each form in and out, and all mixed.
+// variants returns the variants that are compared: as many plain ones as given, to measure their spread, then each format for both
+// clients and receivers, then all formats mixed.
 func variants(plain int) []variant {
 	var all []variant
 	for range plain {
@@ -37,7 +38,7 @@
 	return append(all, variant{"mixed", encoding.Mixed, []encoding.Format{encoding.Binary, encoding.Plain, encoding.Batched, encoding.Structured}})
 }
 
-// over gives a day's script the variant's forms. The kinds of a script that names none are the usual ones.
+// over returns a copy of a day's script with the variant's formats. A script without kinds of receivers gets the usual ones.
 func (v variant) over(s script.Script) (*script.Script, error) {
 	d := *s.Day
 	d.Speak = v.speak
@@ -56,18 +57,18 @@
 	return &s, nil
 }
 
-// played is what a variant's day came to.
+// played is the result of a variant's day.
 type played struct {
 	variant
 	verdict judge.Report
 	sum     report.Summary
-	answers map[string]int    // first answers by status
-	first   map[string]string // and by message
+	answers map[string]int    // number of first answers, by status
+	first   map[string]string // status of the first answer, by message
 	use     day.Usage
 }
 
-// fates finds of each message how its first hand-in was answered. How it ended goes into the share of worth: which
-// few of them run out of time while a receiver hangs differs between any two runs.
+// fates finds the first answer to each message. It ignores how messages ended, because which few of them expire while a receiver
+// hangs differs between any two runs; the share of worth covers that.
 func (p *played) fates(events []eventlog.Event) {
 	p.answers, p.first = map[string]int{}, map[string]string{}
 	msg := map[string]string{}
@@ -78,18 +79,18 @@
 		case eventlog.Answer:
 			if m := msg[e.ID]; p.first[m] == "" {
 				status := e.Status
-				if status == 200 { // taken on, as 202 is; and delivered by then
+				if status == 200 { // accepted like 202, and already delivered
 					status = 202
 				}
 				p.first[m] = fmt.Sprint(status)
 				p.answers[p.first[m]]++
 			}
-		default: // the other events tell nothing here
+		default: // other events say nothing about first answers
 		}
 	}
 }
 
-// differ is how many messages were answered otherwise.
+// differ returns how many messages of p have another first answer, or none, in q.
 func (p *played) differ(q *played) int {
 	n := 0
 	for m, f := range p.first {
@@ -103,14 +104,14 @@
 func compare(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
 	f := flags("compare [DAY.toml ...]", errs)
 	program := f.String("sender", "", "the sender's `program`; by default the one beside this program, or built from the sources")
-	plain := f.Int("plain", 2, "plain runs, of which the spread is the measure; at least 2")
-	tries := f.Int("tries", 3, "an inconclusive day is played again, so many `times` in all")
-	slack := f.Float64("slack", 0.01, "a share of worth may lie so far outside the plain runs' spread")
+	plain := f.Int("plain", 2, "number of plain runs, whose spread is the reference; at least 2")
+	tries := f.Int("tries", 3, "play an inconclusive day again, up to this many `times` in total")
+	slack := f.Float64("slack", 0.01, "distance by which a share of worth may lie outside the plain runs' spread")
 	if err := parse(f, args); err != nil {
 		return 0, err
 	}
 	if *plain < 2 || *slack < 0 {
-		return judge.ExitScript, badArgument("compare: -plain %d, -slack %v: at least 2 and 0", *plain, *slack)
+		return judge.ExitScript, badArgument("compare: -plain %d must be at least 2, and -slack %v at least 0", *plain, *slack)
 	}
 	all, err := days(f.Args(), false)
 	if err != nil {
@@ -131,7 +132,7 @@
 	return worst(codes), nil
 }
 
-// compareDay plays one day in each variant and says where one differs from plain.
+// compareDay plays one day in each variant and prints where a variant differs from the plain runs.
 func compareDay(ctx context.Context, s script.Script, path string, plain, tries int, slack float64, out io.Writer) (int, error) {
 	var runs []*played
 	code := judge.ExitPass
@@ -183,7 +184,7 @@
 	return p, nil
 }
 
-// playOnce plays a day, again while it is inconclusive, so many times in all. Its log is kept in a new folder.
+// playOnce plays a day, and repeats an inconclusive day up to tries times in total. Each run writes its event log to a new folder.
 func playOnce(ctx context.Context, s *script.Script, name, path string, tries int) (events []eventlog.Event, verdict judge.Report, use day.Usage, err error) {
 	for range tries {
 		plan, err := s.Make()
@@ -196,7 +197,7 @@
 		}
 		file, err := os.Create(filepath.Join(folder, "events.jsonl"))
 		if err != nil {
-			return nil, verdict, use, fmt.Errorf("the event log: %w", err)
+			return nil, verdict, use, fmt.Errorf("create the event log: %w", err)
 		}
 		events, use, err = day.Play(ctx, plan, day.Options{Command: []string{path}, Folder: folder, Log: file})
 		file.Close()
@@ -222,8 +223,8 @@
 	return strings.Join(all, " ")
 }
 
-// outside says what of the others lies outside the spread of the plain runs: answers to messages, the share
-// of worth, and the time to delivery.
+// outside describes where the other variants lie outside the spread of the plain runs: in the answers to messages, the share
+// of worth and the median time to delivery.
 func outside(plain, others []*played, slack float64) []string {
 	var all []string
 	differ, least, most, slowest := 0, math.Inf(1), 0.0, 0.0
@@ -233,7 +234,7 @@
 		}
 		least, most, slowest = min(least, p.sum.ServedFraction), max(most, p.sum.ServedFraction), max(slowest, p.sum.Latency50)
 	}
-	// Few messages differ by chance; what a front or a form does wrong it does to many.
+	// A few messages differ by chance, while a fault in the handling of a format affects many.
 	allowed := differ + max(2, len(plain[0].first)/200)
 	for _, p := range others {
 		n := math.MaxInt
--- a/internal/faulttest/cli/cost.go
+++ b/internal/faulttest/cli/cost.go
@@ -16,7 +16,7 @@
 	"saffronyard.example/saffronyard/internal/faulttest/judge"
 )
 
-// proxyCommand starts a plain reverse proxy, against which costs are measured.
+// proxyCommand is the subcommand that runs a plain reverse proxy as the baseline for costs.
 const proxyCommand = "plain-proxy"
 
 func plainProxy(ctx context.Context, _ []string, _, _ io.Writer) (int, error) {
@@ -26,30 +26,30 @@
 	return 0, nil
 }
 
-// usualCases is what is measured unless cases are named: listed/busy/held.
+// usualCases are the cases that are measured by default, as listed/busy/held: endpoints listed, endpoints with traffic, messages held.
 const usualCases = "20/20/100 20000/20/0 5000/20/0 5000/5000/0 20/20/50000"
 
-// costFlags are the flags of the command cost.
+// costFlags are the flags of the cost command.
 type costFlags struct {
 	program, forms                              string
 	seconds                                     float64
 	clients, body, memory, churn, pairs, limits int
 }
 
-// register adds the flags to the command's.
+// register adds the flags to the command's flag set.
 func (c *costFlags) register(f *flag.FlagSet) {
 	f.StringVar(&c.program, "sender", "", "the sender's `program`; by default the one beside this program, or built from the sources")
 	f.Float64Var(&c.seconds, "seconds", 6, "length of each measurement")
 	f.IntVar(&c.clients, "clients", 64, "closed-loop `clients`")
 	f.IntVar(&c.body, "body", 400, "bytes of a message")
-	f.IntVar(&c.memory, "memory", 2048, "`MB` that the sender is told it has")
+	f.IntVar(&c.memory, "memory", 2048, "memory limit of the sender, in `MB`")
 	f.IntVar(&c.churn, "churn", 0, "endpoints replaced each second")
-	f.StringVar(&c.forms, "forms", "", "measure the first case in these `forms`, too: binary,structured,batched")
-	f.IntVar(&c.pairs, "fleet", 0, "measure the first case so many `times` without and, beside it, with what a fleet agrees on")
-	f.IntVar(&c.limits, "limits", 0, "with -fleet: so many of the first destinations are limited by the fleet")
+	f.StringVar(&c.forms, "forms", "", "also measure the first case in these `forms`: binary,structured,batched")
+	f.IntVar(&c.pairs, "fleet", 0, "measure the first case this many `times`, without and at the same time with the fleet's consensus")
+	f.IntVar(&c.limits, "limits", 0, "with -fleet: number of destinations, from the first on, that the fleet limits")
 }
 
-// cases reads the cases that the arguments name, and the forms of the first one, each with the name of its row.
+// cases parses the cases in the arguments and adds the first case in each of the given forms. It also returns the name of each case's row.
 func (c *costFlags) cases(names []string) ([]cost.Case, []string, error) {
 	if len(names) == 0 {
 		names = strings.Fields(usualCases)
@@ -58,7 +58,7 @@
 	for _, name := range names {
 		one := cost.Case{Clients: c.clients, Body: c.body, Churn: c.churn, Memory: c.memory, For: time.Duration(c.seconds * float64(time.Second)), Warm: 2 * time.Second}
 		if n, err := fmt.Sscanf(name, "%d/%d/%d", &one.Listed, &one.Busy, &one.Backlog); n != 3 || one.Listed < 1 || one.Busy < 1 || one.Busy > one.Listed || one.Listed > 60000 || one.Backlog < 0 || one.Backlog > 150000 {
-			return nil, nil, badArgument("cost: %q is not LISTED/BUSY/HELD (1 to 60000, of those, 0 to 150000): %v", name, err)
+			return nil, nil, badArgument("cost: %q is not LISTED/BUSY/HELD (LISTED 1 to 60000, BUSY 1 to LISTED, HELD 0 to 150000): %v", name, err)
 		}
 		cases = append(cases, one)
 	}
@@ -66,13 +66,13 @@
 		for _, form := range strings.Split(c.forms, ",") {
 			one := cases[0]
 			if one.Format = encoding.Format(form); !one.Format.Known(false) {
-				return nil, nil, badArgument("cost: there is no form %q; there are plain, binary, structured and batched", form)
+				return nil, nil, badArgument("cost: unknown form %q; the forms are plain, binary, structured and batched", form)
 			}
 			cases, names = append(cases, one), append(names, names[0]+" "+form)
 		}
 	}
 	if c.clients < 1 || c.body < 0 || c.body > 64<<10 || c.seconds <= 0 {
-		return nil, nil, badArgument("cost: %d clients, %d bytes, %v s", c.clients, c.body, c.seconds)
+		return nil, nil, badArgument("cost: %d clients, %d bytes, %v s: want at least 1 client, 0 to 65536 bytes and more than 0 s", c.clients, c.body, c.seconds)
 	}
 	return cases, names, nil
 }
@@ -121,7 +121,7 @@
 	if err != nil {
 		return judge.ExitInconclusive, err
 	}
-	var first float64 // microseconds of the first case
+	var first float64 // CPU for each message of the first case, in microseconds
 	row := func(name string, r cost.Result) {
 		us := float64(r.CPU.Nanoseconds()) / 1000
 		if first == 0 && name != "plain proxy" {
@@ -148,7 +148,8 @@
 	return 0, nil
 }
 
-// beside measures one case against another at the same time, some times: each begins new processes, and they change places.
+// beside measures two cases against each other at the same time, several times. Each run starts new processes, and the order of the
+// two cases alternates.
 func beside(ctx context.Context, out io.Writer, command []string, folder string, times int, off, on cost.Case) (int, error) {
 	var all []float64
 	for i := range times {
--- a/internal/faulttest/cli/errors.go
+++ b/internal/faulttest/cli/errors.go
@@ -6,11 +6,11 @@
 )
 
 var (
-	// errUsage is a bad flag or script that has already been printed.
+	// errUsage means a bad flag or script whose error has already been printed.
 	errUsage = errors.New("usage")
-	// errNoSender means that no program of the sender was found or could be built.
-	errNoSender = errors.New("no sender: name it with -sender, put saffronyard beside this program, or start this in the sources' folder")
-	// errNoJoin means that a day for the comparison of joining senders has none.
+	// errNoSender means that the sender's program was not found and could not be built.
+	errNoSender = errors.New("no sender program found: pass -sender, put saffronyard beside this program, or run this inside the source tree")
+	// errNoJoin means that no sender joins on a day that is played to measure a joining sender.
 	errNoJoin = errors.New("no sender joins on this day")
 )
 
--- a/internal/faulttest/cli/fleet.go
+++ b/internal/faulttest/cli/fleet.go
@@ -10,17 +10,17 @@
 	"saffronyard.example/saffronyard/internal/faulttest/policytest"
 )
 
-// fleetDays plays days on which a fleet changes its policy while links, processes and folders fail, a seed each, and judges
-// from outside that every change took hold everywhere or nowhere.
+// fleetDays plays one day per seed on which a fleet changes its policy while links, processes and folders fail. From what is visible
+// outside the senders it checks that every change took effect on all senders or on none.
 func fleetDays(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
 	options := policytest.Options{}
 	var seeds seedFlags
 	f := flags("fleet", errs)
 	seeds.register(f)
-	f.IntVar(&options.Senders, "senders", 0, "of each day; by default 3 to 7, by seed")
-	f.IntVar(&options.Voters, "voters", 0, "of them; by default 3, or 5 where there are so many senders, by seed")
-	f.IntVar(&options.Down, "down", 0, "so many senders stand still from the begin")
-	f.Float64Var(&options.Seconds, "seconds", 10, "of faults and changes")
+	f.IntVar(&options.Senders, "senders", 0, "number of senders; by default 3 to 7, by seed")
+	f.IntVar(&options.Voters, "voters", 0, "number of voters among the senders; by default 3, or 5 for some seeds with at least 5 senders")
+	f.IntVar(&options.Down, "down", 0, "number of senders that are stopped from the beginning")
+	f.Float64Var(&options.Seconds, "seconds", 10, "duration of the faults and changes")
 	f.DurationVar(&options.Lease, "lease", time.Second, "`length` of leases")
 	f.BoolVar(&options.Quiet, "quiet", false, "no faults")
 	if err := parse(f, args); err != nil {
@@ -48,16 +48,16 @@
 	return exit(ctx, tally.failed)
 }
 
-// policyTally prints a line for each day and adds the days up.
+// policyTally prints the result of each day and sums up all days.
 type policyTally struct {
 	out io.Writer
 
-	mu             sync.Mutex // guards what follows, and the order of lines
+	mu             sync.Mutex // guards the fields below and the order of the printed lines
 	all            policytest.Verdict
 	failed, played int
 }
 
-// add judges a day, prints its line and counts it.
+// add judges a day, prints its result and adds it to the sums.
 func (t *policyTally) add(options policytest.Options, result *policytest.Result, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/faulttest/cli/limits.go
+++ b/internal/faulttest/cli/limits.go
@@ -11,11 +11,11 @@
 	"saffronyard.example/saffronyard/internal/faulttest/quotatest"
 )
 
-// maxBrokenLines bounds the lines on what a day broke.
+// maxBrokenLines is the maximum number of violations that are printed for a day.
 const maxBrokenLines = 10
 
-// limitDays plays days on which a fleet shares a limit out while links, processes and folders fail, a seed each, and judges by what
-// the receiver got that the limit held.
+// limitDays plays one day per seed on which a fleet divides a rate limit among its senders while links, processes and folders fail.
+// From the calls that the receiver got it checks that the limit was never exceeded.
 func limitDays(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
 	options := quotatest.Options{}
 	var seeds seedFlags
@@ -50,34 +50,34 @@
 	return exit(ctx, tally.failed)
 }
 
-// registerLimitFlags adds the flags of a day with limits.
+// registerLimitFlags adds the flags of the limits command.
 func registerLimitFlags(f *flag.FlagSet, o *quotatest.Options) {
-	f.IntVar(&o.Senders, "senders", 0, "of each day; by default 3, 5 or 8, by seed")
-	f.IntVar(&o.Voters, "voters", 0, "of them; by default 3, or 5 where there are so many senders, by seed")
-	f.Float64Var(&o.Seconds, "seconds", 10, "of faults")
+	f.IntVar(&o.Senders, "senders", 0, "number of senders; by default 3, 5 or 8, by seed")
+	f.IntVar(&o.Voters, "voters", 0, "number of voters among the senders; by default 3, or 5 for some seeds with at least 5 senders")
+	f.Float64Var(&o.Seconds, "seconds", 10, "duration of the faults")
 	f.DurationVar(&o.Lease, "lease", time.Second, "`length` of the fleet's leases")
-	f.IntVar(&o.Units, "units", 0, "calls in a span; by default by seed")
-	f.DurationVar(&o.Span, "span", 0, "in which they are counted; by default by seed")
-	f.IntVar(&o.Over, "over", 0, "each sender that is cut off may go so much beyond")
-	f.Float64Var(&o.Rate, "rate", 0, "messages a second for the limited receiver; by default twice the limit")
-	f.BoolVar(&o.Halve, "halve", false, "halve the limit in the middle")
+	f.IntVar(&o.Units, "units", 0, "limit, in calls per span; by default by seed")
+	f.DurationVar(&o.Span, "span", 0, "span over which calls are counted; by default by seed")
+	f.IntVar(&o.Over, "over", 0, "calls by which each sender that is cut off may exceed the limit")
+	f.Float64Var(&o.Rate, "rate", 0, "messages a second to the limited receiver; by default twice the limit")
+	f.BoolVar(&o.Halve, "halve", false, "halve the limit in the middle of the day")
 	f.BoolVar(&o.Quiet, "quiet", false, "no faults")
-	f.DurationVar(&o.Outage, "outage", 0, "the receiver hangs for so long")
-	f.BoolVar(&o.Verdict, "verdict", false, "with -outage: the fleet holds together whether it is out")
-	f.DurationVar(&o.Transit, "transit", 0, "by so much may the ways of two calls differ; default 100ms, as the kit shares the machine with the senders")
-	f.BoolVar(&o.Own, "own", false, "the receivers keep the limit themselves, and refuse what is above it")
+	f.DurationVar(&o.Outage, "outage", 0, "duration for which the receiver hangs")
+	f.BoolVar(&o.Verdict, "verdict", false, "with -outage: the fleet agrees on whether the receiver is out")
+	f.DurationVar(&o.Transit, "transit", 0, "maximum difference between the transit times of two calls; default 100ms, as the kit shares the machine with the senders")
+	f.BoolVar(&o.Own, "own", false, "the receivers enforce the limit themselves and refuse calls above it")
 	f.BoolVar(&o.Free, "free", false, "no limit")
 }
 
-// limitTally prints lines for each day and adds the days up.
+// limitTally prints the result of each day and sums up all days.
 type limitTally struct {
 	out io.Writer
 
-	mu                          sync.Mutex // guards what follows, and the order of lines
+	mu                          sync.Mutex // guards the fields below and the order of the printed lines
 	failed, played, calls, full int
 }
 
-// add judges a day, prints its lines and counts it.
+// add judges a day, prints its result and adds it to the sums.
 func (t *limitTally) add(options quotatest.Options, result *quotatest.Result, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -99,7 +99,7 @@
 	}
 }
 
-// judge checks a day's limit, unless it has none, and its outage, if it has one.
+// judge checks a day's limit unless free is set, and the return from its outage if it has one.
 func (t *limitTally) judge(result *quotatest.Result, free bool) quotatest.Verdict {
 	v := quotatest.Check(result)
 	if free {
--- a/internal/faulttest/cli/list.go
+++ b/internal/faulttest/cli/list.go
@@ -12,10 +12,10 @@
 	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
-// folder is where the scripts that ship lie, below the sources.
+// folder is the folder of the shipped scripts, relative to the root of the source tree.
 const folder = "rehearsals"
 
-// listScripts names the scripts of a folder and those to be laid over them.
+// listScripts prints the scripts of a folder and of its subfolders: the days and the overlays for them.
 func listScripts(_ context.Context, args []string, out, errs io.Writer) (int, error) {
 	f := flags("list [FOLDER]", errs)
 	if err := parse(f, args); err != nil {
@@ -27,7 +27,7 @@
 		if _, err := os.Stat(dir); err != nil {
 			root, err := sources()
 			if err != nil {
-				return judge.ExitScript, badArgument("no folder %s here: name one", folder)
+				return judge.ExitScript, badArgument("no folder %s here: pass the folder as the argument", folder)
 			}
 			dir = filepath.Join(root, folder)
 		}
--- a/internal/faulttest/cli/main.go
+++ b/internal/faulttest/cli/main.go
@@ -14,23 +14,23 @@
 	"saffronyard.example/saffronyard/internal/faulttest/judge"
 )
 
-const usage = `fault-test plays a day of trouble against real senders on this machine and judges the six rules.
+const usage = `fault-test plays a day of faults against real senders on this machine and judges the six rules.
 
   fault-test run [flags] [DAY.toml ...]   play days, one after another; a file without [day] is laid over the
                                         day before it; without files a short built-in day is played
-  fault-test list [FOLDER]                the scripts there are, with a line on each
-  fault-test judge LOG                    the verdict again, from a day's event log
-  fault-test report LOG FILE.html         the report again, from a day's event log
-  fault-test up                           one sender and a few receivers, kept running to try things by hand
-  fault-test compare [DAY.toml ...]       a day in plain, in each form of CloudEvents, and mixed: does it differ?
-  fault-test teach [DAY.toml]             a day with a sender that joins, cold and taught by its peers, over several seeds
-  fault-test fleet                        changes of the fleet's policy while links, processes and folders fail, over many seeds
-  fault-test selftest                     wrong senders, one for each rule: each must be found out
-  fault-test cost [LISTED/BUSY/HELD ...]  what a message costs the sender's process, beside a plain proxy
-  fault-test measure                      how much the kit itself can send, serve and judge on this machine
+  fault-test list [FOLDER]                list the scripts with a short description of each
+  fault-test judge LOG                    print the verdict again from a day's event log
+  fault-test report LOG FILE.html         write the report again from a day's event log
+  fault-test up                           run one sender and a few receivers for manual tests
+  fault-test compare [DAY.toml ...]       play a day in plain form, in each CloudEvents form and mixed, and report differences
+  fault-test teach [DAY.toml]             play a day on which a sender joins, with and without what its peers teach it, over several seeds
+  fault-test fleet                        change the fleet's policy while links, processes and folders fail, over many seeds
+  fault-test selftest                     check that wrong senders, one for each rule, are detected
+  fault-test cost [LISTED/BUSY/HELD ...]  measure what a message costs the sender's process, compared with a plain proxy
+  fault-test measure                      measure how much the kit itself can send, serve and judge on this machine
 
 Exit codes: 0 all tried rules pass, 1 a rule failed, 2 bad script or flag, 3 inconclusive: the kit ran late.
-'fault-test COMMAND -h' tells the flags. The operators' page is docs/operate/rehearsal.md.
+'fault-test COMMAND -h' lists the flags. The operators' page is docs/operate/rehearsal.md.
 The former name of this program, rehearse, works for one more release.
 `
 
@@ -59,7 +59,7 @@
 			fmt.Fprint(out, usage)
 			return 0
 		}
-		fmt.Fprintf(errs, "%s: there is no command %q\n\n%s", programName, args[0], usage)
+		fmt.Fprintf(errs, "%s: unknown command %q\n\n%s", programName, args[0], usage)
 		return judge.ExitScript
 	}
 	code, err := run(ctx, args[1:], out, errs)
--- a/internal/faulttest/cli/main_test.go
+++ b/internal/faulttest/cli/main_test.go
@@ -22,7 +22,7 @@
 	"saffronyard.example/saffronyard/internal/faulttest/judge"
 )
 
-// programs are built once for all tests: the sender and this command, as a user has them.
+// programs are the sender and the fault-test command, built once for all tests, so that tests run them as a user does.
 var programs struct {
 	once             sync.Once
 	sender, rehearse string
@@ -35,7 +35,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	os.Setenv("TMPDIR", dir) // what the tests leave goes with it
+	os.Setenv("TMPDIR", dir) // removes what the tests leave behind
 	code := m.Run()
 	os.RemoveAll(dir)
 	os.Exit(code)
@@ -65,14 +65,14 @@
 	return code, o.String(), e.String()
 }
 
-// slowMachine is the grace of days that a machine plays which does much else: their verdict is not to hang on it.
+// slowMachine is the grace of days that are played on a busy machine, whose load must not change their verdict.
 const slowMachine = 300 * time.Millisecond
 
-// maxDayAttempts is how often such a day is played at most while the kit itself runs late: those days decide nothing. A day that
-// decides is not played again, whatever it says.
+// maxDayAttempts is the maximum number of times that a day is played while it is inconclusive because the kit ran late. A conclusive
+// day is not repeated, whatever its verdict is.
 const maxDayAttempts = 8
 
-// Each wrong sender is found out by the rule that it breaks, and by no other; the right one passes.
+// The judge reports each wrong sender for the rule that it breaks and for no other rule, and passes the right sender.
 func TestSelftest(t *testing.T) {
 	_, rehearse := built(t)
 	var out bytes.Buffer
@@ -82,11 +82,12 @@
 		t.Fatalf("exit %d: %v", code, err)
 	}
 	if n := strings.Count(out.String(), "found out"); n != 6 || strings.Count(out.String(), "green") != 1 {
-		t.Errorf("%d wrong senders found out", n)
+		t.Errorf("%d wrong senders detected, want 6 and one passing sender", n)
 	}
 }
 
-// A self-test that misses a fault ends non-zero: here the judge hears of senders whose faults were swapped.
+// A trial whose verdict does not match the sender's fault counts as missed: an undetected fault, a violation of another rule, a failed
+// right sender or a rule without a chance.
 func TestSelftestThatMisses(t *testing.T) {
 	result := func(broken int) judge.Report {
 		var r judge.Report
@@ -116,7 +117,8 @@
 	}
 }
 
-// Two short days against the real sender: one with each brief trouble that is tried fast, one with restarts.
+// Two short days against the real sender pass: one with brief faults of receivers, one with restarts of senders. The verdict and the
+// report made again from the event log are the same.
 func TestShortDays(t *testing.T) {
 	sender, _ := built(t)
 	dir := t.TempDir()
@@ -128,7 +130,7 @@
 	}
 	for _, rule := range []string{"1", "2", "3", "4", "5", "6"} {
 		if !regexp.MustCompile(`(?m)^  ` + rule + `  .* PASS `).MatchString(out) {
-			t.Errorf("rule %s has not passed in either day", rule)
+			t.Errorf("rule %s did not pass on either day", rule)
 		}
 	}
 	if !strings.Contains(out, "1 receivers woke with a burst; the last to be served as usual, r4, was after") {
@@ -137,7 +139,7 @@
 	for _, name := range []string{"troubles", "senders"} {
 		log := strings.Replace(log, ".jsonl", "-"+name+".jsonl", 1)
 		if code, again, _ := call(t, "judge", log); code != judge.ExitPass || !strings.Contains(out, strings.SplitN(again, "worst 10 s", 2)[0]) {
-			t.Errorf("judged again from its log, %s ends with %d:\n%s", name, code, again)
+			t.Errorf("judge on the event log of %s: exit %d:\n%s", name, code, again)
 		}
 		page := strings.Replace(page, ".html", "-"+name+".html", 1)
 		was, err := os.ReadFile(page)
@@ -145,16 +147,16 @@
 			t.Fatal(err)
 		}
 		if code, _, _ := call(t, "report", log, page+"2"); code != 0 {
-			t.Errorf("report ends with %d", code)
+			t.Errorf("report: exit %d", code)
 		}
 		if is, err := os.ReadFile(page + "2"); err != nil || !bytes.Equal(is, was) {
-			t.Errorf("the report made again of %s differs: %v", name, err)
+			t.Errorf("the report made again from the event log of %s differs: %v", name, err)
 		}
 		noChildren(t, log)
 	}
 }
 
-// noChildren wants every process of a day's log to have ended.
+// noChildren checks that every process that a day's event log records as started has ended.
 func noChildren(t *testing.T, path string) {
 	t.Helper()
 	f, err := os.Open(path)
@@ -173,15 +175,16 @@
 			starts++
 		case eventlog.Exit:
 			exits++
-		default: // the other events tell nothing here
+		default: // other events say nothing about processes
 		}
 	}
 	if starts == 0 || starts != exits {
-		t.Errorf("%s: %d processes began and %d ended", path, starts, exits)
+		t.Errorf("%s: %d processes started and %d ended", path, starts, exits)
 	}
 }
 
-// A sender that ends by itself is a broken rule, not a day that passes; one that is never ready is no day.
+// A day whose sender exits before it is ready is inconclusive, and a sender program that does not exist is a bad argument: neither
+// must count as a pass.
 func TestSenderThatCannotRun(t *testing.T) {
 	code, _, errs := call(t, "run", "-quiet", "-sender", "/bin/false", "testdata/troubles.toml")
 	if code != judge.ExitInconclusive || !strings.Contains(errs, "before it was ready") {
@@ -208,12 +211,12 @@
 		says string
 	}{
 		{nil, "fault-test plays a day"},
-		{[]string{"dance"}, `no command "dance"`},
+		{[]string{"dance"}, `unknown command "dance"`},
 		{[]string{"run", "-nosuch"}, "nosuch"},
 		{[]string{"run", bad}, bad + ":3: unknown key"},
 		{[]string{"run", over}, "laid over a day"},
 		{[]string{"run", filepath.Join(dir, "none.toml")}, "none.toml"},
-		{[]string{"judge"}, "1 arguments are wanted"},
+		{[]string{"judge"}, "want 1 arguments, got 0"},
 		{[]string{"judge", torn}, torn + ":2: not an event"},
 		{[]string{"list", dir + "/nowhere"}, "no scripts in"},
 		{[]string{"up", bad}, bad + ":3"},
@@ -250,7 +253,7 @@
 	}
 }
 
-// ^C ends a day and its processes, and what happened by then is in the log.
+// SIGINT ends a day and its processes, and the event log has the events up to then.
 func TestInterrupted(t *testing.T) {
 	sender, rehearse := built(t)
 	log := filepath.Join(t.TempDir(), "events.jsonl")
@@ -269,11 +272,11 @@
 	}
 	noChildren(t, log)
 	if code, out, _ := call(t, "judge", log); code != judge.ExitInconclusive || !strings.Contains(out, "the log ends before the day does") {
-		t.Errorf("judged, a broken day ends with %d: %s", code, out)
+		t.Errorf("judge on the log of an interrupted day: exit %d: %s", code, out)
 	}
 }
 
-// A kit that is killed leaves no sender behind.
+// When the kit is killed with SIGKILL, its senders end too.
 func TestKilledKit(t *testing.T) {
 	sender, rehearse := built(t)
 	logs := t.TempDir()
@@ -294,7 +297,7 @@
 	if err := json.Unmarshal(raw, &c); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the sender still serves", func() bool {
+	await(t, "the sender still runs after the kit was killed", func() bool {
 		resp, err := http.Get("http://" + c.Listen + "/-/ready")
 		if err == nil {
 			resp.Body.Close()
@@ -303,7 +306,7 @@
 	})
 }
 
-// 'up' tells where all is and how to hand a message in; one handed in that way arrives and is shown.
+// The up command prints the addresses and a curl command to hand a message in. A message that is handed in that way arrives and is printed.
 func TestUp(t *testing.T) {
 	sender, rehearse := built(t)
 	cmd := exec.Command(rehearse, "up", "-sender", sender, "-for", "60s")
@@ -319,7 +322,7 @@
 	addr := regexp.MustCompile(`-d hello http://(\S+)/api`).FindStringSubmatch(out.String())
 	headers := regexp.MustCompile(`-H "([\w-]+): ([^"]*)"`).FindAllStringSubmatch(out.String(), -1)
 	if addr == nil || len(headers) != 6 {
-		t.Fatalf("the line is not what it was: %s", out.String())
+		t.Fatalf("the curl command has no address or not 6 headers: %s", out.String())
 	}
 	r, err := http.NewRequest(http.MethodPost, "http://"+addr[1]+"/api", strings.NewReader("hello"))
 	if err != nil {
@@ -335,9 +338,9 @@
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusAccepted {
-		t.Fatalf("answered %s", resp.Status)
+		t.Fatalf("the message was answered %s, want 202", resp.Status)
 	}
-	await(t, "it has not arrived", func() bool { return strings.Contains(out.String(), "message by-hand ended there: 200") })
+	await(t, "the message has not arrived", func() bool { return strings.Contains(out.String(), "message by-hand ended there: 200") })
 	cmd.Process.Signal(syscall.SIGINT)
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("%v: %s", err, out.String())
@@ -370,8 +373,8 @@
 	}
 }
 
-// A day in all forms of CloudEvents, mixed, with troubles, a kill and a restart: every rule holds, and every event
-// arrives as its client sent it.
+// On a day with all CloudEvents formats mixed, faults, a kill and a restart, every rule holds and every event arrives as its client
+// sent it.
 func TestShortDayOfEvents(t *testing.T) {
 	sender, _ := built(t)
 	log := filepath.Join(t.TempDir(), "events.jsonl")
@@ -383,7 +386,7 @@
 	noChildren(t, log)
 }
 
-// What differs is found: answers, worth and times that no plain run has.
+// outside reports answers, worth and delivery times that lie outside the spread of the plain runs, and nothing else.
 func TestOutside(t *testing.T) {
 	run := func(share, p50 float64, fates ...string) *played {
 		p := &played{variant: variant{name: "x"}, first: map[string]string{}}
--- a/internal/faulttest/cli/measure.go
+++ b/internal/faulttest/cli/measure.go
@@ -15,7 +15,7 @@
 	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
-// measureDay is a calm day whose receivers are never what holds it up.
+// measureDay is a day without faults whose receivers have enough capacity never to be the bottleneck.
 const measureDay = `
 [day]
 seconds = %d
@@ -34,21 +34,22 @@
 headroom = [3.0, 3.0]
 `
 
-// maxSlip is the lateness at p99 up to which the kit counts as keeping its schedule.
+// maxSlip is the maximum lateness at p99 with which the kit counts as keeping its schedule.
 const maxSlip = 5 * time.Millisecond
 
-// measure plays calm days at rising rates until the kit's own schedule slips, and tells what each costs.
+// measure plays days without faults at rising rates, until the kit no longer keeps its schedule or a rule fails, and prints
+// what each rate costs.
 func measure(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
 	f := flags("measure", errs)
 	program := f.String("sender", "", "the sender's `program`; by default the one beside this program, or built from the sources")
 	first := f.Int("from", 100, "first `rate`, messages a second")
-	last := f.Int("to", 6400, "last `rate`; each is twice the one before")
-	seconds := f.Int("seconds", 8, "arrivals of each day")
+	last := f.Int("to", 6400, "last `rate`; each rate is twice the one before")
+	seconds := f.Int("seconds", 8, "duration of the arrivals of each day")
 	if err := parse(f, args); err != nil {
 		return 0, err
 	}
 	if *first < 1 || *last < *first || *seconds < 2 {
-		return judge.ExitScript, badArgument("measure: from %d to %d, %d seconds: from is 1 at least, to not less, seconds 2 at least", *first, *last, *seconds)
+		return judge.ExitScript, badArgument("measure: from %d to %d, %d seconds: -from must be at least 1, -to at least -from, -seconds at least 2", *first, *last, *seconds)
 	}
 	path, err := sender(ctx, *program, errs)
 	if err != nil {
@@ -73,22 +74,22 @@
 	return 0, nil
 }
 
-// rateKept is the word for a rate at which the kit kept its schedule and the sender the rules.
+// rateKept is the verdict on a rate at which the kit kept its schedule and the sender kept the rules.
 const rateKept = "kept"
 
-// measuredRate is what a day at one rate showed.
+// measuredRate is the result of a day at one rate.
 type measuredRate struct {
-	code    int // exit code, with an error only
+	code    int // exit code; set only with an error
 	seconds int // of arrivals
 	summary report.Summary
 	use     day.Usage
-	judged  time.Duration // that the judge took
-	failed  bool          // a rule
-	p99     int64         // microseconds: the kit's lateness
-	most    int64         // microseconds: likewise
+	judged  time.Duration // time that the judge took
+	failed  bool          // a rule failed
+	p99     int64         // the kit's lateness, in microseconds
+	most    int64         // the kit's maximum lateness, in microseconds
 }
 
-// measureRate plays a calm day at a rate, in messages a second, and judges it.
+// measureRate plays a day without faults at a rate, in messages a second, and judges it.
 func measureRate(ctx context.Context, command []string, folder string, seconds, rate int) (measuredRate, error) {
 	s, err := script.Parse("measure.toml", []byte(fmt.Sprintf(measureDay, seconds, rate)))
 	if err != nil {
@@ -128,7 +129,7 @@
 	return m, nil
 }
 
-// word is the verdict on a rate.
+// word returns the verdict on a rate.
 func (m measuredRate) word() string {
 	switch {
 	case time.Duration(m.p99)*time.Microsecond > maxSlip:
--- a/internal/faulttest/cli/run.go
+++ b/internal/faulttest/cli/run.go
@@ -20,7 +20,7 @@
 	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
-// builtIn is the day that is played without a script: one receiver hangs.
+// builtIn is the day that is played if no script is given: one receiver hangs.
 const builtIn = `
 about = "one receiver hangs for six seconds"
 [day]
@@ -32,7 +32,7 @@
 who = {name = "r1"}
 `
 
-// module is the first line of the go.mod beside which the senders' sources lie.
+// module is the start of the go.mod file in the root of the source tree.
 const module = "module saffronyard.example/saffronyard"
 
 // flags makes a flag set that reports to errs.
@@ -49,12 +49,12 @@
 	return nil
 }
 
-// sender finds the sender's program: the one named, the one beside this program, or one built from the
-// sources below the current folder.
+// sender finds the sender's program: the one that is named, else the one beside this program, else one that it builds
+// from the source tree that contains the current folder.
 func sender(ctx context.Context, named string, errs io.Writer) (string, error) {
 	if named != "" {
 		if _, err := os.Stat(named); err != nil {
-			return "", fmt.Errorf("the sender: %w", err)
+			return "", fmt.Errorf("sender program: %w", err)
 		}
 		return filepath.Abs(named)
 	}
@@ -82,7 +82,7 @@
 	return path, nil
 }
 
-// sources finds the repository from the current folder upwards.
+// sources finds the root of the source tree: the current folder or one of its parents.
 func sources() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
@@ -101,7 +101,8 @@
 	}
 }
 
-// days puts scripts together: each with [day] is a day, one without is laid over the day before it.
+// days combines scripts into days: a script with [day] starts a day, and a script without it is an overlay for the day before it.
+// With together, all scripts are overlays for the first one.
 func days(paths []string, together bool) ([]*script.Script, error) {
 	if len(paths) == 0 {
 		s, err := script.Parse("built-in.toml", []byte(builtIn))
@@ -146,20 +147,20 @@
 	attempts                int
 }
 
-// register adds the flags to the command's.
+// register adds the flags to the command's flag set.
 func (o *runFlags) register(f *flag.FlagSet) {
 	f.StringVar(&o.sender, "sender", "", "the sender's `program`; by default the one beside this program, or built from the sources")
 	f.StringVar(&o.log, "log", "", "keep the event log in this `file`; by default in a new temporary folder")
 	f.StringVar(&o.html, "report", "", "write the report to this `file`, as HTML")
-	f.StringVar(&o.logs, "logs", "", "keep the senders' files and logs in this `folder`; by default a new temporary one")
-	f.Uint64Var(&o.seed, "seed", 0, "play with this `seed` in place of the script's")
-	f.BoolVar(&o.together, "together", false, "lay all files over the first one, also those that have a [day]")
-	f.BoolVar(&o.plan, "plan", false, "print what would happen, and play nothing")
-	f.BoolVar(&o.quiet, "quiet", false, "no progress line")
-	f.IntVar(&o.attempts, "tries", 1, "play an inconclusive day again, so many `times` in all")
+	f.StringVar(&o.logs, "logs", "", "keep the senders' files and logs in this `folder`; by default a new temporary folder")
+	f.Uint64Var(&o.seed, "seed", 0, "play with this `seed` instead of the script's")
+	f.BoolVar(&o.together, "together", false, "lay all files over the first one, including those that have a [day]")
+	f.BoolVar(&o.plan, "plan", false, "print the plan without playing it")
+	f.BoolVar(&o.quiet, "quiet", false, "print no progress line")
+	f.IntVar(&o.attempts, "tries", 1, "play an inconclusive day again, up to this many `times` in total")
 }
 
-// plans makes the plans of the days that scripts describe.
+// plans makes the plan of each day that the scripts describe.
 func (o *runFlags) plans(paths []string) ([]*script.Plan, error) {
 	all, err := days(paths, o.together)
 	if err != nil {
@@ -201,7 +202,7 @@
 		return judge.ExitScript, err
 	}
 	if len(plans) > 1 && (o.log != "" || o.html != "") {
-		// One file a day: the day's name goes before the ending.
+		// Each day gets files of its own, with the day's name before the extension.
 		o.log, o.html = numbered(o.log), numbered(o.html)
 	}
 	var codes []int
@@ -225,7 +226,7 @@
 	return worst(codes), nil
 }
 
-// worst is the code of several days: a failed rule weighs most, then an inconclusive day.
+// worst returns the exit code for several days: a failed rule takes precedence over an inconclusive day.
 func worst(codes []int) int {
 	for _, c := range []int{judge.ExitFail, judge.ExitInconclusive} {
 		if slices.Contains(codes, c) {
@@ -284,7 +285,7 @@
 	}
 	file, err := os.Create(logPath)
 	if err != nil {
-		return judge.ExitScript, fmt.Errorf("the event log: %w", err)
+		return judge.ExitScript, fmt.Errorf("create the event log: %w", err)
 	}
 	defer file.Close()
 	bar := &progress{out: errs, length: p.Day.Seconds, on: !o.quiet}
@@ -390,10 +391,10 @@
 	return 0, nil
 }
 
-// read reads the log that the first of n arguments names.
+// read checks that there are n arguments and reads the event log that the first one names.
 func read(args []string, n int, errs io.Writer) ([]eventlog.Event, error) {
 	if len(args) != n {
-		return nil, badArgument("%d arguments are wanted, %d given", n, len(args))
+		return nil, badArgument("want %d arguments, got %d", n, len(args))
 	}
 	file, err := os.Open(args[0])
 	if err != nil {
@@ -402,12 +403,12 @@
 	defer file.Close()
 	events, torn, err := eventlog.Read(file, args[0])
 	if torn {
-		fmt.Fprintln(errs, "the last line of", args[0], "is torn and left out")
+		fmt.Fprintln(errs, "the last line of", args[0], "is incomplete and was skipped")
 	}
 	return events, err
 }
 
-// progress is the line that tells how a day goes.
+// progress prints a line with the progress of a day.
 type progress struct {
 	out    io.Writer
 	length float64
--- a/internal/faulttest/cli/seeds.go
+++ b/internal/faulttest/cli/seeds.go
@@ -17,31 +17,31 @@
 // maxSenders bounds the senders of a day.
 const maxSenders = 100
 
-// seedFlags are the flags that commands share which play days of many seeds.
+// seedFlags are the flags shared by the commands that play one day per seed.
 type seedFlags struct {
 	program, logs string
-	seed          uint64 // the first one
-	runs, side    int    // days in all, and at a time
+	seed          uint64 // the first seed
+	runs, side    int    // number of days, and how many of them run at the same time
 }
 
-// register adds the flags to a command's.
+// register adds the flags to a command's flag set.
 func (s *seedFlags) register(f *flag.FlagSet) {
 	f.StringVar(&s.program, "sender", "", "the sender's `program`; by default the one beside this program, or built from the sources")
-	f.StringVar(&s.logs, "logs", "", "keep the senders' files and logs in this `folder`; by default a new temporary one")
+	f.StringVar(&s.logs, "logs", "", "keep the senders' files and logs in this `folder`; by default a new temporary folder")
 	f.Uint64Var(&s.seed, "seed", 1, "the first `seed`")
-	f.IntVar(&s.runs, "runs", 1, "so many seeds")
-	f.IntVar(&s.side, "side", 2, "so many days side by side")
+	f.IntVar(&s.runs, "runs", 1, "number of seeds")
+	f.IntVar(&s.side, "side", 2, "number of days that are played at the same time")
 }
 
-// check reports flags out of range. The message is the same for all commands.
+// check reports flags out of range; sound is whether the command's own flags are in range. The message is the same for all commands.
 func (s *seedFlags) check(sound bool) error {
 	if s.runs < 1 || s.side < 1 || !sound {
-		return fmt.Errorf("%w: runs and side are over 0, senders at most 100, seconds 2 at least", errUsage)
+		return fmt.Errorf("%w: -runs and -side must be over 0, -senders at most 100, -seconds at least 2", errUsage)
 	}
 	return nil
 }
 
-// prepare finds or builds the sender's program and makes the folder for logs. An error comes with its exit code.
+// prepare finds or builds the sender's program and creates the folder for logs. If it fails, it also returns the exit code.
 func (s *seedFlags) prepare(ctx context.Context, name string, errs io.Writer) (command []string, code int, err error) {
 	path, err := sender(ctx, s.program, errs)
 	if err != nil {
@@ -55,12 +55,12 @@
 	return []string{path}, 0, nil
 }
 
-// folder is where a seed's files go.
+// folder returns the folder for a seed's files.
 func (s *seedFlags) folder(seed uint64) string {
 	return filepath.Join(s.logs, fmt.Sprintf("seed-%d", seed))
 }
 
-// exit is how a command ends that has counted its failed days.
+// exit returns the exit code of a command that counted the given number of failed days.
 func exit(ctx context.Context, failed int) (int, error) {
 	if err := ctx.Err(); err != nil {
 		return 0, err
@@ -71,7 +71,7 @@
 	return 0, nil
 }
 
-// verdictWord is how a day's line says whether it kept the rules.
+// verdictWord returns the word for a day's verdict in the printed result.
 func verdictWord(broken []string) string {
 	if len(broken) > 0 {
 		return "BROKEN"
@@ -79,7 +79,7 @@
 	return "kept"
 }
 
-// overSeeds plays so many seeds, some side by side, until ctx ends.
+// overSeeds plays the given number of seeds, up to side of them at the same time, until ctx ends.
 func overSeeds(ctx context.Context, first uint64, runs, side int, play func(seed uint64)) {
 	seeds := make(chan uint64)
 	var work sync.WaitGroup
@@ -102,7 +102,7 @@
 	work.Wait()
 }
 
-// manySenders are how many senders and voters a seed's day has, unless they are stated.
+// manySenders returns the numbers of senders and voters of a seed's day. A number that is not 0 is used as given.
 func manySenders(seed uint64, senders, voters int, sizes ...int) (int, int) {
 	if senders == 0 {
 		senders = sizes[seed%uint64(len(sizes))]
@@ -116,7 +116,7 @@
 	return senders, voters
 }
 
-// spread is the middle, the 99th of a hundred and the longest of some times.
+// spread formats the median, the 99th percentile and the maximum of durations, and sorts them.
 func spread(all []time.Duration) string {
 	if len(all) == 0 {
 		return "none"
--- a/internal/faulttest/cli/selftest.go
+++ b/internal/faulttest/cli/selftest.go
@@ -15,10 +15,10 @@
 	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
-// mutantCommand starts a wrong sender: the self-test starts this program again with it.
+// mutantCommand is the subcommand that runs a sender with a deliberate fault. The self-test starts this program again with it.
 const mutantCommand = "wrong-sender"
 
-// selfDay gives each rule its chance, on a receiver of its own, so that a fault in one shows in that one only.
+// selfDay has a situation in which each rule can be broken, on separate receivers, so that a fault breaks one rule only.
 const selfDay = `
 about = "the self-test's day: a chance to break each rule"
 [day]
@@ -43,13 +43,13 @@
 name = "balance"
 ordered = true
 keys = 2
-# Rule 4: a receiver that is out, with much to come.
+# Rule 4: a receiver that is out, with many messages for it.
 [[trouble]]
 what = "refuse"
 at = "1s"
 for = "4500ms"
 who = {name = "r0"}
-# Rules 2 and 5: calls that may have run, and slow ones that others overtake.
+# Rules 2 and 5: calls that may have been executed, and slow calls that later calls overtake.
 [[trouble]]
 what = "reset"
 share = 0.35
@@ -76,7 +76,7 @@
 at = "2s"
 for = "4s"
 who = {name = "r3"}
-# Rule 1: each sender is killed with much held.
+# Rule 1: each sender is killed or restarted while it holds many messages.
 [[sender]]
 do = "kill"
 which = "n0"
@@ -89,7 +89,7 @@
 
 func runMutant(ctx context.Context, args []string, _, _ io.Writer) (int, error) {
 	if len(args) != 1 {
-		return judge.ExitScript, badArgument("%s FAULT, one of %v", mutantCommand, mutant.Faults())
+		return judge.ExitScript, badArgument("%s: want one argument FAULT, one of %v", mutantCommand, mutant.Faults())
 	}
 	if err := mutant.Run(ctx, mutant.Fault(args[0]), os.Getenv); err != nil {
 		return judge.ExitScript, err
@@ -97,16 +97,16 @@
 	return 0, nil
 }
 
-// trial is one sender's day in the self-test.
+// trial is the result of the self-test's day with one sender.
 type trial struct {
 	fault   mutant.Fault
-	rule    int // that it breaks, 0 for none
+	rule    int // the rule that the sender breaks; 0 for none
 	verdict judge.Report
 	folder  string
 	err     error
 }
 
-// missed is what the judge did not find out, or found where nothing was; "" if it was right.
+// missed describes the first wrong verdict: a rule that was not tried, an undetected violation or a false one. It returns "" if there is none.
 func (t trial) missed() string {
 	for _, r := range t.verdict.Results {
 		switch {
@@ -121,7 +121,7 @@
 	return ""
 }
 
-// play plays the self-test's day with one sender, again if it was inconclusive.
+// play plays the self-test's day with one sender, and repeats an inconclusive day up to tries times in total.
 func (t *trial) play(ctx context.Context, self, folder string, tries int, grace time.Duration) {
 	s, err := script.Parse("selftest.toml", []byte(selfDay))
 	if err != nil {
@@ -158,14 +158,14 @@
 
 func selftest(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
 	f := flags("selftest", errs)
-	atOnce := f.Int("at-once", 4, "so many `days` at the same time")
-	tries := f.Int("tries", 3, "an inconclusive day is played again, so many `times` in all")
-	grace := f.Duration("grace", 50*time.Millisecond, "each limit is so much longer, and the kit may run so `late`; to 400ms, on slow machines")
+	atOnce := f.Int("at-once", 4, "number of `days` that are played at the same time")
+	tries := f.Int("tries", 3, "play an inconclusive day again, up to this many `times` in total")
+	grace := f.Duration("grace", 50*time.Millisecond, "tolerance added to each time limit, and the `lateness` allowed for the kit; up to 400ms on slow machines")
 	if err := parse(f, args); err != nil {
 		return 0, err
 	}
 	if *grace < 50*time.Millisecond || *grace > 400*time.Millisecond {
-		return judge.ExitScript, badArgument("selftest: -grace %v is not from 50ms to 400ms", *grace)
+		return judge.ExitScript, badArgument("selftest: -grace %v is outside 50ms to 400ms", *grace)
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -174,7 +174,7 @@
 	return selftestWith(ctx, self, max(1, *atOnce), max(1, *tries), *grace, out)
 }
 
-// selftestWith plays all wrong senders, started by self, and prints the table.
+// selftestWith plays the day with the right sender and each wrong one, all of them run by the program self, and prints the table.
 func selftestWith(ctx context.Context, self string, atOnce, tries int, grace time.Duration, out io.Writer) (int, error) {
 	folder, err := day.Folder("selftest")
 	if err != nil {
--- a/internal/faulttest/cli/teach.go
+++ b/internal/faulttest/cli/teach.go
@@ -16,18 +16,18 @@
 	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
-// firstSpan is how long a sender that joins counts as new.
+// firstSpan is the period after a sender joins in which its calls are counted.
 const firstSpan = 30 * time.Second
 
-// newcomer is what one that joined did in its first 30 s.
+// newcomer is the result of a sender that joined, over its first 30 s.
 type newcomer struct {
-	calls, failed int // failed: not served: an error, a refusal, or no answer
+	calls, failed int // failed calls ended with an error, a refusal or no answer
 	delivered     float64
-	broken        []int // rules
+	broken        []int // numbers of the rules that were broken
 	late          string
 }
 
-// newcomerOf counts the calls of the last sender to become ready.
+// newcomerOf counts the calls of the last sender whose first process became ready during the day.
 func newcomerOf(events []eventlog.Event, verdict judge.Report) (newcomer, error) {
 	n := newcomer{late: verdict.Late, delivered: report.Make(events).ServedFraction}
 	for _, r := range verdict.Results {
@@ -60,14 +60,14 @@
 	return n, nil
 }
 
-// teach plays a day on which a sender joins, with and without what the day's features teach it, a pair for each seed,
-// and gives the ratio of failed calls in its first 30 s with an interval of confidence by the bootstrap.
+// teach plays a day on which a sender joins, for each seed once with and once without the day's features by which its peers teach it.
+// It prints the ratio of failed calls in the sender's first 30 s with a bootstrap confidence interval.
 func teach(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
 	f := flags("teach [DAY.toml]", errs)
 	program := f.String("sender", "", "the sender's `program`; by default the one beside this program, or built from the sources")
-	seeds := f.Int("seeds", 20, "so many pairs, by seeds from 1 on")
+	seeds := f.Int("seeds", 20, "number of pairs, each with the next seed")
 	from := f.Int("from", 1, "the first seed")
-	jobs := f.Int("jobs", 1, "pairs that are played side by side")
+	jobs := f.Int("jobs", 1, "number of pairs that are played at the same time")
 	if err := parse(f, args); err != nil {
 		return 0, err
 	}
@@ -76,14 +76,14 @@
 		names = []string{"rehearsals/join.toml"}
 	}
 	if len(names) > 1 || *seeds < 1 || *jobs < 1 || *from < 1 {
-		return judge.ExitScript, badArgument("teach: one day, and at least one seed and job")
+		return judge.ExitScript, badArgument("teach: want at most one day, and -seeds, -from and -jobs of at least 1")
 	}
 	all, err := days(names, false)
 	if err != nil {
 		return judge.ExitScript, err
 	}
 	if all[0].Day.Features == "" {
-		return judge.ExitScript, badArgument("teach: %s has no features that could teach", names[0])
+		return judge.ExitScript, badArgument("teach: %s sets no features by which the peers could teach a sender", names[0])
 	}
 	path, err := sender(ctx, *program, errs)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return printPairs(out, *from, pairs, failures)
 }
 
-// printPairs prints a row for each pair and the ratios over all that are sound.
+// printPairs prints a row for each pair and the ratios over all pairs in which the kit did not run late.
 func printPairs(out io.Writer, from int, pairs [][2]newcomer, failures []error) (int, error) {
 	code := judge.ExitPass
 	fmt.Fprintf(out, "%-5s %18s %18s %8s %17s  %s\n", "seed", "cold failed/calls", "taught failed/calls", "ratio", "worth cold/taught", "rules broken")
@@ -157,7 +157,8 @@
 	return newcomerOf(events, verdict)
 }
 
-// ratioOf is the share of calls that failed, taught over cold.
+// ratioOf returns the fraction of calls that failed for the taught senders, divided by that for the cold ones. It returns 1 if no
+// call of a cold sender failed or the taught senders made no calls.
 func ratioOf(pairs [][2]newcomer) float64 {
 	var failed, calls [2]float64
 	for _, p := range pairs {
@@ -182,7 +183,7 @@
 	return (all[(n-1)/2] + all[n/2]) / 2
 }
 
-// interval is where the median of the ratios lies in 95% of resamples of the pairs.
+// interval returns the bounds within which the median ratio lies in 95% of the bootstrap resamples of the pairs.
 func interval(pairs [][2]newcomer) (low, high float64) {
 	const samples = 2000
 	rng := rand.New(rand.NewPCG(1, 2))
--- a/internal/faulttest/cli/teach_test.go
+++ b/internal/faulttest/cli/teach_test.go
@@ -7,7 +7,8 @@
 	"saffronyard.example/saffronyard/internal/faulttest/judge"
 )
 
-// What one that joined did in its first 30 s is counted by its own calls, of which those without an answer have failed.
+// newcomerOf counts the calls that the joined sender itself makes in its first 30 s as a ready sender; a call without an answer
+// counts as failed.
 func TestNewcomer(t *testing.T) {
 	const s = 1_000_000
 	events := []eventlog.Event{
@@ -20,15 +21,15 @@
 		{T: 4 * s, Kind: eventlog.Done, Call: 3, Status: 503},
 		{T: 5 * s, Kind: eventlog.Call, Sender: "n1", Call: 4},
 		{T: 6 * s, Kind: eventlog.Done, Call: 4, Status: 429},
-		{T: 7 * s, Kind: eventlog.Call, Sender: "n1", Call: 5}, // and no answer
+		{T: 7 * s, Kind: eventlog.Call, Sender: "n1", Call: 5}, // never answered
 		{T: 32 * s, Kind: eventlog.Call, Sender: "n1", Call: 6},
 	}
 	n, err := newcomerOf(events, judge.Report{})
 	if err != nil || n.calls != 3 || n.failed != 2 {
-		t.Errorf("%+v, %v", n, err)
+		t.Errorf("newcomerOf: %+v, %v; want 3 calls, 2 failed", n, err)
 	}
 	if _, err := newcomerOf(events[:1], judge.Report{}); err == nil {
-		t.Error("a day on which nobody joins is counted")
+		t.Error("no error for a day on which no sender joins")
 	}
 }
 
@@ -38,12 +39,12 @@
 	}
 	pairs := [][2]newcomer{pair(40, 10), pair(40, 20), pair(40, 40)}
 	if m, all := medianRatio(pairs), ratioOf(pairs); m != 0.5 || all < 0.58 || all > 0.59 {
-		t.Errorf("median %v, of all %v", m, all)
+		t.Errorf("median ratio %v, ratio of all calls %v", m, all)
 	}
 	if low, high := interval(pairs); low != 0.25 || high != 1 {
-		t.Errorf("from %v to %v", low, high)
+		t.Errorf("interval from %v to %v, want 0.25 to 1", low, high)
 	}
 	if r := ratioOf([][2]newcomer{pair(0, 0)}); r != 1 {
-		t.Errorf("of no failures %v", r)
+		t.Errorf("ratio without failures is %v, want 1", r)
 	}
 }
--- a/internal/faulttest/cli/up.go
+++ b/internal/faulttest/cli/up.go
@@ -15,7 +15,7 @@
 	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
-// upDay is what 'rehearse up' keeps running: no traffic but that of the user's own hands.
+// upDay is the day that the up command keeps running by default: it has no traffic except what the user sends by hand.
 const upDay = `
 about = "one sender, three receivers, no traffic"
 [day]
@@ -36,11 +36,11 @@
 deadline = "28s"
 `
 
-// up keeps one sender and a few receivers running until it is interrupted, and tells what arrives.
+// up keeps one sender and a few receivers running until it is interrupted, and prints the messages that arrive.
 func up(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
 	f := flags("up [DAY.toml]", errs)
 	program := f.String("sender", "", "the sender's `program`; by default the one beside this program, or built from the sources")
-	limit := f.Duration("for", 0, "end by itself after this `time`; 0: only when interrupted")
+	limit := f.Duration("for", 0, "stop after this `time`; 0: only when interrupted")
 	if err := parse(f, args); err != nil {
 		return 0, err
 	}
@@ -94,7 +94,7 @@
 	return 0, nil
 }
 
-// shown prints what arrives where.
+// shown prints events: where messages arrive and how they end, faults and process exits.
 type shown struct {
 	mu  sync.Mutex
 	out io.Writer
@@ -125,6 +125,6 @@
 		s.print(fmt.Sprintf("%8.3f s  the kit failed: %s", at.Seconds(), e.Detail))
 	case eventlog.Exit:
 		s.print(fmt.Sprintf("%8.3f s  sender %s ended (code %d)", at.Seconds(), e.Sender, e.Status))
-	default: // the other events tell nothing here
+	default: // other events are not printed
 	}
 }
--- a/internal/faulttest/fault/fault.go
+++ b/internal/faulttest/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault says what befalls a receiver when several troubles run at once. It does no I/O and knows
-// no clock; the table in docs/design/rehearsal.md states each pair.
+// Package fault defines the faults of a receiver and what several faults do at the same time. It does no I/O and uses no clock.
+// The table in docs/design/rehearsal.md defines each pair of faults.
 package fault
 
 import (
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Kind is a trouble.
+// Kind is a kind of fault.
 type Kind uint8
 
-// The troubles, in the order in which a call meets those that can stop it.
+// The kinds of fault. Those that can stop a call are in the order in which they apply to it.
 const (
-	Vanish    Kind = iota // the machine is gone: connections stay open and silent, new ones never come up
+	Vanish    Kind = iota // the machine is gone: connections stay open without any traffic, and new ones are never established
 	Shut                  // connections are refused
-	Hang                  // calls are taken and none is answered
+	Hang                  // calls are accepted and never answered
 	CloseIdle             // an idle connection is closed as a request begins on it
 	Wait                  // calls are answered 429 with a wait
 	Refuse                // calls are answered 503
 	Fail                  // a share of the calls is answered 500 at once
 	Slow                  // service takes a factor longer
-	Reset                 // a share of the served calls ends by a reset in place of the answer
+	Reset                 // a share of the served calls ends with a reset of the connection instead of an answer
 	Spoil                 // a share of the answers can't be read
-	Drain                 // the list says that endpoints drain
-	SlowStart             // the receiver is cold, as after an outage
+	Drain                 // discovery lists endpoints as draining
+	SlowStart             // the receiver is in slow start, as after an outage
 	kinds
 )
 
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("trouble %d", uint8(k))
 }
 
-// UnmarshalText reads a trouble's name.
+// UnmarshalText parses the name of a kind of fault.
 func (k *Kind) UnmarshalText(text []byte) error {
 	for i, n := range names {
 		if n == string(text) {
@@ -49,15 +49,15 @@
 	return &UnknownKindError{Name: string(text)}
 }
 
-// UnknownKindError names a kind of fault that there is not.
+// UnknownKindError reports an unknown kind of fault.
 type UnknownKindError struct{ Name string }
 
 // Error implements error.
 func (e *UnknownKindError) Error() string {
-	return fmt.Sprintf("no trouble is called %q; there are %s", e.Name, strings.Join(names[:], ", "))
+	return fmt.Sprintf("unknown trouble %q; want one of %s", e.Name, strings.Join(names[:], ", "))
 }
 
-// All lists the kinds.
+// All returns all kinds of fault.
 func All() []Kind {
 	var all []Kind
 	for k := range kinds {
@@ -66,24 +66,24 @@
 	return all
 }
 
-// Fault is one of them with its figures.
+// Fault is a kind of fault with its parameters.
 type Fault struct {
 	Kind     Kind
-	Fraction float64       // of calls, for Fail, Reset, Spoil and CloseIdle: over 0, at most 1
+	Fraction float64       // of the calls that Fail, Reset, Spoil and CloseIdle affect; over 0 and at most 1
 	Factor   float64       // for Slow: over 1
 	Wait     time.Duration // for Wait
 }
 
-// Condition is what several troubles at once come to.
+// Condition is the combined effect of the faults of a receiver.
 type Condition struct {
 	Unreachable, Shut, Hung, Refuses, Draining bool
 
 	Wait                          time.Duration // over 0: calls are answered 429 with it
-	Fails, Resets, Spoils, Closes float64       // shares
-	Slow                          float64       // service takes so many times as long; 1 if usual
+	Fails, Resets, Spoils, Closes float64       // fractions of the calls
+	Slow                          float64       // factor on the service time; 1 without a fault
 }
 
-// Combine is the meaning of troubles that run at the same time, in any order.
+// Combine returns the combined effect of faults that run at the same time. The result does not depend on their order.
 func Combine(on []Fault) Condition {
 	c := Condition{Slow: 1}
 	join := func(a *float64, b float64) { *a = 1 - (1-*a)*(1-b) }
@@ -111,33 +111,34 @@
 			join(&c.Spoils, t.Fraction)
 		case Drain:
 			c.Draining = true
-		case SlowStart, kinds: // slow start is the receiver's own, after an outage
+		case SlowStart, kinds: // the receiver itself handles slow start
 		}
 	}
 	return c
 }
 
-// Outage is whether the receiver is out: it returns cold when that ends.
+// Outage reports whether the receiver is out. When the outage ends, the receiver starts in slow start.
 func (c Condition) Outage() bool {
 	return c.Unreachable || c.Shut || c.Hung || c.Refuses || c.FailedFraction() >= 0.5
 }
 
-// FailedFraction is the share of calls that fail where calls are answered at all.
+// FailedFraction returns the fraction of calls that fail if the receiver answers calls at all.
 func (c Condition) FailedFraction() float64 { return 1 - (1-c.Fails)*(1-c.Resets)*(1-c.Spoils) }
 
-// Entry is what a call meets as it comes, before any service.
+// Entry is what happens to a call on arrival, before it is served.
 type Entry uint8
 
-// What a call meets, from the outside in.
+// What can happen to a call on arrival.
 const (
-	Serve        Entry = iota // it is served, or queues
-	Unresponsive              // it is taken and nothing is said
-	RateLimited               // 429 with a wait
-	Refused                   // 503
-	Failed                    // 500
+	Serve        Entry = iota // it is served or queued
+	Unresponsive              // it is accepted and never answered
+	RateLimited               // it is answered 429 with a wait
+	Refused                   // it is answered 503
+	Failed                    // it is answered 500
 )
 
-// Enter decides what a call meets. Draw is uniform in [0,1) and decides where only a share is struck.
+// Enter decides what happens to a call on arrival. The draw is uniform in [0,1) and decides whether a fault that affects only a share
+// of the calls affects this one.
 func (c Condition) Enter(draw float64) Entry {
 	switch {
 	case c.Unreachable || c.Hung:
@@ -152,17 +153,17 @@
 	return Serve
 }
 
-// Exit is how a served call's answer goes out.
+// Exit is how the answer to a served call is sent.
 type Exit uint8
 
-// How an answer goes out.
+// How an answer can be sent.
 const (
 	Sound Exit = iota
 	Broken
 	Corrupt
 )
 
-// Leave decides how the answer of a served call goes out; the draws are uniform in [0,1).
+// Leave decides how the answer to a served call is sent. The draws are uniform in [0,1).
 func (c Condition) Leave(reset, spoil float64) Exit {
 	switch {
 	case reset < c.Resets:
--- a/internal/faulttest/script/link.go
+++ b/internal/faulttest/script/link.go
@@ -8,20 +8,20 @@
 	"saffronyard.example/saffronyard/internal/faulttest/links"
 )
 
-// Link is what happens to the links between senders: cut, refuse, slow, trickle, freeze, reset; lose, repeat and reorder strike
-// datagrams alone.
+// Link is a fault of the links between senders: cut, refuse, slow, trickle, freeze or reset; lose, repeat and reorder affect
+// datagrams only.
 type Link struct {
 	Do       string  `toml:"do"`
 	At       Span    `toml:"at"`
-	For      Span    `toml:"for"`    // but for reset
-	From     string  `toml:"from"`   // n0 and up, "all", or "one": drawn
-	To       string  `toml:"to"`     // likewise; never From
+	For      Span    `toml:"for"`    // required, but not allowed for reset
+	From     string  `toml:"from"`   // n0, n1, ..., "all", or "one" for a random sender
+	To       string  `toml:"to"`     // likewise; a sender other than From
 	Both     bool    `toml:"both"`   // the other direction too
 	Delay    Span    `toml:"delay"`  // slow
 	Jitter   Span    `toml:"jitter"` // slow
 	Rate     int     `toml:"rate"`   // trickle: bytes a second; default 200
-	After    int     `toml:"after"`  // freeze: bytes that pass before; default 100
-	Fraction float64 `toml:"share"`  // lose, repeat, reorder: of the datagrams, by itself for each; default 0.3
+	After    int     `toml:"after"`  // freeze: bytes that pass before the link stops; default 100
+	Fraction float64 `toml:"share"`  // lose, repeat, reorder: probability for each datagram, independently; default 0.3
 
 	where string
 }
@@ -32,10 +32,10 @@
 	if (l.Do == "lose" || l.Do == "repeat" || l.Do == "reorder") && l.Fraction == 0 {
 		l.Fraction = 0.3
 	} else if l.Fraction != 0 && l.Do != "lose" && l.Do != "repeat" && l.Do != "reorder" {
-		return invalid(l.where, "share is for lose, repeat and reorder alone")
+		return invalid(l.where, "share is allowed only with lose, repeat and reorder")
 	}
 	if l.Fraction < 0 || l.Fraction > 1 {
-		return invalid(l.where, "share = %v is not from 0 to 1", l.Fraction)
+		return invalid(l.where, "share = %v is not in [0, 1]", l.Fraction)
 	}
 	switch l.Do {
 	case "cut", "refuse", "trickle", "freeze", "lose", "repeat", "reorder":
@@ -45,10 +45,10 @@
 		}
 	case "reset":
 		if l.For != 0 {
-			return invalid(l.where, "reset happens at a moment: it has no for")
+			return invalid(l.where, "reset takes no time: for is not allowed")
 		}
 	default:
-		return invalid(l.where, "do = %q; there are cut, refuse, slow, trickle, freeze, reset, lose, repeat, reorder", l.Do)
+		return invalid(l.where, "unknown do = %q; want cut, refuse, slow, trickle, freeze, reset, lose, repeat or reorder", l.Do)
 	}
 	if l.Do != "reset" && l.For == 0 {
 		return invalid(l.where, "%s needs for", l.Do)
@@ -60,7 +60,7 @@
 		return invalid(l.where, "from and to are both %q: a sender has no link to itself", l.From)
 	}
 	if l.Rate < 1 || l.After < 1 {
-		return invalid(l.where, "rate and after are over 0")
+		return invalid(l.where, "rate and after must be over 0")
 	}
 	return nil
 }
@@ -85,12 +85,12 @@
 	return links.Condition{Delay: l.Delay.D(), Jitter: l.Jitter.D()}
 }
 
-// Way is a direction between two senders.
+// Way is one direction of the link between two senders.
 type Way struct{ From, To int }
 
-// ways resolves whom a link's fault strikes.
+// ways resolves the directions that a link's fault affects.
 func (p *Plan) ways(l Link, rng *rand.Rand) ([]Way, error) {
-	a, b := rng.IntN(p.Senders), rng.IntN(max(1, p.Senders-1)) // drawn in any case, so that another fault changes no later draw
+	a, b := rng.IntN(p.Senders), rng.IntN(max(1, p.Senders-1)) // always drawn, so that a change of this fault does not change later draws
 	if b >= a {
 		b++
 	}
@@ -128,7 +128,7 @@
 		}
 	}
 	if len(ways) == 0 {
-		return nil, invalid(l.where, "no link lies between %q and %q", l.From, l.To)
+		return nil, invalid(l.where, "there is no link between %q and %q", l.From, l.To)
 	}
 	return ways, nil
 }
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// checkSender checks what happens to a process.
+// check checks an action on a sender process.
 func (c *Sender) check() error {
 	switch c.Do {
 	case "kill", "restart", "lose", "keep", "old", "pause":
@@ -160,18 +160,18 @@
 		}
 	case "join":
 		if c.Which != "" {
-			return invalid(c.where, "a sender that joins has no name yet")
+			return invalid(c.where, "join does not allow which: the sender has no name yet")
 		}
 	default:
-		return invalid(c.where, "do = %q; there are kill, restart, lose, keep, old, pause, join", c.Do)
+		return invalid(c.where, "unknown do = %q; want kill, restart, lose, keep, old, pause or join", c.Do)
 	}
 	if (c.Do == "pause") != (c.For > 0) {
-		return invalid(c.where, "pause needs for, and nothing else has it")
+		return invalid(c.where, "pause needs for, and no other do allows it")
 	}
 	return nil
 }
 
-// String names an act and whom it strikes, for the plan as it is printed.
+// String names an act in the printed plan.
 func (a Act) String() string {
 	switch a.Do {
 	case "trouble", "end":
@@ -182,7 +182,7 @@
 	return a.Do
 }
 
-// Who names the senders of an act; empty if it strikes none by name.
+// Who returns the names of the senders and links that an act affects; it is empty for an act that affects receivers or discovery.
 func (a Act) Who() []string {
 	var who []string
 	for _, w := range a.Ways {
@@ -197,7 +197,7 @@
 
 func name(sender int) string { return "n" + strconv.Itoa(sender) }
 
-// suspendActs are a pause's begin and end.
+// suspendActs returns the acts that begin and end a pause.
 func suspendActs(a Act, span time.Duration) []Act {
 	end := a
 	end.At, end.Do = a.At+span, "resume"
--- a/internal/faulttest/script/plan.go
+++ b/internal/faulttest/script/plan.go
@@ -14,7 +14,7 @@
 	"saffronyard.example/saffronyard/internal/faulttest/receiver"
 )
 
-// Plan is a day with everything drawn: the same script and seed give the same plan.
+// Plan is a day with all random choices made. The same script and seed give the same plan.
 type Plan struct {
 	Name      string
 	Day       Day
@@ -23,14 +23,14 @@
 	Receivers []Receiver
 	Arrivals  []Arrival
 	Acts      []Act
-	Senders   int // at the start; joins add to them
+	Senders   int // at the start; senders that join are not included
 	Wakes     []Wake
 }
 
-// Receiver is a destination as drawn; its number is its place.
+// Receiver is a destination. Its number is its index in Plan.Receivers.
 type Receiver struct {
 	Name, Kind, Member string
-	Weight             float64 // of the traffic
+	Weight             float64 // fraction of the traffic
 	Endpoints          int
 	Spec               receiver.Spec
 }
@@ -38,10 +38,10 @@
 // Arrival is a message that a client hands in.
 type Arrival struct {
 	At     time.Duration
-	Sender int // whose client; one that is not there is replaced by the next that is
+	Sender int // sender to which the client hands it in; if that sender is not available, the next available one gets the message
 	Class  int
 	Dest   int
-	Order  string // key of the order, in an ordered class
+	Order  string // order key; set only in an ordered class
 }
 
 // Wake is a burst for one receiver.
@@ -51,21 +51,21 @@
 	Messages int
 }
 
-// Act is something that happens at a time.
+// Act is an action that the kit performs at a given time.
 type Act struct {
 	At     time.Duration
 	Do     string // trouble, end, replace, down, up, late, punctual, move, kill, restart, lose, join, keep, old, pause, resume, link, reset
 	Fault  fault.Fault
-	Number int // of the trouble; its end carries the same
+	Number int // of the fault; the act that ends the fault has the same number
 	Dests  []int
 	Only   int
 	Sender int
 	Delay  time.Duration
 	Ways   []Way           // link, reset
-	Link   links.Condition // as it is from now on
+	Link   links.Condition // condition of the link from now on
 }
 
-// Make draws the day. It fails, with file and line, if a happening names what the day has not.
+// Make draws the plan of the day. It fails, with the file and line, if an entry names a receiver, sender or member that the day does not have.
 func (s *Script) Make() (*Plan, error) {
 	if s.Day == nil {
 		return nil, invalid(s.Path, "no [day]")
@@ -89,7 +89,7 @@
 	if len(p.Members) == 0 {
 		p.Members = []Member{{"evergreen", 0.4}, {"sound", 0.25}, {"ridge", 0.2}, {"tide", 0.15}}
 	}
-	// Each part of the plan draws from a stream of its own, so that a trouble more does not change arrivals.
+	// Each part of the plan draws from its own random stream, so that an additional fault does not change the arrivals.
 	stream := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(d.Seed, n)) }
 	p.receivers(kinds, stream(1))
 	if err := p.arrivals(s.Surges, stream(2)); err != nil {
@@ -107,7 +107,7 @@
 	return p, nil
 }
 
-// arrivals draws a Poisson stream, thinned from the highest rate, with clumps among it.
+// arrivals draws a Poisson process by thinning from the highest rate. Some of its arrivals are clumps of messages.
 func (p *Plan) arrivals(surges []Surge, rng *rand.Rand) error {
 	d := p.Day
 	shares := d.SenderWeights
@@ -116,7 +116,7 @@
 	}
 	for _, g := range surges {
 		if g.Member != "" && !slices.ContainsFunc(p.Members, func(m Member) bool { return m.Name == g.Member }) {
-			return invalid(g.where, "no member is called %q", g.Member)
+			return invalid(g.where, "there is no member %q", g.Member)
 		}
 		if g.Sender != "" {
 			if _, err := p.sender(g.Sender, g.where); err != nil {
@@ -124,7 +124,7 @@
 			}
 		}
 	}
-	// factor is by how much the stream of a sender to a receiver is raised at a time.
+	// factor returns the factor by which surges multiply the traffic of a sender to a receiver at a time.
 	factor := func(at time.Duration, sender, dest int) float64 {
 		f := 1.0
 		for _, g := range surges {
@@ -156,8 +156,8 @@
 		}
 		p.Arrivals = append(p.Arrivals, a)
 	}
-	// A clump of a receiver is as many as it takes in clump_span; clumps come so often that they make up
-	// their share of the whole.
+	// A clump has as many messages as its receiver serves in clump_span. The rate of clumps is such that they make up
+	// their share of all messages.
 	size := func(dest int) int { return max(2, int(p.Receivers[dest].rate()*d.ClumpSpan.D().Seconds())) }
 	mean := 0.0
 	for i, r := range p.Receivers {
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// sleeps takes out the messages of those who sleep; what others get is as without.
+// sleeps removes the messages for receivers that sleep. The messages for other receivers do not change.
 func (p *Plan) sleeps(all []Sleep, rng *rand.Rand) error {
 	type span struct{ from, to time.Duration }
 	spans := make([][]span, len(p.Receivers))
@@ -206,7 +206,7 @@
 	return nil
 }
 
-// bursts adds the messages of bursts, dealt out to the senders evenly at random.
+// bursts adds the messages of bursts, each handed in at a random sender with equal probability.
 func (p *Plan) bursts(all []Burst, rng *rand.Rand) error {
 	classes := make([]float64, len(p.Classes))
 	for i, c := range p.Classes {
@@ -232,7 +232,7 @@
 	return nil
 }
 
-// rate is what a receiver takes in a second.
+// rate returns how many calls a receiver serves in a second.
 func (r Receiver) rate() float64 {
 	if r.Spec.Limit > 0 {
 		return min(r.Spec.Limit, r.Spec.Capacity)
@@ -260,13 +260,13 @@
 			return i, nil
 		}
 	}
-	return 0, invalid(where, "no sender is called %q; there are n0 to n%d", name, p.Senders-1)
+	return 0, invalid(where, "there is no sender %q; the senders are n0 to n%d", name, p.Senders-1)
 }
 
-// who resolves the receivers that are struck. Random ones draw in the order of the file.
+// who resolves the selected receivers. Random selections are drawn in the order of the script.
 func (p *Plan) who(w Who, where string, rng *rand.Rand) ([]int, error) {
 	var dests []int
-	order := rng.Perm(len(p.Receivers)) // drawn in any case, so that another who changes no later draw
+	order := rng.Perm(len(p.Receivers)) // always drawn, so that a change of this selection does not change later draws
 	switch {
 	case w.Random > 0:
 		if w.Random > len(order) {
@@ -280,7 +280,7 @@
 				dests, sum = append(dests, i), sum+share
 			}
 		}
-		if len(dests) == 0 { // all are larger: the smallest comes nearest
+		if len(dests) == 0 { // each receiver has a larger share: the smallest one is closest
 			dests = []int{len(p.Receivers) - 1}
 		}
 	default:
@@ -291,13 +291,13 @@
 		}
 	}
 	if len(dests) == 0 {
-		return nil, invalid(where, "who names no receiver of this day: name %q, kind %q, member %q", w.Name, w.Kind, w.Member)
+		return nil, invalid(where, "who matches no receiver of this day: name %q, kind %q, member %q", w.Name, w.Kind, w.Member)
 	}
 	slices.Sort(dests)
 	return dests, nil
 }
 
-// acts turns the script's faults, lists, senders and links into acts, in the order of their times.
+// acts turns the script's faults, lists, senders and links into acts, sorted by time.
 func (p *Plan) acts(s *Script, rng *rand.Rand) error {
 	if err := p.faultActs(s.Faults, rng); err != nil {
 		return err
@@ -315,7 +315,7 @@
 	return nil
 }
 
-// faultActs adds the begin and the end of each fault.
+// faultActs adds the acts that begin and end each fault. A slow start has no end.
 func (p *Plan) faultActs(faults []Fault, rng *rand.Rand) error {
 	for i, t := range faults {
 		dests, err := p.who(t.Who, t.where, rng)
@@ -333,7 +333,7 @@
 	return nil
 }
 
-// listActs adds what happens to the endpoint list.
+// listActs adds the changes of the endpoint list and of discovery.
 func (p *Plan) listActs(lists []List, rng *rand.Rand) error {
 	for _, l := range lists {
 		a := Act{At: l.At.D(), Do: l.Do, Delay: l.Delay.D()}
@@ -355,7 +355,7 @@
 	return nil
 }
 
-// senderActs adds what happens to sender processes.
+// senderActs adds the actions on sender processes.
 func (p *Plan) senderActs(senders []Sender) error {
 	joined := p.Senders
 	for _, c := range senders {
@@ -390,8 +390,8 @@
 	return nil
 }
 
-// FeaturesText is the operators' file that the day's senders are started with: the script's own, and what the forms
-// of its clients and receivers need.
+// FeaturesText returns the features file that the day's senders are started with: the script's own text, and the rules that the
+// formats of its clients and receivers need.
 func (p *Plan) FeaturesText() string {
 	text := p.Day.Features
 	if p.Day.Speak != encoding.Plain && p.Day.Speak != "" {
@@ -411,7 +411,7 @@
 	return text
 }
 
-// MaxSenders is how many senders the day has at the most: those that are there from its begin, and all that join.
+// MaxSenders returns the maximum number of senders on the day: those at the start and all that join.
 func (p *Plan) MaxSenders() int {
 	n := p.Senders
 	for _, a := range p.Acts {
--- a/internal/faulttest/script/receivers.go
+++ b/internal/faulttest/script/receivers.go
@@ -9,7 +9,7 @@
 	"saffronyard.example/saffronyard/internal/faulttest/receiver"
 )
 
-// UsualKinds are the kinds of receiver of a script that names none.
+// UsualKinds returns the default kinds of receiver, for a script that defines none.
 func UsualKinds() ([]Kind, error) {
 	kinds := []Kind{{Name: "processor", Weight: 1, Large: true, Limit: "window", Reports: true}, {Name: "retailer", Weight: 4, Connections: 3}}
 	for i := range kinds {
@@ -20,7 +20,7 @@
 	return kinds, nil
 }
 
-// receivers draws the day's receivers, those with much traffic first.
+// receivers draws the day's receivers, in descending order of their traffic.
 func (p *Plan) receivers(kinds []Kind, rng *rand.Rand) {
 	d := p.Day
 	of := byWeight(kinds, d.Receivers)
@@ -29,7 +29,7 @@
 		weights[i] = math.Pow(float64(i+1), -d.Zipf)
 		all += weights[i]
 	}
-	// Members: each receiver goes to the member that is furthest below its share.
+	// Each receiver goes to the member that is furthest below its share of the traffic.
 	got, shares := make([]float64, len(p.Members)), 0.0
 	for _, m := range p.Members {
 		shares += m.Weight
@@ -49,7 +49,7 @@
 	}
 }
 
-// byWeight deals n receivers out to the kinds by their weights; large kinds come first.
+// byWeight assigns n receivers to the kinds by their weights; large kinds come first.
 func byWeight(kinds []Kind, n int) []Kind {
 	order := slices.Clone(kinds)
 	slices.SortStableFunc(order, func(a, b Kind) int {
@@ -76,7 +76,7 @@
 	return of
 }
 
-// drawSpec draws a receiver of a kind that gets the given part of the traffic, and the number of its endpoints.
+// drawSpec draws the number of endpoints and the spec of a receiver of a kind that gets the given fraction of the traffic.
 func (d *Day) drawSpec(k Kind, weight float64, rng *rand.Rand) (endpoints int, spec receiver.Spec) {
 	full := d.Rate / d.Load
 	draw := func(r []float64) float64 { return r[0] + (r[1]-r[0])*rng.Float64() }
--- a/internal/faulttest/script/script.go
+++ b/internal/faulttest/script/script.go
@@ -1,5 +1,5 @@
-// Package script reads rehearsals: TOML files that say what a day looks like and what befalls it. Everything
-// is checked here, with the file and line in each error, so that a day that begins can be played.
+// Package script reads the scripts of fault tests: TOML files that describe a day's traffic and the faults in it. It checks
+// everything before a day starts, and each error names the file and line.
 package script
 
 import (
@@ -14,10 +14,10 @@
 	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
-// Span is a time as the file states it.
+// Span is a duration in a script, written with its unit.
 type Span = tomlfile.Span
 
-// Script is a file, or several laid over each other.
+// Script is one script file, or several combined by Over.
 type Script struct {
 	About   string   `toml:"about"`
 	Day     *Day     `toml:"day"`
@@ -35,53 +35,53 @@
 	Path string `toml:"-"`
 }
 
-// Day is the size of a day and the figures that hold all through it.
+// Day has the size of a day and the parameters that apply to all of it.
 type Day struct {
-	Seconds       float64   `toml:"seconds"`       // of arrivals; default 15
+	Seconds       float64   `toml:"seconds"`       // duration of the arrivals; default 15
 	Seed          uint64    `toml:"seed"`          // default 1
-	Rate          float64   `toml:"rate"`          // messages a second in all; default 30
+	Rate          float64   `toml:"rate"`          // messages a second in total; default 30
 	Senders       int       `toml:"senders"`       // default 2
 	SenderWeights []float64 `toml:"sender_shares"` // default even
 	Receivers     int       `toml:"receivers"`     // default 10
-	Endpoints     []int     `toml:"endpoints"`     // of a receiver, least and most; default [1, 3]
-	Zipf          float64   `toml:"zipf"`          // how uneven traffic is among receivers; default 0.8
+	Endpoints     []int     `toml:"endpoints"`     // minimum and maximum for a receiver; default [1, 3]
+	Zipf          float64   `toml:"zipf"`          // Zipf exponent of the traffic over the receivers; default 0.8
 	Load          float64   `toml:"load"`          // traffic as a share of full load; default 0.7
-	Clumps        float64   `toml:"clumps"`        // share of messages that come in clumps for one receiver; default 0
-	ClumpSpan     Span      `toml:"clump_span"`    // a clump is as many as the receiver takes in this time; default 1.5s
-	Body          int       `toml:"body"`          // bytes of a message; default 300
+	Clumps        float64   `toml:"clumps"`        // share of the clumps in the traffic, each for one receiver; default 0
+	ClumpSpan     Span      `toml:"clump_span"`    // a clump has as many messages as the receiver serves in this time; default 1.5s
+	Body          int       `toml:"body"`          // bytes of a message's body; default 300
 
-	Retries      *int `toml:"retries"`  // after refusals; default 3
-	FirstBackoff Span `toml:"pause"`    // before the first of them, then doubled; default 500ms
-	Patience     Span `toml:"patience"` // a client waits so long for the first answer; default 400ms
+	Retries      *int `toml:"retries"`  // of a client after a refusal; default 3
+	FirstBackoff Span `toml:"pause"`    // before the first retry, then doubled; default 500ms
+	Patience     Span `toml:"patience"` // how long a client waits for the first answer; default 400ms
 
 	SlowStartCapacity float64 `toml:"cold_from"`     // default 0.18
 	SlowStart         Span    `toml:"cold"`          // default 14s
 	FallMultiple      float64 `toml:"fall_multiple"` // default 2
 	FallSpan          Span    `toml:"fall_span"`     // default 3s
 	DrainGrace        Span    `toml:"drain_grace"`   // default 2s
-	Grace             Span    `toml:"grace"`         // each limit is so much longer, and the kit may run so late; default 50ms
-	OrderRest         Span    `toml:"settle"`        // an ordered key rests so long after doubt; default 1s
+	Grace             Span    `toml:"grace"`         // tolerance added to each time limit, and the lateness allowed for the kit; default 50ms
+	OrderRest         Span    `toml:"settle"`        // pause of an ordered key after a call with an unknown outcome; default 1s
 
-	ListDelay    Span            `toml:"list_delay"`   // discovery tells a change so long after it was made; default 300ms
+	ListDelay    Span            `toml:"list_delay"`   // delay before discovery reports a change; default 300ms
 	MemoryMB     int             `toml:"memory_mb"`    // the sender's limit; default 192
 	Sockets      int             `toml:"sockets"`      // default 512
 	Disk         int             `toml:"disk_mb"`      // default 3
-	SlotHeadroom float64         `toml:"slots_room"`   // slots over what the load keeps busy; default 2
-	ReportEach   Span            `toml:"report_each"`  // load reports are refreshed so often; default 400ms
+	SlotHeadroom float64         `toml:"slots_room"`   // slots as a multiple of those that the load keeps busy; default 2
+	ReportEach   Span            `toml:"report_each"`  // interval at which load reports are refreshed; default 400ms
 	Speak        encoding.Format `toml:"speak"`        // how clients hand messages in: plain, binary, structured, batched or mixed; default plain
-	LostAnswers  float64         `toml:"lost_answers"` // share of the answers to events that their clients never see: they hand the same in again; default 0
-	Features     string          `toml:"features"`     // text of the operators' file that the senders are started with
-	Names        bool            `toml:"names"`        // endpoints are told by a zone file that the senders follow, in place of discovery
-	ReportLate   Span            `toml:"report_late"`  // and tell what was so long ago; default 100ms
+	LostAnswers  float64         `toml:"lost_answers"` // share of the answers to events that never reach the client, which hands the same event in again; default 0
+	Features     string          `toml:"features"`     // text of the features file that the senders are started with
+	Names        bool            `toml:"names"`        // senders read the endpoints from a DNS zone file instead of discovery
+	ReportLate   Span            `toml:"report_late"`  // age of the load in a report; default 100ms
 }
 
-// Class is a class of message.
+// Class is a message class.
 type Class struct {
 	Name          string  `toml:"name"`
 	Weight        float64 `toml:"share"` // default 1
 	Effect        string  `toml:"effect"`
 	Ordered       bool    `toml:"ordered"`
-	Keys          int     `toml:"keys"` // of the order, for each receiver; default 2
+	Keys          int     `toml:"keys"` // number of order keys for each receiver; default 2
 	LatencyTarget Span    `toml:"aim"`
 	Deadline      Span    `toml:"deadline"`
 	KeyWindow     Span    `toml:"key_window"`
@@ -91,41 +91,41 @@
 // Kind is a kind of receiver.
 type Kind struct {
 	Name           string          `toml:"name"`
-	Weight         float64         `toml:"share"`       // of the receivers; default 1
-	Large          bool            `toml:"large"`       // they get the most traffic
-	Service        Span            `toml:"service"`     // mean time of a call; default 150ms
-	Spread         float64         `toml:"spread"`      // its coefficient of variation; default 0.6
-	Times          string          `toml:"times"`       // exp, lognormal or fixed; default lognormal
-	Headroom       []float64       `toml:"headroom"`    // capacity over its calls at full load; default [1.3, 2]
-	MinRate        float64         `toml:"least_rate"`  // calls a second; default 4
-	Queue          Span            `toml:"queue"`       // calls that wait, as time at capacity; default 500ms
+	Weight         float64         `toml:"share"`       // weight among the receivers; default 1
+	Large          bool            `toml:"large"`       // receivers of this kind get the most traffic
+	Service        Span            `toml:"service"`     // mean service time of a call; default 150ms
+	Spread         float64         `toml:"spread"`      // coefficient of variation of the service time; default 0.6
+	Times          string          `toml:"times"`       // distribution of the service time: exp, lognormal or fixed; default lognormal
+	Headroom       []float64       `toml:"headroom"`    // minimum and maximum capacity, as a multiple of the calls at full load; default [1.3, 2]
+	MinRate        float64         `toml:"least_rate"`  // minimum of the capacity and of the limit, in calls a second; default 4
+	Queue          Span            `toml:"queue"`       // size of the queue, as the time to serve it at capacity; default 500ms
 	Limit          string          `toml:"limit"`       // none, rate or window; default none
-	LimitHeadroom  []float64       `toml:"limit_room"`  // limit over its calls at full load; default [1.2, 2]
+	LimitHeadroom  []float64       `toml:"limit_room"`  // minimum and maximum limit, as a multiple of the calls at full load; default [1.2, 2]
 	Window         Span            `toml:"window"`      // default 1s
-	TellsWait      Span            `toml:"tells_wait"`  // above the limit, 429 with this wait; 0: 503 and no word
-	Connections    float64         `toml:"connections"` // most, over the calls served at once; 0: any number
-	MinConnections int             `toml:"least_conns"` // default 10
+	TellsWait      Span            `toml:"tells_wait"`  // calls above the limit are answered 429 with this wait; 0: 503 without a wait
+	Connections    float64         `toml:"connections"` // maximum, as a multiple of an endpoint's slots; 0: no limit
+	MinConnections int             `toml:"least_conns"` // lower bound of that maximum; default 10
 	IdleClose      Span            `toml:"idle_close"`  // default 15s
-	Reports        bool            `toml:"reports"`     // answers hold x0 and x1 where there is a limit
-	Format         encoding.Format `toml:"form"`        // of calls to them: plain, binary, structured or batched; default plain
+	Reports        bool            `toml:"reports"`     // answers carry the load fields x0 and x1 if there is a limit
+	Format         encoding.Format `toml:"form"`        // format of the calls: plain, binary, structured or batched; default plain
 }
 
-// Member owns receivers; their traffic is its own.
+// Member is a tenant that owns receivers and whose traffic goes to them.
 type Member struct {
 	Name   string  `toml:"name"`
 	Weight float64 `toml:"share"`
 }
 
-// Who names the receivers that are struck: one of name, kind, traffic and random.
+// Who selects the receivers that an entry of the script affects. Exactly one of its fields must be set.
 type Who struct {
-	Name    string  `toml:"name"`    // one receiver, r0 and up
-	Kind    string  `toml:"kind"`    // all of a kind
-	Traffic float64 `toml:"traffic"` // at random, until they get this share of the traffic
-	Random  int     `toml:"random"`  // so many at random
-	Member  string  `toml:"member"`  // all of a member
+	Name    string  `toml:"name"`    // the receiver of this name: r0, r1, ...
+	Kind    string  `toml:"kind"`    // all receivers of this kind
+	Traffic float64 `toml:"traffic"` // random receivers that together get at most this share of the traffic; if there are none, the smallest receiver
+	Random  int     `toml:"random"`  // this number of random receivers
+	Member  string  `toml:"member"`  // all receivers of this member
 }
 
-// Fault befalls receivers for a time.
+// Fault is a fault of receivers for a period.
 type Fault struct {
 	What     fault.Kind `toml:"what"`
 	At       Span       `toml:"at"`
@@ -134,36 +134,36 @@
 	Fraction float64    `toml:"share"`  // default 1
 	Factor   float64    `toml:"factor"` // default 8
 	Wait     Span       `toml:"wait"`   // default 800ms
-	Only     int        `toml:"only"`   // so many of the receiver's endpoints; 0: all
+	Only     int        `toml:"only"`   // drain: number of the receiver's endpoints; 0: all
 
 	where string
 }
 
-// List is what happens to discovery: replace, down, late, move or ask.
+// List is a change of discovery or of its list: replace, down, late or move.
 type List struct {
 	Do    string `toml:"do"`
 	At    Span   `toml:"at"`
 	For   Span   `toml:"for"`
 	Who   Who    `toml:"who"`   // replace
-	Each  Span   `toml:"each"`  // replace: pause between endpoints; default 500ms
-	Delay Span   `toml:"delay"` // late: news comes so much later; default 2s
+	Each  Span   `toml:"each"`  // replace: pause between receivers; default 500ms
+	Delay Span   `toml:"delay"` // late: additional delay of changes; default 2s
 
 	where string
 }
 
-// Sender is what happens to sender processes: kill, restart, lose, join; pause for a time; keep a copy of its folder, and
-// old: kill it and start it with that copy.
+// Sender is an action on sender processes: kill, restart, lose (kill it and delete its folder), join, pause for a period, keep
+// (save a copy of its folder) and old (kill it and start it with that copy).
 type Sender struct {
 	Do    string `toml:"do"`
 	At    Span   `toml:"at"`
 	For   Span   `toml:"for"`   // pause
-	Which string `toml:"which"` // n0 and up, or all; for join none
-	Each  Span   `toml:"each"`  // all: pause between them; default 0
+	Which string `toml:"which"` // n0, n1, ... or all; not set for join
+	Each  Span   `toml:"each"`  // all: pause between the senders; default 0
 
 	where string
 }
 
-// Surge is more traffic for a time: of a sender, a member, or all.
+// Surge multiplies the traffic for a period: of a sender, of a member, or of all.
 type Surge struct {
 	At     Span    `toml:"at"`
 	For    Span    `toml:"for"`
@@ -174,7 +174,7 @@
 	where string
 }
 
-// Sleep is a time without messages for receivers.
+// Sleep is a period without messages for receivers.
 type Sleep struct {
 	At  Span `toml:"at"`
 	For Span `toml:"for"`
@@ -183,7 +183,7 @@
 	where string
 }
 
-// Burst is so many messages at once for each of the receivers, beside their usual traffic.
+// Burst is a number of messages within a short period for each of the receivers, in addition to their usual traffic.
 type Burst struct {
 	At       Span `toml:"at"`
 	Within   Span `toml:"within"` // default 1s
@@ -202,7 +202,7 @@
 	return Parse(path, raw)
 }
 
-// Parse reads a script's text; path is for its errors.
+// Parse reads a script's text. Errors name path as the file.
 func Parse(path string, raw []byte) (*Script, error) {
 	s := &Script{Path: path}
 	if err := tomlfile.Decode(path, raw, s); err != nil {
@@ -222,7 +222,7 @@
 
 var header = regexp.MustCompile(`^\s*\[{1,2}\s*([a-z_]+)\s*\]{1,2}`)
 
-// tables finds the line of each table's header, for errors about what no single value shows.
+// tables finds the line of each table's header, for errors that concern more than one value.
 func tables(raw []byte) map[string][]int {
 	at := map[string][]int{}
 	for i, line := range strings.Split(string(raw), "\n") {
@@ -243,8 +243,8 @@
 // Name is the script's short name.
 func (s *Script) Name() string { return strings.TrimSuffix(filepath.Base(s.Path), ".toml") }
 
-// Over lays other scripts over s: their troubles and happenings are added, and of days the longest counts.
-// Classes, kinds and members must not be named again.
+// Over combines s with other scripts: it adds their faults and other entries, and the day is as long as the longest of them.
+// Classes, kinds and members must not be defined again: later definitions are ignored.
 func (s *Script) Over(more ...*Script) (*Script, error) {
 	all := *s
 	if all.Day != nil {
@@ -272,7 +272,7 @@
 		all.Path = strings.TrimSuffix(all.Path, ".toml") + "+" + m.Name()
 	}
 	if all.Day == nil {
-		return nil, invalid(all.Path, "no file of these has a [day]: troubles alone are laid over a day")
+		return nil, invalid(all.Path, "none of these files has a [day]: a file without [day] can only be laid over a day")
 	}
 	return &all, nil
 }
--- a/internal/faulttest/script/script_test.go
+++ b/internal/faulttest/script/script_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// What is wrong in a script is told with its file and line.
+// Errors in a script name the file and line.
 func TestErrorsNameTheLine(t *testing.T) {
 	for name, c := range map[string]struct{ text, says string }{
 		"unknown key":              {"[day]\nseconds = 3\nsecond = 4\n", `x.toml:3: unknown key "day.second"`},
@@ -21,36 +21,36 @@
 		"no span":                  {"[day]\n\npause = \"soon\"\n", `x.toml:3: "soon" is no time`},
 		"a span below 0":           {"[day]\npause = \"-1s\"\n", `x.toml:2: "-1s" is negative`},
 		"a span without a unit":    {"[[trouble]]\nwhat = \"hang\"\nat = \"3\"\n", "x.toml:3: "},
-		"no such trouble":          {"[[trouble]]\nwhat = \"flood\"\n", `x.toml:2: no trouble is called "flood"; there are vanish, shut`},
-		"trouble for nobody":       {"[day]\n[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\n", "x.toml:2: who needs one of"},
-		"trouble for two":          {"[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\nwho = {name = \"r0\", random = 1}\n", "x.toml:1: who needs one of name, kind, member, traffic, random; it has 2"},
+		"no such trouble":          {"[[trouble]]\nwhat = \"flood\"\n", `x.toml:2: unknown trouble "flood"; want one of vanish, shut`},
+		"trouble for nobody":       {"[day]\n[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\n", "x.toml:2: who needs exactly one of"},
+		"trouble for two":          {"[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\nwho = {name = \"r0\", random = 1}\n", "x.toml:1: who needs exactly one of name, kind, member, traffic, random; it has 2"},
 		"trouble for no time":      {"[day]\n\n[[trouble]]\nwhat = \"hang\"\nwho = {random = 1}\n", "x.toml:3: hang needs for"},
 		"second trouble is wrong":  {"[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\nwho = {random = 1}\n[[trouble]]\nwhat = \"fail\"\nshare = 2.0\nfor = \"1s\"\nwho = {random = 1}\n", "x.toml:5: fail: share = 2"},
-		"only with a hang":         {"[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\nonly = 1\nwho = {random = 1}\n", "x.toml:1: only goes with drain"},
+		"only with a hang":         {"[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\nonly = 1\nwho = {random = 1}\n", "x.toml:1: only is allowed only with drain"},
 		"too long a day":           {"[day]\nseconds = 1e9\n", "x.toml:1: day: seconds"},
 		"nan":                      {"[day]\nrate = nan\n", "x.toml:1: day: rate"},
-		"senders' shares":          {"[day]\nsenders = 3\nsender_shares = [1.0, 2.0]\n", "x.toml:1: day: sender_shares names 2 shares for 3 senders"},
+		"senders' shares":          {"[day]\nsenders = 3\nsender_shares = [1.0, 2.0]\n", "x.toml:1: day: sender_shares has 2 shares for 3 senders"},
 		"endpoints":                {"[day]\nendpoints = [3, 1]\n", "x.toml:1: day: endpoints"},
 		"class without a name":     {"[day]\n[[class]]\neffect = \"safe\"\n", "x.toml:2: a class needs a name"},
-		"class twice":              {"[[class]]\nname = \"a\"\n[[class]]\nname = \"a\"\n", "x.toml:3: two of the name"},
-		"no such effect":           {"[[class]]\nname = \"a\"\neffect = \"once\"\n", "x.toml:1: class \"a\": effect"},
+		"class twice":              {"[[class]]\nname = \"a\"\n[[class]]\nname = \"a\"\n", "x.toml:3: duplicate name"},
+		"no such effect":           {"[[class]]\nname = \"a\"\neffect = \"once\"\n", "x.toml:1: class \"a\": unknown effect"},
 		"an aim after the end":     {"[[class]]\nname = \"a\"\naim = \"9s\"\n", "x.toml:1: class \"a\": aim 9s, deadline 8s"},
-		"no such limit":            {"[[kind]]\nname = \"a\"\nlimit = \"some\"\n", "x.toml:1: kind \"a\": limit"},
+		"no such limit":            {"[[kind]]\nname = \"a\"\nlimit = \"some\"\n", "x.toml:1: kind \"a\": unknown limit"},
 		"headroom upside down":     {"[[kind]]\nname = \"a\"\nheadroom = [2.0, 1.0]\n", "x.toml:1: kind \"a\": headroom"},
-		"no such happening":        {"[[list]]\ndo = \"burn\"\n", "x.toml:1: do = \"burn\"; there are"},
+		"no such happening":        {"[[list]]\ndo = \"burn\"\n", "x.toml:1: unknown do = \"burn\"; want"},
 		"down without a length":    {"[[list]]\ndo = \"down\"\n", "x.toml:1: down needs for"},
 		"pause without a length":   {"[[sender]]\ndo = \"pause\"\nwhich = \"n0\"\n", "x.toml:1: pause needs for"},
-		"a kill that lasts":        {"[[sender]]\ndo = \"kill\"\nwhich = \"n0\"\nfor = \"1s\"\n", "x.toml:1: pause needs for, and nothing else"},
-		"no such fault of a link":  {"[[link]]\ndo = \"burn\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:1: do = \"burn\"; there are cut"},
+		"a kill that lasts":        {"[[sender]]\ndo = \"kill\"\nwhich = \"n0\"\nfor = \"1s\"\n", "x.toml:1: pause needs for, and no other do"},
+		"no such fault of a link":  {"[[link]]\ndo = \"burn\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:1: unknown do = \"burn\"; want cut"},
 		"a cut without a length":   {"\n[[link]]\ndo = \"cut\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:2: cut needs for"},
 		"a cut from nowhere":       {"[[link]]\ndo = \"cut\"\nfor = \"1s\"\nto = \"n1\"\n", "x.toml:1: cut needs from and to"},
 		"a link to itself":         {"[[link]]\ndo = \"cut\"\nfor = \"1s\"\nfrom = \"n1\"\nto = \"n1\"\n", "x.toml:1: from and to are both"},
-		"a share of a cut":         {"[[link]]\ndo = \"cut\"\nshare = 0.5\nfor = \"1s\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:1: share is for lose, repeat and reorder alone"},
-		"more than all are lost":   {"[[link]]\ndo = \"lose\"\nshare = 1.5\nfor = \"1s\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:1: share = 1.5 is not from 0 to 1"},
+		"a share of a cut":         {"[[link]]\ndo = \"cut\"\nshare = 0.5\nfor = \"1s\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:1: share is allowed only with lose, repeat and reorder"},
+		"more than all are lost":   {"[[link]]\ndo = \"lose\"\nshare = 1.5\nfor = \"1s\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:1: share = 1.5 is not in [0, 1]"},
 		"slow by nothing":          {"[[link]]\ndo = \"slow\"\nfor = \"1s\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:1: slow needs delay or jitter"},
-		"a reset that lasts":       {"[[link]]\ndo = \"reset\"\nfor = \"1s\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:1: reset happens at a moment"},
+		"a reset that lasts":       {"[[link]]\ndo = \"reset\"\nfor = \"1s\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:1: reset takes no time"},
 		"sender without a name":    {"[[sender]]\ndo = \"kill\"\n", "x.toml:1: kill needs which"},
-		"surge of two":             {"[[surge]]\nfor = \"1s\"\nmember = \"a\"\nsender = \"n0\"\n", "x.toml:1: a surge is"},
+		"surge of two":             {"[[surge]]\nfor = \"1s\"\nmember = \"a\"\nsender = \"n0\"\n", "x.toml:1: a surge takes"},
 		"a name that breaks lines": {"[[member]]\nname = \"a\\nb\"\nshare = 1.0\n", "x.toml:1: member name"},
 	} {
 		_, err := Parse("x.toml", []byte(c.text))
@@ -60,17 +60,17 @@
 	}
 }
 
-// What names something that the day has not shows when the plan is made, with file and line.
+// Make fails, with the file and line, if an entry names a receiver, kind, sender or member that the day does not have.
 func TestPlanErrorsNameTheLine(t *testing.T) {
 	for name, c := range map[string]struct{ text, says string }{
-		"no such receiver": {"[day]\n[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\nwho = {name = \"r99\"}\n", "x.toml:2: who names no receiver"},
-		"no such kind":     {"[day]\n[[list]]\ndo = \"replace\"\nwho = {kind = \"bank\"}\n", "x.toml:2: who names no receiver"},
+		"no such receiver": {"[day]\n[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\nwho = {name = \"r99\"}\n", "x.toml:2: who matches no receiver"},
+		"no such kind":     {"[day]\n[[list]]\ndo = \"replace\"\nwho = {kind = \"bank\"}\n", "x.toml:2: who matches no receiver"},
 		"too many":         {"[day]\nreceivers = 2\n[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\nwho = {random = 3}\n", "x.toml:3: random = 3 of 2"},
-		"no such sender":   {"[day]\n[[sender]]\ndo = \"kill\"\nwhich = \"n7\"\n", "x.toml:2: no sender is called \"n7\"; there are n0 to n1"},
-		"no such member":   {"[day]\n[[surge]]\nfor = \"1s\"\nmember = \"nobody\"\n", "x.toml:2: no member is called"},
-		"link to no one":   {"[day]\n[[link]]\ndo = \"cut\"\nfor = \"1s\"\nfrom = \"n0\"\nto = \"n9\"\n", "x.toml:2: no sender is called \"n9\""},
-		"link of one":      {"[day]\nsenders = 1\n[[link]]\ndo = \"cut\"\nfor = \"1s\"\nfrom = \"all\"\nto = \"all\"\n", "x.toml:3: no link lies between"},
-		"surge of no one":  {"[day]\n[[surge]]\nfor = \"1s\"\nsender = \"x\"\n", "x.toml:2: no sender is called"},
+		"no such sender":   {"[day]\n[[sender]]\ndo = \"kill\"\nwhich = \"n7\"\n", "x.toml:2: there is no sender \"n7\"; the senders are n0 to n1"},
+		"no such member":   {"[day]\n[[surge]]\nfor = \"1s\"\nmember = \"nobody\"\n", "x.toml:2: there is no member"},
+		"link to no one":   {"[day]\n[[link]]\ndo = \"cut\"\nfor = \"1s\"\nfrom = \"n0\"\nto = \"n9\"\n", "x.toml:2: there is no sender \"n9\""},
+		"link of one":      {"[day]\nsenders = 1\n[[link]]\ndo = \"cut\"\nfor = \"1s\"\nfrom = \"all\"\nto = \"all\"\n", "x.toml:3: there is no link between"},
+		"surge of no one":  {"[day]\n[[surge]]\nfor = \"1s\"\nsender = \"x\"\n", "x.toml:2: there is no sender"},
 		"troubles, no day": {"[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\nwho = {random = 1}\n", "x.toml: no [day]"},
 	} {
 		s, err := Parse("x.toml", []byte(c.text))
@@ -97,7 +97,7 @@
 	return all
 }
 
-// The scripts that ship can be played, each says what it is, and every overlay fits every day.
+// The shipped scripts are valid, each has a description, and every overlay can be combined with every day.
 func TestShippedScripts(t *testing.T) {
 	var days, over []*Script
 	for _, path := range shipped(t) {
@@ -106,7 +106,7 @@
 			t.Fatal(err)
 		}
 		if s.About == "" {
-			t.Errorf("%s says nothing about itself", path)
+			t.Errorf("%s has no description (about)", path)
 		}
 		if s.Day == nil {
 			over = append(over, s)
@@ -115,7 +115,7 @@
 		}
 	}
 	if len(days) < 12 || len(over) == 0 {
-		t.Errorf("%d days and %d to be laid over them", len(days), len(over))
+		t.Errorf("%d days and %d overlays, want at least 12 days and one overlay", len(days), len(over))
 	}
 	for _, d := range days {
 		if _, err := d.Make(); err != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-// One seed gives the same plan again, another one another; a trouble more changes no arrival.
+// The same seed gives the same plan, another seed gives other arrivals, and an additional fault does not change the arrivals.
 func TestOneSeedOnePlan(t *testing.T) {
 	for _, path := range shipped(t) {
 		plan := func(seed uint64, text string) *Plan {
@@ -174,12 +174,12 @@
 		}
 		more := plan(0, "\n[[trouble]]\nwhat = \"slow\"\nat = \"1s\"\nfor = \"1s\"\nwho = {random = 1}\n")
 		if !reflect.DeepEqual(a.Arrivals, more.Arrivals) || !reflect.DeepEqual(a.Receivers, more.Receivers) {
-			t.Errorf("%s: a trouble more changes the arrivals", path)
+			t.Errorf("%s: an additional fault changes the arrivals or the receivers", path)
 		}
 	}
 }
 
-// Arrivals come at the stated rate, by the stated shares, and more of them in a surge.
+// Arrivals follow the configured rate and sender shares, and a surge multiplies those of its member only.
 func TestArrivals(t *testing.T) {
 	s, err := Parse("x.toml", []byte("[day]\nseconds = 400\nrate = 100\nsenders = 2\nsender_shares = [3.0, 1.0]\n"+
 		"[[surge]]\nat = \"100s\"\nfor = \"100s\"\nfactor = 3\nmember = \"evergreen\"\n"))
@@ -207,19 +207,19 @@
 	member := func(a Arrival) bool { return p.Receivers[a.Dest].Member == "evergreen" }
 	in := func(a Arrival, from, to time.Duration) bool { return a.At >= from*time.Second && a.At < to*time.Second }
 	near("before the surge", count(func(a Arrival) bool { return in(a, 0, 100) }), 10_000)
-	near("the other members in it", count(func(a Arrival) bool { return in(a, 100, 200) && !member(a) }),
+	near("the other members during the surge", count(func(a Arrival) bool { return in(a, 100, 200) && !member(a) }),
 		count(func(a Arrival) bool { return in(a, 200, 300) && !member(a) }))
-	near("the member in it", count(func(a Arrival) bool { return in(a, 100, 200) && member(a) }),
+	near("the member during the surge", count(func(a Arrival) bool { return in(a, 100, 200) && member(a) }),
 		3*count(func(a Arrival) bool { return in(a, 300, 400) && member(a) }))
-	near("the first sender's part", count(func(a Arrival) bool { return a.Sender == 0 }), 0.75*float64(len(p.Arrivals)))
+	near("the first sender's share", count(func(a Arrival) bool { return a.Sender == 0 }), 0.75*float64(len(p.Arrivals)))
 	for i := 1; i < len(p.Arrivals); i++ {
 		if p.Arrivals[i].At < p.Arrivals[i-1].At {
-			t.Fatal("arrivals are not in order of time")
+			t.Fatal("arrivals are not sorted by time")
 		}
 	}
 }
 
-// Clumps make up their share: that many messages come within 50 ms of others for the same receiver.
+// Clumps make up the configured share: about that share of the messages arrives within 50 ms of another one for the same receiver.
 func TestClumps(t *testing.T) {
 	s, err := Parse("x.toml", []byte("[day]\nseconds = 2000\nrate = 10\nreceivers = 20\nclumps = 0.3\nclump_span = \"3s\"\n"))
 	if err != nil {
@@ -242,11 +242,12 @@
 		last[a.Dest] = a.At
 	}
 	if share := float64(clumped) / float64(len(p.Arrivals)); share < 0.25 || share > 0.4 {
-		t.Errorf("%v of the messages come in clumps, want about 0.3 and a few by chance", share)
+		t.Errorf("%v of the messages come in clumps, want about 0.3, plus a few by chance", share)
 	}
 }
 
-// Sleepers get nothing, a burst comes whole within its time, and neither changes what others get.
+// A receiver that sleeps gets no messages, a burst arrives completely within its period, and neither changes the number of
+// messages for other receivers.
 func TestSleepsAndBursts(t *testing.T) {
 	const day = "[day]\nseconds = 60\nrate = 50\nreceivers = 6\n"
 	plan := func(more string) *Plan {
@@ -271,29 +272,29 @@
 		return n
 	}
 	if n := count(is, 1, 10*time.Second, 30*time.Second); n != 0 {
-		t.Errorf("%d messages for a sleeper", n)
+		t.Errorf("%d messages for a receiver that sleeps", n)
 	}
 	if n := count(is, 1, 30*time.Second, 32*time.Second) - count(was, 1, 30*time.Second, 32*time.Second); n != 200 {
-		t.Errorf("%d messages in a burst of 200", n)
+		t.Errorf("%d messages in a burst, want 200", n)
 	}
 	if is.Wakes[0] != (Wake{30 * time.Second, 1, 200}) {
 		t.Errorf("%+v", is.Wakes)
 	}
 	for _, dest := range []int{0, 2, 3, 4, 5} {
 		if a, b := count(was, dest, 0, time.Hour), count(is, dest, 0, time.Hour); a != b {
-			t.Errorf("receiver %d: %d messages, %d without the sleeper", dest, b, a)
+			t.Errorf("receiver %d: %d messages, %d without the sleep and the burst", dest, b, a)
 		}
 	}
 	for text, says := range map[string]string{
 		"[[sleep]]\nwho = {name = \"r1\"}\n": "x.toml:5: a sleep needs for", "[[burst]]\nwho = {name = \"r1\"}\n": "x.toml:5: messages = 0",
-		"[[burst]]\nmessages = 3\n": "x.toml:5: who needs one of"} {
+		"[[burst]]\nmessages = 3\n": "x.toml:5: who needs exactly one of"} {
 		if _, err := Parse("x.toml", []byte(day+text)); err == nil || !strings.Contains(err.Error(), says) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
 }
 
-// Those struck by a share of the traffic get no more than it, or the smallest of all.
+// Receivers selected by a share of the traffic get at most that share together.
 func TestWhoByTraffic(t *testing.T) {
 	for seed := range 50 {
 		s, err := Parse("x.toml", []byte(fmt.Sprintf("[day]\nseed = %d\n[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\nwho = {traffic = 0.3}\n", seed+1)))
@@ -309,7 +310,7 @@
 			sum += p.Receivers[d].Weight
 		}
 		if sum > 0.3 || sum < 0.15 {
-			t.Errorf("seed %d: %v of the traffic is struck", seed+1, sum)
+			t.Errorf("seed %d: the selected receivers get %v of the traffic, want 0.15 to 0.3", seed+1, sum)
 		}
 	}
 }
@@ -327,12 +328,12 @@
 		s, err := Parse("x.toml", []byte(text))
 		if err != nil {
 			if !strings.HasPrefix(err.Error(), "x.toml:") {
-				t.Errorf("an error without its place: %v", err)
+				t.Errorf("an error without file and line: %v", err)
 			}
 			return
 		}
 		if s.Day == nil || s.Day.Seconds*s.Day.Rate > 1e4 || s.Day.Receivers > 100 {
-			return // sound, but too large to draw here
+			return // valid, but too large to draw here
 		}
 		for _, g := range s.Surges {
 			if g.Factor > 3 {
@@ -345,13 +346,13 @@
 		}
 		for _, a := range p.Arrivals {
 			if a.Dest < 0 || a.Dest >= len(p.Receivers) || a.Class >= len(p.Classes) || a.At < 0 {
-				t.Fatalf("an arrival of nothing: %+v", a)
+				t.Fatalf("an arrival with an invalid receiver, class or time: %+v", a)
 			}
 		}
 	})
 }
 
-// Faults of links and processes are acts of the plan with their ends, printed so that whom they strike can be told.
+// The plan has an act for the begin and the end of each fault of links and processes, and prints the senders or links that it affects.
 func TestFaultsOfLinksAndProcesses(t *testing.T) {
 	s, err := Parse("x.toml", []byte(`
 [day]
--- a/internal/faulttest/script/validate.go
+++ b/internal/faulttest/script/validate.go
@@ -9,10 +9,10 @@
 	"saffronyard.example/saffronyard/internal/faulttest/fault"
 )
 
-// placer names the place of the i-th entry of a kind in its file, as in "day.toml:12: class 2".
+// placer returns the file and line of the i-th table of a kind, as in "day.toml:12".
 type placer func(kind string, i int) string
 
-// check fills in the defaults of a script and reports the first part of it that cannot be played.
+// check fills in the defaults of a script and returns an error for the first invalid entry.
 func (s *Script) check(where placer) error {
 	if s.Day != nil {
 		if err := s.Day.check(where("day", 0)); err != nil {
@@ -28,28 +28,28 @@
 	return s.checkTraffic(where)
 }
 
-// names are those given so far, each with what it names.
+// names is the set of names that are taken, each as "kind name".
 type names map[string]bool
 
-// add reports a name that is missing, too long, not one word, or given before to another of the kind.
+// add adds a name. It fails if the name is missing, too long, not one word, or already taken by another entry of the kind.
 func (n names) add(at, kind, name string) error {
 	if name == "" {
 		return invalid(at, "a %s needs a name", kind)
 	}
 	if len(name) > maxName || strings.ContainsAny(name, " ,\r\n\t") {
-		return invalid(at, "%s name %q: at most 64 characters, none of them blank or a comma", kind, name)
+		return invalid(at, "%s name %q: want at most 64 bytes, without blanks, line breaks and commas", kind, name)
 	}
 	if n[kind+" "+name] {
-		return invalid(at, "two of the name %s %q", kind, name)
+		return invalid(at, "duplicate name: %s %q", kind, name)
 	}
 	n[kind+" "+name] = true
 	return nil
 }
 
-// maxName bounds the length of a name, in bytes.
+// maxName is the maximum length of a name, in bytes.
 const maxName = 64
 
-// checkNamed checks what has a name: classes, kinds of receivers, and members.
+// checkNamed checks the entries that have names: classes, kinds of receivers, and members.
 func (s *Script) checkNamed(where placer) error {
 	given := names{}
 	for i := range s.Classes {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// checkEvents checks what happens to receivers, to the endpoint list, to senders and to links.
+// checkEvents checks the faults of receivers, the changes of the endpoint list, the actions on senders and the faults of links.
 func (s *Script) checkEvents(where placer) error {
 	for i := range s.Faults {
 		t := &s.Faults[i]
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// checkTraffic checks what changes the traffic: surges, sleeps and bursts.
+// checkTraffic checks the changes of the traffic: surges, sleeps and bursts.
 func (s *Script) checkTraffic(where placer) error {
 	for i := range s.Surges {
 		g := &s.Surges[i]
@@ -136,7 +136,7 @@
 		z.where = where("burst", i)
 		set(&z.Within, Span(time.Second))
 		if z.Messages < 1 || z.Messages > 100_000 {
-			return invalid(z.where, "messages = %d is not from 1 to 100000", z.Messages)
+			return invalid(z.where, "messages = %d is not in [1, 100000]", z.Messages)
 		}
 		if err := z.Who.check(z.where); err != nil {
 			return err
@@ -154,15 +154,15 @@
 		return invalid(g.where, "a surge needs for")
 	}
 	if g.Member != "" && g.Sender != "" {
-		return invalid(g.where, "a surge is a member's or a sender's, not both")
+		return invalid(g.where, "a surge takes member or sender, not both")
 	}
 	return nil
 }
 
-// inside is whether v lies in (from, to]; NaN does not.
+// inside reports whether v lies in (from, to]. It returns false for NaN.
 func inside(v, from, to float64) bool { return v > from && v <= to && !math.IsNaN(v) }
 
-// setDefaults fills in what a script leaves out; the fields' comments tell the values.
+// setDefaults sets the fields that a script leaves out to the defaults in the fields' comments.
 func (d *Day) setDefaults() {
 	set(&d.Seconds, 15)
 	set(&d.Seed, 1)
@@ -219,17 +219,17 @@
 		}
 	}
 	if !d.Speak.Known(true) {
-		return invalid(at, "day: speak = %q; there are plain, binary, structured, batched and mixed", d.Speak)
+		return invalid(at, "day: unknown speak = %q; want plain, binary, structured, batched or mixed", d.Speak)
 	}
 	if len(d.Endpoints) != 2 || d.Endpoints[0] < 1 || d.Endpoints[1] < d.Endpoints[0] || d.Endpoints[1] > 16 {
-		return invalid(at, "day: endpoints = %v: least and most, from 1 to 16", d.Endpoints)
+		return invalid(at, "day: endpoints = %v: want minimum and maximum, from 1 to 16", d.Endpoints)
 	}
 	if d.SenderWeights != nil && len(d.SenderWeights) != d.Senders {
-		return invalid(at, "day: sender_shares names %d shares for %d senders", len(d.SenderWeights), d.Senders)
+		return invalid(at, "day: sender_shares has %d shares for %d senders", len(d.SenderWeights), d.Senders)
 	}
 	for _, v := range d.SenderWeights {
 		if !inside(v, 0, 1e6) {
-			return invalid(at, "day: sender_shares: %v is not over 0", v)
+			return invalid(at, "day: sender_shares: %v is not in (0, 1000000]", v)
 		}
 	}
 	return nil
@@ -246,13 +246,13 @@
 	switch c.Effect {
 	case "safe", "keyed", "unsafe":
 	default:
-		return invalid(at, "class %q: effect = %q; there are safe, keyed, unsafe", c.Name, c.Effect)
+		return invalid(at, "class %q: unknown effect = %q; want safe, keyed or unsafe", c.Name, c.Effect)
 	}
 	if !inside(c.Weight, 0, 1000) || c.Keys < 1 || c.Keys > 10000 || !inside(c.LateValue, -1e-9, 1) {
-		return invalid(at, "class %q: share must be over 0, keys 1 to 10000, late_worth 0 to 1", c.Name)
+		return invalid(at, "class %q: share must be in (0, 1000], keys in [1, 10000], late_worth in [0, 1]", c.Name)
 	}
 	if c.LatencyTarget.D() > c.Deadline.D() || c.Deadline.D() > time.Minute {
-		return invalid(at, "class %q: aim %v, deadline %v: the aim is not later than the deadline, and that at most 1m", c.Name, c.LatencyTarget.D(), c.Deadline.D())
+		return invalid(at, "class %q: aim %v, deadline %v: the aim must not exceed the deadline, and the deadline must not exceed 1m", c.Name, c.LatencyTarget.D(), c.Deadline.D())
 	}
 	return nil
 }
@@ -260,7 +260,7 @@
 func (k *Kind) check(at string) error {
 	set(&k.Format, encoding.Plain)
 	if !k.Format.Known(false) {
-		return invalid(at, "kind %q: form = %q; there are plain, binary, structured and batched", k.Name, k.Format)
+		return invalid(at, "kind %q: unknown form = %q; want plain, binary, structured or batched", k.Name, k.Format)
 	}
 	set(&k.Weight, 1)
 	set(&k.Service, Span(150*time.Millisecond))
@@ -280,24 +280,24 @@
 	}
 	for name, r := range map[string][]float64{"headroom": k.Headroom, "limit_room": k.LimitHeadroom} {
 		if len(r) != 2 || !inside(r[0], 0, 1000) || !inside(r[1], 0, 1000) || r[1] < r[0] {
-			return invalid(at, "kind %q: %s = %v: least and most, over 0", k.Name, name, r)
+			return invalid(at, "kind %q: %s = %v: want minimum and maximum, over 0", k.Name, name, r)
 		}
 	}
 	switch k.Times {
 	case "exp", "lognormal", "fixed":
 	default:
-		return invalid(at, "kind %q: times = %q; there are exp, lognormal, fixed", k.Name, k.Times)
+		return invalid(at, "kind %q: unknown times = %q; want exp, lognormal or fixed", k.Name, k.Times)
 	}
 	switch k.Limit {
 	case "none", "rate", "window":
 	default:
-		return invalid(at, "kind %q: limit = %q; there are none, rate, window", k.Name, k.Limit)
+		return invalid(at, "kind %q: unknown limit = %q; want none, rate or window", k.Name, k.Limit)
 	}
 	if !inside(k.Weight, 0, 1000) || !inside(k.Spread, 0, 10) || !inside(k.MinRate, 0, 1e5) || k.Connections < 0 || k.MinConnections < 1 {
-		return invalid(at, "kind %q: share, spread, least_rate and least_conns must be over 0, connections not under", k.Name)
+		return invalid(at, "kind %q: share, spread, least_rate and least_conns must be over 0, and connections must not be negative", k.Name)
 	}
 	if k.Service.D() > 10*time.Second || k.Window.D() > time.Minute {
-		return invalid(at, "kind %q: service is 10s at most, window 1m", k.Name)
+		return invalid(at, "kind %q: service must be at most 10s, and window at most 1m", k.Name)
 	}
 	return nil
 }
@@ -310,7 +310,7 @@
 		}
 	}
 	if n != 1 {
-		return invalid(at, "who needs one of name, kind, member, traffic, random; it has %d", n)
+		return invalid(at, "who needs exactly one of name, kind, member, traffic, random; it has %d", n)
 	}
 	if w.Traffic != 0 && !inside(w.Traffic, 0, 1) {
 		return invalid(at, "who: traffic = %v is not in (0, 1]", w.Traffic)
@@ -341,7 +341,7 @@
 		return invalid(t.where, "%s: only = %d is negative", t.What, t.Only)
 	}
 	if t.Only > 0 && t.What != fault.Drain {
-		return invalid(t.where, "only goes with drain; %s strikes the whole receiver", t.What)
+		return invalid(t.where, "only is allowed only with drain; %s affects all endpoints of the receiver", t.What)
 	}
 	return nil
 }
@@ -358,7 +358,7 @@
 		}
 	case "move":
 	default:
-		return invalid(l.where, "do = %q; there are replace, down, late, move", l.Do)
+		return invalid(l.where, "unknown do = %q; want replace, down, late or move", l.Do)
 	}
 	return nil
 }
