--- a/internal/faulttest/day/acts.go
+++ b/internal/faulttest/day/acts.go
@@ -16,7 +16,7 @@
 	d.log.Add(eventlog.Event{Kind: eventlog.KitFailure, Detail: fmt.Sprintf(format, args...)})
 }
 
-// background does what takes time beside the plan.
+// background runs f in a goroutine that Close waits for, and logs its error as a failure of the kit.
 func (d *Day) background(f func() error) {
 	d.tasks.Add(1)
 	go func() {
@@ -27,7 +27,7 @@
 	}()
 }
 
-// act does what the plan says, when it says so.
+// act performs the acts of the plan at their times.
 func (d *Day) act() {
 	for _, a := range d.plan.Acts {
 		if !traffic.Sleep(d.ctx, a.At-d.log.Now()) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// do carries out one act of the plan.
+// do performs one act of the plan.
 func (d *Day) do(a script.Act) {
 	switch a.Do {
 	case "trouble", "end":
@@ -100,11 +100,11 @@
 	}
 }
 
-// moveDiscovery gives discovery another address for each sender and has them read their configuration again.
+// moveDiscovery gives discovery another address for each sender that is ready and makes these senders reload their configuration.
 func (d *Day) moveDiscovery() {
 	for i, s := range slices.Clone(d.senders) {
 		if !s.Ready() {
-			continue // its next process is told the address it finds then
+			continue // its next process gets the current address in its configuration
 		}
 		d.background(func() error {
 			addr, err := d.discovery.Move(s.Name)
@@ -120,7 +120,7 @@
 	}
 }
 
-// restart ends a sender's process in the way of an act (kill, restart, lose, old) and starts the next one after a pause.
+// restart ends a sender's process as the act (kill, restart, lose or old) requires, and starts the next process after a pause.
 func (d *Day) restart(s *fleet.Sender, act string) error {
 	pause := fleet.DownTime
 	switch act {
@@ -151,7 +151,7 @@
 	return s.Start(act == "lose")
 }
 
-// updateList changes a line of the list, as late as discovery tells it.
+// updateList changes an entry of the list in the background, after the delay of discovery.
 func (d *Day) updateList(t platform.Target) {
 	d.mu.Lock()
 	delay := d.delay
@@ -164,8 +164,8 @@
 	})
 }
 
-// drain begins or ends a drain of so many of a receiver's endpoints, the first ones, or all. Where two overlap
-// an endpoint serves again when both are over.
+// drain begins or ends a drain of a receiver's first endpoints, as many as only says, or of all if only is 0. If drains of an endpoint
+// overlap, the endpoint serves again only when all of them are over.
 func (d *Day) drain(dest, only int, begins bool) {
 	for i, e := range d.receivers[dest].Endpoints() {
 		if only > 0 && i >= only {
@@ -189,8 +189,8 @@
 	}
 }
 
-// replace puts a new endpoint in the place of a receiver's first one: the new one is listed, the old one
-// drains, and is gone some time later.
+// replace replaces a receiver's first endpoint: it lists a new endpoint, and the old one drains and is later removed from the list
+// and stopped.
 func (d *Day) replace(dest int) {
 	r := d.receivers[dest]
 	all := r.Endpoints()
--- a/internal/faulttest/day/day.go
+++ b/internal/faulttest/day/day.go
@@ -1,5 +1,5 @@
-// Package day plays a rehearsal: it starts the stand-ins and the senders, does what the plan says when it
-// says so, and leaves the event log.
+// Package day plays the day of a fault test: it starts the simulated receivers and platform and the senders, performs the acts of
+// the plan at their times, and writes the event log.
 package day
 
 import (
@@ -24,40 +24,40 @@
 	maxAttempts       = 6
 	answerGrace       = 300 * time.Millisecond
 	readyGrace        = 1500 * time.Millisecond
-	waitLetIn         = 50 * time.Millisecond // and the grace
+	waitLetIn         = 50 * time.Millisecond // the day's grace is added to it
 	connIdle          = 15 * time.Second
 	connectTime       = 1500 * time.Millisecond
-	removeAfter       = 3 * time.Second // a replaced endpoint is gone so long after it began to drain
-	lostBack          = 2 * time.Second // a machine that was lost comes back, empty, after this
+	removeAfter       = 3 * time.Second // time from the begin of a replaced endpoint's drain to its removal from the list, and from there to its stop
+	lostBack          = 2 * time.Second // time until a lost machine comes back with an empty folder
 	stabilizationTime = 500 * time.Millisecond
 	tickInterval      = 5 * time.Millisecond
 )
 
-// Options say how a day is played.
+// Options configure how a day is played.
 type Options struct {
-	Command []string  // the sender's program
-	Folder  string    // for the senders' files; made anew
-	Log     io.Writer // of events, may be nil
+	Command []string  // the sender's program and its arguments
+	Folder  string    // for the senders' files; created if it does not exist
+	Log     io.Writer // receives the event log; may be nil
 	Watch   func(eventlog.Event)
-	During  func(ctx context.Context, d *Day) // runs beside the day, if not nil; the day waits for its end
-	Open    bool                              // messages that nobody of the kit handed in are taken as they come
+	During  func(ctx context.Context, d *Day) // if not nil, runs during the day, which waits for it to return
+	Open    bool                              // receivers accept messages that the kit's clients did not hand in
 }
 
-// Usage is what a day took of the machine.
+// Usage is the resources that a day used.
 type Usage struct {
 	Senders time.Duration // CPU of all sender processes
 	Kit     time.Duration // CPU of the kit itself
 	Wall    time.Duration
-	Memory  int64 // bytes: the most that one sender process held
+	Memory  int64 // maximum memory of one sender process, in bytes
 }
 
-// Day is a day being played.
+// Day is a day that is being played.
 type Day struct {
 	plan      *script.Plan
 	options   Options
 	log       *eventlog.Log
 	hosts     *hosts
-	text      string // of the features, with places
+	text      string // of the features file, with placeholders for addresses
 	links     *links.Net
 	registry  *traffic.Registry
 	clients   *traffic.Clients
@@ -67,13 +67,13 @@
 	mu        sync.Mutex
 	senders   []*fleet.Sender
 	receivers []*receiver.Server
-	draining  map[string]int // endpoint to the number of drains that hold it
-	delay     time.Duration  // of discovery's news
+	draining  map[string]int // number of active drains, by endpoint
+	delay     time.Duration  // before discovery reports a change
 	tasks     sync.WaitGroup
 	ctx       context.Context
 }
 
-// Play plays a day to its end, or until ctx ends; what was written by then is in the log either way.
+// Play plays a day to its end, or until ctx ends. In both cases it returns the events up to then.
 func Play(ctx context.Context, plan *script.Plan, opt Options) ([]eventlog.Event, Usage, error) {
 	d, err := Open(ctx, plan, opt)
 	if err != nil {
@@ -99,7 +99,7 @@
 	case <-over:
 	case <-ctx.Done():
 	}
-	traffic.Sleep(ctx, stabilizationTime) // what crossed the last end is written down
+	traffic.Sleep(ctx, stabilizationTime) // events still in flight at the end are recorded
 	if ctx.Err() == nil {
 		d.late.flush()
 		d.log.Add(eventlog.Event{Kind: eventlog.End})
@@ -115,7 +115,7 @@
 	return d.log.Events(), use, errors.Join(err, ctx.Err())
 }
 
-// Close ends all processes and stand-ins, and writes the log out.
+// Close stops all senders, the simulated receivers and the platform, and flushes the event log.
 func (d *Day) Close() error {
 	d.tasks.Wait()
 	d.late.stop()
@@ -141,17 +141,17 @@
 	return d.log.Flush()
 }
 
-// Now is the day's time, as its log has it.
+// Now returns the time since the start of the day, as the event log records it.
 func (d *Day) Now() time.Duration { return d.log.Now() }
 
-// Sender is one of the senders' machines.
+// Sender returns the sender with the given number.
 func (d *Day) Sender(i int) *fleet.Sender {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.senders[i]
 }
 
-// Heal lets all links be sound and all processes run, whatever the plan has done to them.
+// Heal ends all faults of links and resumes all suspended sender processes.
 func (d *Day) Heal() {
 	d.links.Heal()
 	d.mu.Lock()
@@ -162,7 +162,7 @@
 	}
 }
 
-// Places names what runs and where, a line each.
+// Places describes the address of each sender and each endpoint, one per line.
 func (d *Day) Places() []string {
 	var lines []string
 	for _, s := range d.senders {
@@ -176,14 +176,14 @@
 	return lines
 }
 
-// Curl is a command that hands a message in at the first sender for the first receiver.
+// Curl returns a shell command that hands a message for the first receiver in at the first sender.
 func (d *Day) Curl() string {
 	c := d.plan.Classes[0]
 	return fmt.Sprintf(`curl -i -H "X-Request-Id: $(date +%%s%%N)" -H "X-Class: %s" -H "X-Tenant: %s" -H "X-Deadline-Ms: %d" -H "Idempotency-Key: $(date +%%s%%N)" -H "X-Addressing: dest=0" -d hello http://%s/api`,
 		c.Name, d.plan.Receivers[0].Member, c.Deadline.D().Milliseconds(), d.senders[0].Listen)
 }
 
-// Faults lets what the plan says happen from now on, in the background.
+// Faults starts to perform the acts of the plan in the background.
 func (d *Day) Faults() {
 	d.background(func() error {
 		d.act()
--- a/internal/faulttest/day/day_test.go
+++ b/internal/faulttest/day/day_test.go
@@ -19,12 +19,12 @@
 	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
-// The tests' own program stands in for a sender: the small right one.
+// The test binary runs itself as the sender: the small sender of package mutant, without a fault.
 func TestMain(m *testing.M) {
 	if os.Getenv("EDGE_CONFIG") != "" {
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 		defer stop()
-		signal.Ignore(syscall.SIGHUP) // it asks where it asked before
+		signal.Ignore(syscall.SIGHUP) // it does not reload: it keeps the address of discovery that it started with
 		if err := mutant.Run(ctx, mutant.Right, os.Getenv); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -56,7 +56,7 @@
 	return Options{Command: []string{self}, Folder: t.TempDir()}
 }
 
-// lines are what a sender was told of an endpoint, and what the list said of it.
+// lines returns the states of an endpoint in the events of a kind, in order: those in the list, or those sent to sender n0.
 func lines(events []eventlog.Event, kind eventlog.Kind, endpoint string) string {
 	var all []string
 	for _, e := range events {
@@ -67,8 +67,8 @@
 	return strings.Join(all, " ")
 }
 
-// Two drains that overlap are one, from the first begin to the last end, whatever else strikes the receiver;
-// a replaced endpoint is drained, then gone, and the new one is listed.
+// Two overlapping drains act as one, from the begin of the first to the end of the last, regardless of other faults of the receiver.
+// A replaced endpoint is drained and then removed, and the new one is listed.
 func TestPlay_DrainingAndReplacement(t *testing.T) {
 	t.Parallel()
 	p := makePlan(t, `
@@ -106,14 +106,14 @@
 		t.Fatal(err)
 	}
 	for endpoint, want := range map[string]string{
-		"r0-e0": "SERVING DRAINING SERVING", "r0-e1": "SERVING DRAINING SERVING", // the first one drains in both
+		"r0-e0": "SERVING DRAINING SERVING", "r0-e1": "SERVING DRAINING SERVING", // r0-e0 is in both drains
 		"r1-e0": "SERVING DRAINING DELETED", "r1-e2": "SERVING", "r2-e0": "SERVING",
 	} {
 		if got := lines(events, eventlog.Changed, endpoint); got != want {
-			t.Errorf("the list says of %s: %s, want %s", endpoint, got, want)
+			t.Errorf("states of %s in the list: %s, want %s", endpoint, got, want)
 		}
 		if got := lines(events, eventlog.ListSent, endpoint); got != want {
-			t.Errorf("the sender is told of %s: %s, want %s", endpoint, got, want)
+			t.Errorf("states of %s sent to the sender: %s, want %s", endpoint, got, want)
 		}
 	}
 	first := func(endpoint, state string) (at int64) {
@@ -125,11 +125,11 @@
 		return at
 	}
 	if from, to := first("r0-e0", "DRAINING"), first("r0-e0", "SERVING"); from < 500_000 || from > 1_500_000 || to < 3_500_000 {
-		t.Errorf("the overlapping drains last from %d to %d µs", from, to)
+		t.Errorf("the overlapping drains last from %d to %d µs, want a begin at 0.5 to 1.5 s and an end from 3.5 s on", from, to)
 	}
 }
 
-// A kit that stands still for a while says that the day decides nothing.
+// A day on which the kit stalls for a while is inconclusive.
 func TestLateKit(t *testing.T) {
 	t.Parallel()
 	p := makePlan(t, "[day]\nseconds = 2\nrate = 20\nsenders = 1\nreceivers = 2\n")
@@ -137,7 +137,7 @@
 	var once sync.Once
 	o.Watch = func(e eventlog.Event) {
 		if e.Kind == eventlog.Done && e.T > 500_000 {
-			once.Do(func() { time.Sleep(120 * time.Millisecond) }) // with the log's lock: all stand-ins wait
+			once.Do(func() { time.Sleep(120 * time.Millisecond) }) // holds the log's lock, so that all simulated components wait
 		}
 	}
 	events, _, err := Play(context.Background(), p, o)
@@ -153,7 +153,7 @@
 	}
 }
 
-// Interrupted, a day ends its senders and leaves no end in its log.
+// A day that is interrupted stops its senders and has no end event in its log.
 func TestInterrupted(t *testing.T) {
 	t.Parallel()
 	p := makePlan(t, "[day]\nseconds = 60\nrate = 20\nsenders = 2\nreceivers = 2\n[[sender]]\ndo = \"restart\"\nwhich = \"n0\"\nat = \"200ms\"\n")
@@ -177,16 +177,17 @@
 		case eventlog.Exit:
 			exits++
 		case eventlog.End:
-			t.Error("the log says that the day came to its end")
-		default: // the other events tell nothing here
+			t.Error("the log of an interrupted day has an end event")
+		default: // other events do not matter here
 		}
 	}
 	if starts != 2 || exits != 2 {
-		t.Errorf("%d senders began, %d ended", starts, exits)
+		t.Errorf("%d sender processes started and %d ended, want 2 each", starts, exits)
 	}
 }
 
-// Discovery moves, a sender joins, another loses its disk: each ready again, each written down.
+// When discovery moves, a sender joins and another loses its disk, the log has a ready event for each sender process, and the sender
+// that joined gets its share of the messages.
 func TestSendersComeAndGo(t *testing.T) {
 	t.Parallel()
 	p := makePlan(t, `
@@ -220,14 +221,14 @@
 			ready[e.Sender]++
 		case eventlog.KitFailure:
 			t.Error(e.Detail)
-		default: // the other events tell nothing here
+		default: // other events do not matter here
 		}
 	}
 	if fmt.Sprint(ready) != "map[n0:1 n1:2 n2:1]" {
-		t.Errorf("ready: %v", ready)
+		t.Errorf("ready events by sender: %v", ready)
 	}
 	if use.Senders <= 0 || use.Kit <= 0 || use.Memory <= 0 {
-		t.Errorf("used %+v", use)
+		t.Errorf("the usage lacks CPU time or memory: %+v", use)
 	}
 	handed := map[string]int{}
 	for _, e := range events {
@@ -236,9 +237,9 @@
 		}
 	}
 	if handed["n0"] == 0 {
-		t.Errorf("handed in: %v", handed)
+		t.Errorf("no messages were handed in at n0: %v", handed)
 	}
-	// From when it is ready the one that joined has its part: a third while three are up, half while n1 is lost.
+	// Once n2 is ready, it gets its share: a third while three senders are up, half while n1 is lost.
 	here, all, joined := false, 0, 0
 	for _, e := range events {
 		switch {
@@ -251,11 +252,11 @@
 		}
 	}
 	if all < 30 || joined*5 < all || joined*3 > 2*all {
-		t.Errorf("the one that joined was handed %d of %d", joined, all)
+		t.Errorf("the sender that joined got %d of %d messages", joined, all)
 	}
 }
 
-// Addresses are dealt out once, and lie in 127/8.
+// Each address is allocated only once and lies in 127.0.0.0/8.
 func TestHosts(t *testing.T) {
 	h := newHosts()
 	seen := map[string]bool{}
@@ -268,8 +269,8 @@
 	}
 }
 
-// Each sender's file names the others by links of its own; faults are in the log with their ends, and the folder that was
-// kept comes back.
+// Each sender's features file names the other senders by its own links. The log has the begin and the end of a link's fault, and
+// the copy and the restoration of a sender's folder.
 func TestLinksAndFolders(t *testing.T) {
 	t.Parallel()
 	p := makePlan(t, `
@@ -308,7 +309,7 @@
 		switch e.Kind {
 		case eventlog.Link, eventlog.Folder, eventlog.KitFailure:
 			got = append(got, strings.TrimSpace(e.Sender+" "+e.Endpoint+" "+e.Detail))
-		default: // the other events tell nothing here
+		default: // other events do not matter here
 		}
 	}
 	if want := "n1  kept, n0 n1 cut, n0 n1 heal, n1  old"; strings.Join(got, ", ") != want {
@@ -331,8 +332,8 @@
 		t.Errorf("%q", files)
 	}
 	for _, link := range []string{line("n0", "other"), line("n1", "mine")} {
-		if !strings.HasPrefix(link, "127.0.0.1:") { // where links listen; senders have hosts of their own
-			t.Errorf("%q is reached without a link", link)
+		if !strings.HasPrefix(link, "127.0.0.1:") { // the address of links; senders listen on their own hosts
+			t.Errorf("%q is not the address of a link", link)
 		}
 	}
 }
--- a/internal/faulttest/day/hosts.go
+++ b/internal/faulttest/day/hosts.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// hosts deals out loopback addresses, each once: a port that is closed and opened again is then taken by
-// nothing else. Days that run at the same time begin at different places.
+// hosts allocates loopback addresses, each only once, so that no other listener takes a port between its close and its reopening.
+// Days that run at the same time start at different addresses.
 type hosts struct {
 	mu      sync.Mutex
 	last    uint32
@@ -20,7 +20,7 @@
 }
 
 func newHosts() *hosts {
-	// 127.64.0.0 to 127.255.0.0, in blocks by the process and the moment.
+	// The start is an address in 127.64.0.0 to 127.255.0.0, chosen by the process ID and the time.
 	block := (uint32(os.Getpid())*2654435761 ^ uint32(time.Now().UnixNano())) % (190 << 16)
 	return &hosts{last: 127<<24 | 64<<16 + block}
 }
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("127.%d.%d.%d", 64+(h.last>>16&0xff)%190, h.last>>8&0xff, h.last&0xff)
 }
 
-// sender is the host of a sender, the same each time.
+// sender returns the host of a sender, which stays the same for the whole day.
 func (h *hosts) sender(i int) string {
 	for {
 		h.mu.Lock()
@@ -51,15 +51,15 @@
 	}
 }
 
-// hostSlot stands in the features of a day for where a sender reaches another: {n1} for its host, {n1:7948} for a port of it by
-// the link between the two.
+// hostSlot is the placeholder in a day's features for the address of another sender: {n1} for its host, {n1:7948} for its port
+// through the link between the two senders.
 var hostSlot = regexp.MustCompile(`\{n(\d+)(?::(\d+))?\}`)
 
-// reach stands for tables by which a sender reaches all others at ports of theirs, TCP and UDP, by links: {reach peers 7946 7947}
-// for [[peers.reach]].
+// reach is the placeholder for tables with the addresses through which a sender reaches ports of all other senders, TCP and UDP, by
+// links: {reach peers 7946 7947} becomes [[peers.reach]] tables.
 var reach = regexp.MustCompile(`\{reach (\w+)((?: \d+)+)\}`)
 
-// features writes the operators' file of a sender; there is none if the day has no features.
+// features writes the features file of a sender and returns the arguments that pass it. It returns none if the day has no features.
 func (d *Day) features(i int) (args []string, err error) {
 	if d.text == "" {
 		return nil, nil
@@ -107,7 +107,7 @@
 		err = os.WriteFile(path, []byte(text), 0o644)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("rehearsal: %w", err)
+		return nil, fmt.Errorf("write features file: %w", err)
 	}
 	return []string{"-features", path}, nil
 }
--- a/internal/faulttest/day/late.go
+++ b/internal/faulttest/day/late.go
@@ -10,8 +10,8 @@
 	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
-// lateness measures how late the kit itself runs: by how much messages are handed in after their time, and
-// by how much a beat comes after its own. Both are written down once a second.
+// lateness measures how late the kit itself runs: how long after their scheduled times messages are handed in and a periodic tick
+// fires. It logs both once a second.
 type lateness struct {
 	log  *eventlog.Log
 	quit chan struct{}
@@ -60,7 +60,7 @@
 	}()
 }
 
-// flush writes down what was measured since the last time.
+// flush logs the lateness measured since the last flush.
 func (l *lateness) flush() {
 	l.mu.Lock()
 	s := l.samples
@@ -84,7 +84,7 @@
 	}
 }
 
-// kitCPU is the CPU time that this process has used.
+// kitCPU returns the CPU time that this process has used.
 func kitCPU() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -93,7 +93,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Sleep lets a time go by, or less if ctx ends before.
+// Sleep waits for d or until ctx ends.
 func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(max(0, d))
 	defer t.Stop()
--- a/internal/faulttest/day/setup.go
+++ b/internal/faulttest/day/setup.go
@@ -23,12 +23,12 @@
 	"saffronyard.example/saffronyard/internal/faulttest/traffic"
 )
 
-// Open starts the stand-ins and the senders and returns when all are ready.
+// Open starts the simulated receivers, the platform and the senders, and returns when all are ready.
 func Open(ctx context.Context, plan *script.Plan, opt Options) (*Day, error) {
 	if err := os.MkdirAll(opt.Folder, 0o755); err != nil {
 		return nil, fmt.Errorf("rehearsal: %w", err)
 	}
-	// The day's clock starts with its arrivals: what is set up before has its events at time 0 and after.
+	// The day's clock starts with the arrivals, at Restart below: the events of the setup get times before 0.
 	d := &Day{plan: plan, hosts: newHosts(), draining: map[string]int{}, delay: plan.Day.ListDelay.D(), ctx: ctx}
 	zone := &zoneFile{path: filepath.Join(opt.Folder, "kit.zone")}
 	text := plan.FeaturesText()
@@ -88,7 +88,7 @@
 	return d, nil
 }
 
-// machine makes the next sender's machine.
+// machine creates the sender with number i, without starting its process.
 func (d *Day) machine(i int) (*fleet.Sender, error) {
 	name, host := name(i), d.hosts.sender(i)
 	args, err := d.features(i)
@@ -120,7 +120,7 @@
 	return platform.Target{ID: e.ID, Addr: e.Addr, Zone: "a", Kind: d.plan.Receivers[dest].Kind, Cell: dest, State: state, Weight: 1}
 }
 
-// figures are what the judge goes by.
+// figures returns the parameters of the day that the judge uses.
 func (d *Day) figures() *eventlog.Figures {
 	day := d.plan.Day
 	f := &eventlog.Figures{Name: d.plan.Name, Seed: day.Seed, Seconds: day.Seconds, AnswerGrace: answerGrace.Milliseconds(), Grace: day.Grace.D().Milliseconds(),
@@ -140,7 +140,7 @@
 	return f
 }
 
-// config is a sender's configuration, in the names of PROTOCOL and DEPLOY.
+// config returns a sender's configuration, with the keys that PROTOCOL and DEPLOY define.
 func (d *Day) config(i int, discovery string, known platform.Targets, run int) (map[string]any, error) {
 	day, p := d.plan.Day, d.plan
 	rate := day.Rate / day.Load / float64(p.Senders)
@@ -197,7 +197,7 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Folder makes a new folder for a day's files below the system's one for those.
+// Folder creates a new folder for a day's files in the system's folder for temporary files.
 func Folder(name string) (string, error) {
 	dir, err := os.MkdirTemp("", "rehearsal-"+name+"-")
 	if err != nil {
@@ -206,7 +206,7 @@
 	return filepath.Clean(dir), nil
 }
 
-// Machine describes the machine's size for notes on measurements.
+// Machine describes the machine on which a measurement runs.
 func Machine() string {
 	return fmt.Sprintf("%d cores, %s/%s, %s", runtime.NumCPU(), runtime.GOOS, runtime.GOARCH, runtime.Version())
 }
--- a/internal/faulttest/day/zonefile.go
+++ b/internal/faulttest/day/zonefile.go
@@ -11,8 +11,8 @@
 	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
-// zoneFile stands in for the operators' DNS: a zone file that says where receivers are, replaced whole with each change. Each
-// receiver has two names, and each address is listed at both: a sender that took them for two endpoints would push it over.
+// zoneFile simulates the operators' DNS: a zone file with the addresses of the receivers, which each change replaces atomically. Each
+// receiver has two names, and both list each address: a sender that treated them as two endpoints would overload the receiver.
 type zoneFile struct {
 	path   string
 	serial int
@@ -20,10 +20,10 @@
 
 const zoneName = "kit"
 
-// services are the names of a receiver below its own.
+// services are the service labels under which a receiver is listed.
 var services = [...]string{"_hooks", "_notices"}
 
-// features is what has a sender follow the file.
+// features returns the text of a features file that makes a sender follow the zone file.
 func (z *zoneFile) features(plan *script.Plan) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[dns]\n[[dns.zone]]\nname = %q\nfile = %q\n", zoneName, z.path)
@@ -35,7 +35,7 @@
 	return b.String()
 }
 
-// write lists the endpoints, each as a SRV record of its receiver.
+// write replaces the zone file with one that lists the endpoints, each as an SRV record under both names of its receiver.
 func (z *zoneFile) write(all []platform.Target) error {
 	z.serial++
 	var b strings.Builder
--- a/internal/faulttest/encoding/encoding.go
+++ b/internal/faulttest/encoding/encoding.go
@@ -1,5 +1,6 @@
-// Package encoding is what stand-ins know of CloudEvents: how clients write a message as an event, and what receivers find
-// in a call. It shares no code with the sender, so that what one writes wrongly the other does not read as right.
+// Package encoding implements CloudEvents for the simulated clients and receivers: how clients write a message as an event, and how
+// receivers read the events in a call. It shares no code with the sender, so that a fault of the sender's encoding is not hidden by
+// the same fault in the decoding.
 package encoding
 
 import (
@@ -15,10 +16,10 @@
 	"time"
 )
 
-// Format is how a message is written.
+// Format is the format in which a message is written.
 type Format string
 
-// The forms: the platform's own, and the content modes of the CloudEvents HTTP binding. Mixed takes turns.
+// The formats: the platform's own, and the content modes of the CloudEvents HTTP binding. Mixed alternates between all of them.
 const (
 	Plain      Format = "plain"
 	Binary     Format = "binary"
@@ -27,7 +28,7 @@
 	Mixed      Format = "mixed"
 )
 
-// Known is whether a script may name the form; mixed is for clients only.
+// Known reports whether a script may use the format. Mixed is valid for clients only.
 func (f Format) Known(client bool) bool {
 	switch f {
 	case Plain, Binary, Structured, Batched:
@@ -39,7 +40,7 @@
 	}
 }
 
-// Of is the form of the n-th message.
+// Of returns the format of the n-th message.
 func (f Format) Of(n int) Format {
 	if f == Mixed {
 		return []Format{Plain, Binary, Structured, Batched}[n%4]
@@ -47,27 +48,27 @@
 	return f
 }
 
-// Message is what a client hands in.
+// Message is a message that a client hands in.
 type Message struct {
 	ID                        string // of the event
-	Request                   string // of this request, and of the message if it is new; "" for ID
+	Request                   string // ID of this request, and of the message if it is new; "" means ID
 	Class, Member, Key, Order string
 	Dest                      int
 	Expires                   time.Time
 	Body                      []byte // text
 }
 
-// Path is where events are handed in.
+// Path is the URL path at which events are handed in.
 const Path = "/events"
 
-// The attributes that the stand-ins use; a sender's rules name them.
+// The attributes that the simulated clients set. The rules in a sender's features file refer to them.
 const (
 	Source     = "/rehearsal/clients"
 	typePrefix = "rehearsal."
 )
 
-// Rules is the text of an operators' file that has a sender take in events as Request writes them: rules for classes,
-// told which are keyed and which ordered.
+// Rules returns the text of a features file with which a sender accepts events as Request writes them. It has a rule for each class,
+// with the key and the order key that the class needs.
 func Rules(classes []Class) string {
 	var b strings.Builder
 	b.WriteString("[events]\nremember = \"1m\"\nremember_most = 10000\n")
@@ -84,14 +85,15 @@
 	return b.String()
 }
 
-// Class is a class of message as the rules need it.
+// Class has the properties of a message class that Rules needs.
 type Class struct {
 	Name           string
 	Keyed, Ordered bool
 	Deadline       time.Duration
 }
 
-// Delivery is the text of an operators' file that has a sender write its calls to kinds of receivers in forms.
+// Delivery returns the text of a features file with which a sender writes its calls to each kind of receiver in the given format.
+// Plain needs no text.
 func Delivery(kinds map[string]Format) string {
 	var b strings.Builder
 	for _, f := range []Format{Binary, Structured, Batched} {
@@ -112,7 +114,7 @@
 	return b.String()
 }
 
-// sum stands for all of an event that a receiver can check: its attributes and data have to arrive as they left.
+// sum returns a checksum over the attributes and data of an event, which must reach the receiver unchanged.
 func sum(id, source, kind, subject, member, key, order string, body []byte) string {
 	h := fnv.New64a()
 	for _, s := range []string{id, source, kind, subject, member, key, order, string(body)} {
@@ -121,7 +123,7 @@
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// Request writes a message as the request that hands it in.
+// Request returns the HTTP request that hands a message in.
 func (f Format) Request(m Message) []byte {
 	kind, subject := typePrefix+m.Class, "dest/"+strconv.Itoa(m.Dest)
 	attributes := [][2]string{{"specversion", "1.0"}, {"id", m.ID}, {"source", Source}, {"type", kind}, {"subject", subject}, {"member", m.Member},
@@ -151,11 +153,11 @@
 		}
 		raw, err := json.Marshal(object)
 		if err != nil {
-			panic(err) // strings can't fail
+			panic(err) // a map of strings can always be marshalled
 		}
 		body.Write(raw)
 	}
-	if f == Batched { // a message of a batch has the request's id and its place
+	if f == Batched { // the ID of a message in a batch is the ID of the request and the message's index
 		media = "application/cloudevents-batch+json"
 		id = strings.TrimSuffix(id, BatchTail)
 		raw := "[" + body.String() + "]"
@@ -166,25 +168,25 @@
 	return append([]byte(text), body.Bytes()...)
 }
 
-// BatchTail is what ends the id of a message that is handed in as the only one of a batch.
+// BatchTail is the suffix of the ID of a message that is handed in as the only one of a batch.
 const BatchTail = "-0"
 
-// Read finds the messages in a call that should have a form, by their ids. An error says what is wrong with it: a
-// sender that sends such a thing has spoilt an event.
+// Read returns the IDs of the messages in a call that must have the given format. An error means that the sender corrupted an event
+// or used another format.
 func (f Format) Read(h http.Header, body []byte) ([]string, error) {
 	if f == Plain || f == "" {
 		id := h.Get("X-Request-Id")
 		if h.Get("Ce-Id") == "" {
 			return []string{id}, nil
 		}
-		// An event for a plain receiver: the platform's id, and the event whole beside it.
+		// An event for a plain receiver: the call has the platform's ID and, in addition, the complete event.
 		if err := binary(h, body).check(); err != nil {
 			return nil, err
 		}
 		return []string{id}, nil
 	}
 	media := ""
-	if text := h.Get("Content-Type"); text != "" { // bytes need none
+	if text := h.Get("Content-Type"); text != "" { // binary data needs no content type
 		var err error
 		if media, _, err = mime.ParseMediaType(text); err != nil {
 			return nil, fmt.Errorf("%s: Content-Type %q: %w", f, text, err)
@@ -223,7 +225,7 @@
 	return ids, nil
 }
 
-// event is one as JSON has it.
+// event has the attributes and data of an event, as in its JSON format.
 type event struct{ members map[string]any }
 
 func (e event) get(name string) string {
@@ -246,7 +248,7 @@
 	return e
 }
 
-// check is whether an event is sound, and, if it came from a client of ours as an event, is what that sent.
+// check returns an error if an event is invalid or if it differs from what a simulated client sent as an event.
 func (e event) check() error {
 	for _, name := range []string{"id", "source", "type"} {
 		if e.get(name) == "" {
@@ -257,7 +259,7 @@
 		return invalidEvent("event %s has the specversion %q", e.get("id"), v)
 	}
 	if e.get("source") != Source {
-		return nil // made of a plain message
+		return nil // the sender made this event from a plain message
 	}
 	want := sum(e.get("id"), Source, e.get("type"), e.get("subject"), e.get("member"), e.get("idkey"), e.get("orderkey"), []byte(e.get("data")))
 	if got := e.get("sum"); got != want {
@@ -266,7 +268,7 @@
 	return nil
 }
 
-// InvalidEventError reports a call of a sender that holds no sound event.
+// InvalidEventError reports a call of a sender without a valid event.
 type InvalidEventError struct{ Problem string }
 
 // Error implements error.
--- a/internal/faulttest/encoding/encoding_test.go
+++ b/internal/faulttest/encoding/encoding_test.go
@@ -28,7 +28,7 @@
 	return r, body
 }
 
-// What a client writes a receiver of that form reads; any change to it is found.
+// A receiver reads what a client wrote in the same format, and detects any change to it and any other format.
 func TestWriteAndRead(t *testing.T) {
 	for _, f := range []Format{Binary, Structured, Batched} {
 		r, body := parse(t, f.Request(message()))
@@ -51,26 +51,26 @@
 			}
 			r, body := parse(t, raw)
 			if _, err := f.Read(r.Header, body); err == nil {
-				t.Errorf("%s with %s for %s passes", f, is, was)
+				t.Errorf("%s: no error with %s instead of %s", f, is, was)
 			}
 		}
 	}
 	r, body := parse(t, Binary.Request(message()))
 	if ids, err := Plain.Read(r.Header, body); err != nil || ids[0] != "7f00-0" {
-		t.Errorf("an event at a plain receiver: %v %v", ids, err)
+		t.Errorf("event at a plain receiver: %v %v", ids, err)
 	}
 	if _, err := Plain.Read(r.Header, []byte("other text")); err == nil {
-		t.Error("a spoilt event at a plain receiver passes")
+		t.Error("no error for a corrupted event at a plain receiver")
 	}
 	if ids, err := Plain.Read(http.Header{"X-Request-Id": {"a"}}, nil); err != nil || ids[0] != "a" {
 		t.Errorf("%v %v", ids, err)
 	}
-	made := http.Header{"Ce-Specversion": {"1.0"}, "Ce-Id": {"a"}, "Ce-Source": {"/sender"}, "Ce-Type": {"x"}} // of a plain message
+	made := http.Header{"Ce-Specversion": {"1.0"}, "Ce-Id": {"a"}, "Ce-Source": {"/sender"}, "Ce-Type": {"x"}} // made by the sender from a plain message
 	if ids, err := Binary.Read(made, []byte{0}); err != nil || ids[0] != "a" {
 		t.Errorf("%v %v", ids, err)
 	}
 	if _, err := Batched.Read(http.Header{"Content-Type": {"application/cloudevents-batch+json"}}, []byte("[]")); err == nil {
-		t.Error("an empty call passes")
+		t.Error("no error for a call without events")
 	}
 }
 
@@ -85,9 +85,9 @@
 		t.Error(d)
 	}
 	if Delivery(map[string]Format{"y": Plain}) != "" {
-		t.Error("plain needs no delivery")
+		t.Error("delivery text for plain receivers only, want none")
 	}
 	if Mixed.Of(0) != Plain || Mixed.Of(7) != Batched || Binary.Of(3) != Binary || Mixed.Known(false) || !Mixed.Known(true) || Format("xml").Known(true) {
-		t.Error("forms")
+		t.Error("Of or Known is wrong for a format")
 	}
 }
--- a/internal/faulttest/eventlog/eventlog.go
+++ b/internal/faulttest/eventlog/eventlog.go
@@ -1,5 +1,5 @@
-// Package eventlog is the record of a rehearsal: one JSON object a line, written as things happen by the
-// stand-ins and read by the judge and the report, which know of a day nothing else.
+// Package eventlog is the event log of a fault test, with one JSON object per line. The simulated components append events as they
+// happen; the judge and the report read the log and have no other input about a day.
 package eventlog
 
 import (
@@ -13,59 +13,59 @@
 	"time"
 )
 
-// Kind says what happened.
+// Kind is the kind of an event.
 type Kind string
 
-// The kinds of event. The fields that each sets are named beside it; T is set by all.
+// The kinds of event. Each comment names the fields that the kind sets, by their names in Event; all kinds set T.
 const (
 	World        Kind = "world"   // Figures: the first line
-	Start        Kind = "start"   // Sender, Run: a process was started; Note "new" if its folder was empty
-	Ready        Kind = "ready"   // Sender, Run: it answers its readiness check
+	Start        Kind = "start"   // Sender, Run: a process was started; Detail is "new" if its folder was empty
+	Ready        Kind = "ready"   // Sender, Run: the process passes its readiness check
 	Term         Kind = "term"    // Sender, Run: SIGTERM is about to be sent
-	Killed       Kind = "kill"    // Sender, Run: SIGKILL is about to be sent; Note "lost" if its folder goes too
-	Paused       Kind = "pause"   // Sender, Run, State on or off: SIGSTOP, SIGCONT is about to be sent
-	Folder       Kind = "folder"  // Sender, Note: "kept" a copy of its folder is taken, "old" its next process gets that copy
-	Link         Kind = "link"    // Sender (from), Endpoint (to), Note: the direction between the two is so from now on
-	Exit         Kind = "exit"    // Sender, Run, Status: it has ended; Note "crash" if nobody asked it to
-	HandIn       Kind = "handin"  // Sender, ID, Msg, Class, Tenant, Dest, DeadlineMS, Order, Try: stamped before it is written
-	Answer       Kind = "answer"  // Sender, ID, Status, RetryMS; Status 0: none came, and Note says why
-	Call         Kind = "call"    // Dest, Endpoint, Sender, ID, Call, First, With: the last byte of a call has come; Note "unknown" and State, why, for one that is nothing handed in
-	Done         Kind = "done"    // Call, ID, Dest, Status, WaitMS, Note: stamped before the answer is written
+	Killed       Kind = "kill"    // Sender, Run: SIGKILL is about to be sent; Detail is "lost" if the folder is deleted too
+	Paused       Kind = "pause"   // Sender, Run, State: SIGSTOP (on) or SIGCONT (off) is about to be sent
+	Folder       Kind = "folder"  // Sender, Detail: "kept" if a copy of its folder was made, "old" if its next process gets that copy
+	Link         Kind = "link"    // Sender (from), Endpoint (to), Detail: the condition of this direction of the link from now on
+	Exit         Kind = "exit"    // Sender, Run, Status: the process has ended; Detail is "crash" if the kit did not end it
+	HandIn       Kind = "handin"  // Sender, ID, Msg, Class, Tenant, Dest, DeadlineMS, Order, Attempt: stamped before the request is written
+	Answer       Kind = "answer"  // Sender, ID, Status, RetryMS; Status is 0 if no answer came, and Detail has the reason
+	Call         Kind = "call"    // Dest, Endpoint, Sender, ID, Call, First, With: the last byte of a call has arrived; Detail is "unknown", and State the reason, for a call of a message that was not handed in
+	Done         Kind = "done"    // Call, ID, Dest, Status, WaitMS, Detail: stamped before the answer is written
 	Notice       Kind = "notice"  // Sender, ID, Outcome, RetryMS
 	Changed      Kind = "change"  // Endpoint, Dest, State: discovery's list was changed
-	ListSent     Kind = "told"    // Sender, Run, Endpoint, Dest, State: stamped after it is written; Note "deemed" if it never was
-	FaultChanged Kind = "trouble" // Dest, Note (what), State on or off
-	Outage       Kind = "outage"  // Dest, State on or off; off: Capacity
-	Fell         Kind = "fell"    // Dest: knocked over for good
-	Slip         Kind = "slip"    // once a second: MaxUS and P99US of the kit's own lateness, Count of samples
-	KitFailure   Kind = "fault"   // Note: the kit itself failed at something
+	ListSent     Kind = "told"    // Sender, Run, Endpoint, Dest, State: the sender got this state; stamped after the answer is written; Detail is "deemed" if the sender did not request it in time
+	FaultChanged Kind = "trouble" // Dest, Detail (the fault), State on or off
+	Outage       Kind = "outage"  // Dest, State on or off; with off also Capacity
+	Fell         Kind = "fell"    // Dest: the receiver failed under overload and stays down
+	Slip         Kind = "slip"    // once a second: MaxUS and P99US of the kit's own lateness, Count of its samples
+	KitFailure   Kind = "fault"   // Detail: an operation of the kit itself failed
 	End          Kind = "end"     // the day is over
 )
 
-// Notes on calls that ended without a sound answer.
+// Details of calls that ended without a valid answer.
 const (
 	DetailReset          = "reset"  // the connection was broken after the last byte
-	DetailCorrupt        = "spoilt" // an answer that can't be read; Status tells its first line if that is sound
+	DetailCorrupt        = "spoilt" // the answer is unreadable; Status is that of its first line if that line is readable
 	DetailClosedBySender = "left"   // the sender closed its connection
 )
 
-// Event is one line. Times are microseconds since the day's start on the kit's one monotonic clock.
+// Event is one line of the log. Times are microseconds since the start of the day, on the kit's single monotonic clock.
 type Event struct {
 	T        int64    `json:"t"`
 	Kind     Kind     `json:"kind"`
 	Sender   string   `json:"sender,omitempty"`
-	Run      int      `json:"run,omitempty"`   // which process of that sender, from 1
-	ID       string   `json:"id,omitempty"`    // of one hand-in
-	Event    string   `json:"event,omitempty"` // a hand-in that repeats one event at one sender: ID of the first
-	Msg      string   `json:"msg,omitempty"`   // of the message, the same for all its hand-ins
+	Run      int      `json:"run,omitempty"`   // number of the sender's process, from 1
+	ID       string   `json:"id,omitempty"`    // of the hand-in
+	Event    string   `json:"event,omitempty"` // ID of the first hand-in, if this one repeats an event at the same sender
+	Msg      string   `json:"msg,omitempty"`   // of the message; the same for all its hand-ins
 	Class    string   `json:"class,omitempty"`
 	Tenant   string   `json:"tenant,omitempty"`
-	Order    string   `json:"order,omitempty"` // key of the order
+	Order    string   `json:"order,omitempty"` // order key
 	Dest     int      `json:"dest,omitempty"`
 	Endpoint string   `json:"endpoint,omitempty"`
 	Call     int64    `json:"call,omitempty"`
-	With     int64    `json:"with,omitempty"`  // the first of several messages that came in one call; 0 for that itself
-	First    int64    `json:"first,omitempty"` // microseconds: a call's first byte
+	With     int64    `json:"with,omitempty"`  // Call of the first of several messages in the same request; 0 for the first message itself
+	First    int64    `json:"first,omitempty"` // time of a call's first byte, in microseconds
 	Status   int      `json:"status,omitempty"`
 	WaitMS   int64    `json:"wait_ms,omitempty"`
 	RetryMS  int64    `json:"retry_ms,omitempty"`
@@ -81,13 +81,13 @@
 	Figures  *Figures `json:"figures,omitempty"`
 }
 
-// Figures are what the rules of a day go by. Spans are milliseconds.
+// Figures are the parameters of a day that the rules use. Durations are in milliseconds.
 type Figures struct {
 	Name              string           `json:"name"`
 	Seed              uint64           `json:"seed"`
-	Seconds           float64          `json:"seconds"` // of arrivals
+	Seconds           float64          `json:"seconds"` // duration of the arrivals
 	AnswerGrace       int64            `json:"answer_grace_ms"`
-	Grace             int64            `json:"grace_ms"` // added to each limit
+	Grace             int64            `json:"grace_ms"` // tolerance added to each time limit
 	ReadyGrace        int64            `json:"ready_grace_ms"`
 	DrainGrace        int64            `json:"drain_grace_ms"`
 	WaitLetIn         int64            `json:"wait_let_in_ms"`
@@ -98,11 +98,11 @@
 	OrderRest         int64            `json:"settle_ms"`
 	Patience          int64            `json:"patience_ms"`
 	Classes           map[string]Class `json:"classes"`
-	Receivers         []Receiver       `json:"receivers"` // by number
+	Receivers         []Receiver       `json:"receivers"` // by destination number
 	Wakes             []Wake           `json:"wakes,omitempty"`
 }
 
-// Class is a class of message as the rules see it.
+// Class has the properties of a message class that the rules use.
 type Class struct {
 	Effect        string  `json:"effect"` // safe, keyed or unsafe
 	KeyWindow     int64   `json:"key_window_ms,omitempty"`
@@ -112,7 +112,7 @@
 	Value         float64 `json:"worth"`
 }
 
-// Wake is a burst for a receiver.
+// Wake is a burst of messages for a receiver.
 type Wake struct {
 	AtMS     int64 `json:"at_ms"`
 	Dest     int   `json:"dest"`
@@ -127,22 +127,22 @@
 	Capacity float64 `json:"capacity"` // calls a second when warm
 }
 
-// Log takes events from all stand-ins. The zero value is of no use; New makes one.
+// Log collects the events of all simulated components. It must be created with New.
 type Log struct {
 	start time.Time
-	shift atomic.Int64 // of the day's begin after start
+	shift atomic.Int64 // time from start to the begin of the day
 
 	mu       sync.Mutex
 	begun    bool
-	early    []Event // before the day began
+	early    []Event // events from before the day began
 	out      *bufio.Writer
 	recorded []Event
 	watch    func(Event)
 	err      error
 }
 
-// New makes a log that counts time from now on, until Restart lets the day itself begin, and writes to w, which may be nil. watch, if not nil, is
-// called with every event in order and must be quick.
+// New creates a log that writes to w, which may be nil. Its clock starts now and is reset when Restart begins the day. watch, if not
+// nil, is called with every event in order, with the log locked, and must return quickly.
 func New(w io.Writer, watch func(Event)) *Log {
 	l := &Log{start: time.Now(), watch: watch}
 	if w != nil {
@@ -151,10 +151,10 @@
 	return l
 }
 
-// Now is the time since the day's start.
+// Now returns the time since the start of the day.
 func (l *Log) Now() time.Duration { return time.Since(l.start) - time.Duration(l.shift.Load()) }
 
-// Restart lets the day begin now. What was added before is written down only then, at negative times.
+// Restart begins the day now. Only then are the events that were added before written, with negative times.
 func (l *Log) Restart() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -163,7 +163,7 @@
 	l.release(shift)
 }
 
-// release writes down what was kept back, moved by shift.
+// release writes the buffered events from before the day, with their times moved back by shift. The caller must hold the lock.
 func (l *Log) release(shift time.Duration) {
 	early := l.early
 	l.early, l.begun = nil, true
@@ -173,7 +173,7 @@
 	}
 }
 
-// Add stamps an event with the present time and writes it down.
+// Add stamps an event with the current time and writes it.
 func (l *Log) Add(e Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,7 +181,7 @@
 	l.add(e)
 }
 
-// At writes down an event that carries its own time.
+// At writes an event with the given time.
 func (l *Log) At(at time.Duration, e Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -208,13 +208,13 @@
 	l.err = err
 }
 
-// Wait returns when an event could be added: all stand-ins wait for that, so a kit that is held up there is late.
+// Wait returns when the log's lock is free. All simulated components wait for this lock, so the kit is late if the lock is held too long.
 func (l *Log) Wait() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 }
 
-// Flush passes on what is still buffered and tells the first error of writing.
+// Flush writes the buffered events and returns the first error of any write.
 func (l *Log) Flush() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -227,14 +227,14 @@
 	return l.err
 }
 
-// Events is a copy of all that was written so far.
+// Events returns a copy of all events that were written so far.
 func (l *Log) Events() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Event(nil), l.recorded...)
 }
 
-// Day is the events up to the end of the day: what comes behind is the kit clearing up.
+// Day returns the events up to the end of the day. The events after it are from the kit's cleanup.
 func Day(events []Event) []Event {
 	for i, e := range events {
 		if e.Kind == End {
@@ -244,8 +244,8 @@
 	return events
 }
 
-// Read reads a log. A torn last line, as a killed kit leaves it, is passed over and reported by torn; any
-// other line that can't be read is an error with its number.
+// Read reads a log. An incomplete last line, as a killed kit leaves it, is skipped and reported by torn. Any other unreadable line is
+// an error with its line number.
 func Read(r io.Reader, name string) (events []Event, torn bool, err error) {
 	in := bufio.NewReaderSize(r, 1<<16)
 	for n := 1; ; n++ {
--- a/internal/faulttest/eventlog/eventlog_test.go
+++ b/internal/faulttest/eventlog/eventlog_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// What is written is read again, and what came before the day began stands at negative times.
+// Read returns the events that were written, and events from before the begin of the day have negative times.
 func TestLog_EncodesAndDecodes(t *testing.T) {
 	var b bytes.Buffer
 	var seen []Kind
@@ -54,7 +54,7 @@
 
 func (full) Write([]byte) (int, error) { return 0, errors.New("no space") }
 
-// A log that can't be written says so at the end; the events are there all the same.
+// Flush returns the error of a failed write, and Events still returns all events.
 func TestWriteFails(t *testing.T) {
 	l := New(full{}, nil)
 	l.Restart()
@@ -62,7 +62,7 @@
 		l.Add(Event{Kind: HandIn, ID: "a", Msg: "m"})
 	}
 	if err := l.Flush(); err == nil || len(l.Events()) != 10_000 {
-		t.Errorf("%v, %d events", err, len(l.Events()))
+		t.Errorf("Flush: %v, %d events; want an error and 10000 events", err, len(l.Events()))
 	}
 }
 
@@ -72,7 +72,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		events, _, err := Read(strings.NewReader(text), "log")
 		if err != nil && !strings.HasPrefix(err.Error(), "log:") {
-			t.Errorf("an error without its place: %v", err)
+			t.Errorf("an error without file and line: %v", err)
 		}
 		for _, e := range events {
 			if e.Kind == "" {
--- a/internal/faulttest/platform/platform.go
+++ b/internal/faulttest/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform stands in for discovery and notices: one list for all senders, told to each at an
-// address of its own, since nothing else says who asks.
+// Package platform simulates discovery and the receiver of notices. All senders share one endpoint list, but each gets it at its own
+// address, because a request does not identify its sender in any other way.
 package platform
 
 import (
@@ -20,19 +20,19 @@
 	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
-// Target is a line of the list.
+// Target is an endpoint in the list.
 type Target struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
 	Kind      string  `json:"kind"`
 	Cell      int     `json:"cell"`
-	State     string  `json:"state"` // SERVING, DRAINING or, among changes only, DELETED
+	State     string  `json:"state"` // SERVING, DRAINING or, only in changes, DELETED
 	Weight    float64 `json:"weight"`
 	StartedMS int64   `json:"started_ms"`
 }
 
-// Targets is an answer.
+// Targets is the answer to a request for the list or its changes.
 type Targets struct {
 	Version int64    `json:"version"`
 	Full    bool     `json:"full"`
@@ -47,11 +47,11 @@
 )
 
 const (
-	askWithin   = 10 * time.Second // a sender that neither watches nor asks counts as told after this
-	afterFailed = 4                // times as long after a call that failed
+	askWithin   = 10 * time.Second // a sender that neither watches nor polls counts as notified after this
+	afterFailed = 4                // factor on askWithin after a failed request
 	watchGap    = 200 * time.Millisecond
 	maxWatch    = time.Minute
-	oldCloses   = 1500 * time.Millisecond // an address that discovery has left closes its connections after this
+	oldCloses   = 1500 * time.Millisecond // time until the connections to a former address are closed
 )
 
 type change struct {
@@ -60,7 +60,7 @@
 	target  Target
 }
 
-// Platform is discovery with its list.
+// Platform is the simulated discovery with its endpoint list.
 type Platform struct {
 	log    *eventlog.Log
 	host   func() string
@@ -68,47 +68,47 @@
 
 	mu      sync.Mutex
 	version int64
-	list    map[string]Target // with Deleted ones
+	list    map[string]Target // includes deleted endpoints
 	changes []change
 	wake    chan struct{}
 	down    bool
-	failed  int                    // calls while it was down
+	failed  int                    // requests while it was down
 	feeds   map[string]*senderFeed // by sender
 	stop    chan struct{}
-	zone    func([]Target) error // writes the zone file that senders follow in place of the list; nil: there is none
+	zone    func([]Target) error // writes the zone file that senders follow instead of the list; nil: senders use the list
 }
 
-// senderFeed is where one sender asks.
+// senderFeed is the address and state of discovery for one sender.
 type senderFeed struct {
 	sender string
 	addr   string
 	server *http.Server
 
-	// Under the Platform's lock. What a sender was told outlasts its moves and its processes.
+	// The Platform's lock guards the fields below. listSent survives moves of discovery and restarts of the sender's process.
 	run      int
 	listSent map[string]string // endpoint to state
 	watching int
-	last     time.Duration // when a call last ended
-	failed   bool          // that one
-	version  int64         // of the list as told
+	last     time.Duration // when the last request ended
+	failed   bool          // the last request failed
+	version  int64         // of the list that the sender got last
 }
 
-// New starts a platform without senders. notice hears of every line that is told.
+// New starts a platform without senders. It calls notice for each notice that a sender posts. host returns the host for each listener.
 func New(log *eventlog.Log, host func() string, notice func(sender, id, outcome string, retry time.Duration)) *Platform {
 	p := &Platform{log: log, host: host, notice: notice, list: map[string]Target{}, wake: make(chan struct{}), feeds: map[string]*senderFeed{}, stop: make(chan struct{})}
 	go p.deem()
 	return p
 }
 
-// Names has endpoints told by a zone file, which write writes anew: discovery lists none. A sender counts as told from the
-// moment in which the file is there.
+// Names publishes the endpoints in a zone file instead of the list, which stays empty: write rewrites the file on each change. A
+// running sender counts as notified of a change as soon as the file is written.
 func (p *Platform) Names(write func([]Target) error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.zone = write
 }
 
-// Open gives a sender its address.
+// Open starts discovery for a sender and returns its address.
 func (p *Platform) Open(sender string) (string, error) {
 	o := &senderFeed{sender: sender, listSent: map[string]string{}, last: p.log.Now()}
 	if err := p.serve(o); err != nil {
@@ -123,7 +123,7 @@
 func (p *Platform) serve(o *senderFeed) error {
 	l, err := net.Listen("tcp", p.host()+":0")
 	if err != nil {
-		return fmt.Errorf("discovery for %s: %w", o.sender, err)
+		return fmt.Errorf("listen for discovery of sender %s: %w", o.sender, err)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", func(w http.ResponseWriter, r *http.Request) { p.targets(o, w, r) })
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// Move gives a sender a new address. The old one takes no new connections and closes the open ones later.
+// Move gives discovery a new address for a sender. The old address accepts no new connections and closes the open ones after a delay.
 func (p *Platform) Move(sender string) (string, error) {
 	p.mu.Lock()
 	old := p.feeds[sender]
@@ -147,7 +147,7 @@
 	}
 	p.mu.Lock()
 	next.run, next.listSent, next.last, next.version = old.run, old.listSent, p.log.Now(), old.version
-	old.listSent = map[string]string{} // what still waits there is told nothing that counts
+	old.listSent = map[string]string{} // answers to watches that are open there are not recorded for the sender
 	p.feeds[sender] = next
 	p.mu.Unlock()
 	go func() {
@@ -159,14 +159,14 @@
 	return next.addr, nil
 }
 
-// Started tells that a sender's next process begins, and returns the list as that sender last had it, or
-// for a new one the list as it stands.
+// Started records the start of a sender's next process. It returns the list as the sender last got it, or the current list for a
+// fresh sender.
 func (p *Platform) Started(sender string, run int, fresh bool) Targets {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	o := p.feeds[sender]
 	o.run, o.last, o.failed = run, p.log.Now(), false
-	if p.zone != nil { // it reads the file as it is
+	if p.zone != nil { // the process reads the current zone file
 		p.notify(o, p.completeList(), "zone")
 		return Targets{Version: p.version, Full: true, Servers: []Target{}}
 	}
@@ -187,14 +187,14 @@
 	return known
 }
 
-// Addr is where a sender asks now.
+// Addr returns the current address of discovery for a sender.
 func (p *Platform) Addr(sender string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.feeds[sender].addr
 }
 
-// Set changes a line of the list.
+// Set adds or changes an endpoint of the list.
 func (p *Platform) Set(t Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,7 +226,7 @@
 	p.wake = make(chan struct{})
 }
 
-// Down makes calls for the list fail, or work again; watches end.
+// Down makes requests for the list fail, or succeed again. It ends open watches.
 func (p *Platform) Down(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -234,7 +234,7 @@
 	p.wakeAll()
 }
 
-// Close ends the platform.
+// Close stops the platform.
 func (p *Platform) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -263,7 +263,7 @@
 	return t
 }
 
-// since is what changed after a version: the last state of each endpoint.
+// since returns the changes after a version, with the last state of each endpoint.
 func (p *Platform) since(version int64) Targets {
 	t := Targets{Version: p.version, Servers: []Target{}}
 	seen := map[string]bool{}
@@ -277,7 +277,7 @@
 	return t
 }
 
-// notify books what a sender has been told. The lock is held.
+// notify records and logs the endpoint states that a sender got. The caller must hold the lock.
 func (p *Platform) notify(o *senderFeed, t Targets, how string) {
 	lines := t.Servers
 	if t.Full {
@@ -324,7 +324,7 @@
 			p.failed++
 			breaks := p.failed%2 == 0
 			end(true)
-			if breaks { // every second call that fails ends by a broken connection, the others by an answer
+			if breaks { // every second failing request ends with a broken connection, the others with an answer
 				panic(http.ErrAbortHandler)
 			}
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -373,7 +373,7 @@
 	end(err != nil)
 }
 
-// deem books as told what a sender that neither watches nor asks should have asked for.
+// deem periodically records as sent the changes that a sender that neither watches nor polls should have requested by now.
 func (p *Platform) deem() {
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
--- a/internal/faulttest/platform/platform_test.go
+++ b/internal/faulttest/platform/platform_test.go
@@ -56,7 +56,7 @@
 	return Target{ID: id, Addr: "127.0.0.1:1", Cell: cell, State: state}
 }
 
-// listSent is what the log says a sender was told, in order.
+// listSent returns the endpoint states that the log records as sent to senders with the given note, in order.
 func listSent(log *eventlog.Log, note string) (lines []string) {
 	for _, e := range log.Events() {
 		if e.Kind == eventlog.ListSent && e.Detail == note {
@@ -75,8 +75,8 @@
 	}
 }
 
-// The whole list lacks what is gone; a watch tells changes, with what was deleted, and what each sender
-// was told is written down.
+// The complete list omits deleted endpoints, a watch returns changes including deletions, and the log has the states that a sender
+// got.
 func TestListAndWatch(t *testing.T) {
 	p, log, addr, _ := start(t)
 	p.Set(target("a", 0, Serving))
@@ -90,7 +90,7 @@
 		l, _ := get(t, addr, "?after=2&wait_ms=20000")
 		answer <- l
 	}()
-	eventually(t, "nobody watches", func() bool {
+	eventually(t, "no watch is open", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.feeds["n0"].watching == 1
@@ -100,20 +100,20 @@
 		t.Errorf("%+v", l)
 	}
 	if l, _ := get(t, addr, "?after=1&wait_ms=0"); len(l.Servers) != 2 {
-		t.Errorf("since version 1: %+v", l)
+		t.Errorf("changes since version 1: %+v", l)
 	}
 	if l, _ := get(t, addr, "?after=3&wait_ms=10"); l.Version != 3 || l.Servers == nil || len(l.Servers) != 0 {
-		t.Errorf("nothing new: %+v", l)
+		t.Errorf("watch without changes: %+v", l)
 	}
 	if l, _ := get(t, addr, ""); len(l.Servers) != 1 {
-		t.Errorf("whole: %+v", l)
+		t.Errorf("complete list: %+v", l)
 	}
-	eventually(t, "what was told is not written down", func() bool {
+	eventually(t, "the states that the sender got are not in the log", func() bool {
 		return strings.Join(listSent(log, ""), ", ") == "a SERVING, b SERVING, a DELETED"
 	})
 }
 
-// A whole list tells of what it lacks: an endpoint that was there is gone.
+// A complete list that omits an endpoint counts as a notification of its deletion.
 func TestCompleteList_OmitsRemovedEndpoints(t *testing.T) {
 	p, log, addr, _ := start(t)
 	p.Set(target("a", 0, Serving))
@@ -121,10 +121,10 @@
 	p.Set(target("a", 0, Draining))
 	p.Set(target("a", 0, Deleted))
 	get(t, addr, "")
-	eventually(t, "not told", func() bool { return strings.Join(listSent(log, ""), ", ") == "a SERVING, a DELETED" })
+	eventually(t, "the log lacks states that the sender got", func() bool { return strings.Join(listSent(log, ""), ", ") == "a SERVING, a DELETED" })
 }
 
-// While it is down calls fail and watches end; then all works again.
+// While discovery is down, requests fail and watches end, but notices are accepted. Afterwards requests succeed again.
 func TestDown(t *testing.T) {
 	p, _, addr, notices := start(t)
 	status := make(chan int, 1)
@@ -132,22 +132,22 @@
 		_, s := get(t, addr, "?after=0&wait_ms=20000")
 		status <- s
 	}()
-	eventually(t, "nobody watches", func() bool {
+	eventually(t, "no watch is open", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.feeds["n0"].watching == 1
 	})
 	p.Down(true)
 	if s := <-status; s != http.StatusServiceUnavailable {
-		t.Errorf("the watch ends with %d", s)
+		t.Errorf("the watch ends with %d, want 503", s)
 	}
-	fresh := http.Client{Transport: &http.Transport{DisableKeepAlives: true}} // on a kept connection it would ask again
+	fresh := http.Client{Transport: &http.Transport{DisableKeepAlives: true}} // on a reused connection the client would retry
 	if resp, err := fresh.Get("http://" + addr + "/api/targets"); err == nil {
 		resp.Body.Close()
-		t.Errorf("the next call ends with %s, want a broken connection", resp.Status)
+		t.Errorf("the next request ends with %s, want a broken connection", resp.Status)
 	}
 	if _, s := get(t, addr, ""); s != http.StatusServiceUnavailable {
-		t.Errorf("the one after it ends with %d", s)
+		t.Errorf("the request after that ends with %d, want 503", s)
 	}
 	resp, err := http.Post("http://"+addr+"/v1/notices", "", strings.NewReader(`{"message":"m","outcome":"given_up"}`))
 	if err != nil {
@@ -159,11 +159,11 @@
 	}
 	p.Down(false)
 	if _, s := get(t, addr, ""); s != http.StatusOK {
-		t.Errorf("up again, and a call ends with %d", s)
+		t.Errorf("after discovery is up again, a request ends with %d", s)
 	}
 }
 
-// A move: the new address serves, the old one takes no new connection, and an open watch there is ended.
+// After a move the new address serves requests, the old one accepts no new connections, and a watch that is open there ends.
 func TestMove(t *testing.T) {
 	p, _, addr, _ := start(t)
 	watch := make(chan error, 1)
@@ -175,7 +175,7 @@
 		}
 		watch <- err
 	}()
-	eventually(t, "nobody watches", func() bool {
+	eventually(t, "no watch is open", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.feeds["n0"].watching == 1
@@ -188,8 +188,8 @@
 	if l, _ := get(t, next, ""); len(l.Servers) != 1 {
 		t.Errorf("%+v", l)
 	}
-	<-watch // answered or cut off, within the time that the old address is left
-	eventually(t, "the old address takes connections", func() bool {
+	<-watch // answered or cut off, at the latest when the connections to the old address are closed
+	eventually(t, "the old address still accepts connections", func() bool {
 		c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 		resp, err := c.Get("http://" + addr + "/api/targets")
 		if err == nil {
@@ -198,29 +198,29 @@
 		return err != nil
 	})
 	if p.Addr("n0") != next {
-		t.Error("the address is the old one")
+		t.Error("Addr does not return the new address")
 	}
 }
 
-// A process that starts is told the list as its sender last had it; a new machine the list as it is.
+// A restarted process gets the list as its sender last got it; a fresh sender gets the current list.
 func TestKnown(t *testing.T) {
 	p, log, addr, _ := start(t)
 	p.Set(target("a", 0, Serving))
 	if l := p.Started("n0", 1, true); len(l.Servers) != 1 || l.Servers[0].State != Serving {
-		t.Errorf("a new machine: %+v", l)
+		t.Errorf("fresh sender: %+v", l)
 	}
 	p.Set(target("a", 0, Draining))
 	p.Set(target("b", 0, Serving))
 	if l := p.Started("n0", 2, false); len(l.Servers) != 1 || l.Servers[0].State != Serving || l.Version != 1 {
-		t.Errorf("restarted, it last had: %+v", l)
+		t.Errorf("list after a restart: %+v", l)
 	}
 	get(t, addr, "")
-	eventually(t, "not told", func() bool { return len(listSent(log, "")) == 2 })
+	eventually(t, "the log lacks states that the sender got", func() bool { return len(listSent(log, "")) == 2 })
 	if l := p.Started("n0", 3, false); len(l.Servers) != 2 || l.Servers[0].State != Draining {
-		t.Errorf("restarted, it last had: %+v", l)
+		t.Errorf("list after a restart: %+v", l)
 	}
 	if l := p.Started("n0", 4, true); len(l.Servers) != 2 {
-		t.Errorf("a machine that was lost: %+v", l)
+		t.Errorf("sender after the loss of its machine: %+v", l)
 	}
 }
 
@@ -234,11 +234,11 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode != http.StatusBadRequest {
-			t.Errorf("%q: %s", text, resp.Status)
+			t.Errorf("notice %q: %s, want 400", text, resp.Status)
 		}
 	}
 	if n := notices(); len(n) != 0 {
-		t.Errorf("taken all the same: %v", n)
+		t.Errorf("unreadable notices were accepted: %v", n)
 	}
 	n := 0
 	for _, e := range log.Events() {
@@ -247,7 +247,7 @@
 		}
 	}
 	if n != 5 {
-		t.Errorf("%d unreadable notices in the log", n)
+		t.Errorf("%d unreadable notices in the log, want 5", n)
 	}
 	resp, err := http.Post("http://"+addr+"/v1/notices", "", strings.NewReader("{\"message\":\"a\",\"outcome\":\"given_up\"}\n{\"message\":\"b\",\"outcome\":\"handed_back\",\"retry_in_ms\":500}\n"))
 	if err != nil {
--- a/internal/faulttest/report/html.go
+++ b/internal/faulttest/report/html.go
@@ -13,7 +13,7 @@
 //go:embed report.html
 var page string
 
-// The picture's measures, in its own units.
+// The dimensions of the picture, in SVG units.
 const (
 	pictureWide = 1000
 	labelWide   = 90
@@ -22,7 +22,7 @@
 	rowGap      = 4
 )
 
-// view is what the page shows.
+// view is the data of the page's template.
 type view struct {
 	Verdict judge.Report
 	Sum     Summary
@@ -37,7 +37,7 @@
 }
 
 type chart struct {
-	Top   int // what the highest line stands for, a second
+	Top   int // value at the top of the chart, a second
 	Lines []line
 }
 
@@ -64,7 +64,7 @@
 	Text string
 }
 
-// HTML writes the report as one page that needs nothing else: no scripts, no other files.
+// HTML writes the report as one self-contained page without scripts or references to other files.
 func HTML(w io.Writer, v judge.Report, s Summary) error {
 	t, err := template.New("report").Parse(page)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// x is where a second of the day stands in the picture.
+// x returns the x coordinate of a time in the picture, in seconds of the day.
 func (s *Summary) x(second float64) float64 {
 	if s.Length <= 0 {
 		return labelWide
@@ -96,7 +96,7 @@
 	return labelWide + min(1, max(0, second/s.Length))*(pictureWide-labelWide-10)
 }
 
-// drawChart draws a line for each count of messages by second.
+// drawChart draws a line for each of the counts by second.
 func (d *view) drawChart(s Summary) {
 	top := 1
 	for _, c := range s.Seconds {
@@ -121,10 +121,10 @@
 	}
 }
 
-// maxTicks bounds the marks on the axis of time.
+// maxTicks bounds the number of ticks on the time axis.
 const maxTicks = 16
 
-// drawTicks draws the axis of time in steps of 1, 2, 5, 10, 20 ... seconds.
+// drawTicks draws the ticks of the time axis in steps of 1, 2, 5, 10, 20 ... seconds.
 func (d *view) drawTicks(s Summary) {
 	step := 1.0
 	for s.Length/step > maxTicks {
@@ -176,5 +176,5 @@
 	d.High = y + 20
 }
 
-// step5 is the grain of Flight in seconds.
+// step5 is the sampling interval of Flight, in seconds.
 const step5 = float64(step) / 1e6
--- a/internal/faulttest/report/report.go
+++ b/internal/faulttest/report/report.go
@@ -1,5 +1,5 @@
-// Package report tells of a day what the rules don't: how much worth was served, where the least, and what
-// each second was like. It reads the event log alone and does no I/O.
+// Package report summarizes a day beyond the rules: how much worth was served, when and for which member it was least, and the counts
+// of each second. Its only input is the event log, and it does no I/O except for writing the page.
 package report
 
 import (
@@ -11,47 +11,47 @@
 	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
-// Second is what happened within one second of a day.
+// Second has the counts of one second of a day.
 type Second struct {
 	Arrived, Delivered, HandedBack, Failed, AboveLimit int
-	Asked, Served                                      float64 // worth, by when it was asked for
+	Asked, Served                                      float64 // worth, by the time of the first hand-in
 }
 
-// Member is a member's part.
+// Member has the sums of a member's messages.
 type Member struct {
 	Name          string
 	Asked, Served float64
 	Messages      int
 }
 
-// ServedFraction is the part of what was asked that was served.
+// ServedFraction returns the fraction of the worth asked for that was served.
 func (m Member) ServedFraction() float64 { return fraction(m.Served, m.Asked) }
 
-// Band is a trouble of a receiver, or a sender's absence.
+// Band is a period of a fault, an outage or slow start of a receiver, or of a sender's absence.
 type Band struct {
 	Row, What string
 	From, To  float64 // seconds
 	Kind      string  // trouble, outage, cold, sender, list
 }
 
-// Flight is how many calls are out at a receiver, at the end of each fifth of a second.
+// Flight is the number of calls in flight at a receiver, at the end of each fifth of a second.
 type Flight struct {
 	Receiver string
 	Out      []int
 }
 
-// Summary is a day in figures.
+// Summary has the figures of a day.
 type Summary struct {
 	Name             string
 	Messages, Calls  int
 	HandIns          int
 	Delivered        int
-	ServedFraction   float64 // of the worth asked
-	Worst            float64 // the same in the worst 10 s
-	WorstFrom        float64 // when those begin
+	ServedFraction   float64 // of the worth asked for
+	Worst            float64 // ServedFraction in the worst 10 s
+	WorstFrom        float64 // begin of the worst 10 s, in seconds
 	WorstMember      Member
 	AboveLimit       int // calls answered 429 or 503
-	Failed           int // messages without delivery at the end
+	Failed           int // messages that were not delivered by the end
 	Seconds          []Second
 	Members          []Member
 	Bands            []Band
@@ -62,23 +62,23 @@
 	MaxLatenessMS    float64
 }
 
-// Woken is how a receiver that got a burst came to its usual service.
+// Woken is a receiver's return to its usual service rate after a burst.
 type Woken struct {
 	Receiver string
 	At       float64 // seconds into the day
 	Messages int
-	// Usual is how long after that its calls were first served at the pace that it is usually served at: four
-	// fifths of its capacity over half a second, or all of the burst. Below 0: never.
+	// Usual is the time in seconds from At until the receiver served at its usual rate, which is four fifths of its capacity over half a
+	// second, or had served the whole burst. It is negative if that never happened.
 	Usual float64
 }
 
-// usualPart and usualSpan say from when on a woken receiver is served as usual.
+// usualPart and usualSpan define the usual service rate after a burst: this fraction of the capacity over this span.
 const (
 	usualPart = 0.8
 	usualSpan = 500_000 // microseconds
 )
 
-// wakes finds for each burst when its receiver was served as usual.
+// wakes finds for each burst when its receiver reached its usual service rate.
 func (s *Summary) wakes(events []eventlog.Event, fig eventlog.Figures) {
 	served := map[int][]int64{}
 	for _, e := range events {
@@ -112,7 +112,8 @@
 	}
 }
 
-// WorstWoken is the longest time that a burst's receiver took to its usual service; ok is false if one never did.
+// WorstWoken returns the receiver that took longest to reach its usual service rate after a burst. If a receiver never reached it,
+// WorstWoken returns that receiver and ok is false.
 func (s Summary) WorstWoken() (worst Woken, ok bool) {
 	ok = true
 	for i, w := range s.Woken {
@@ -133,8 +134,8 @@
 	return served / asked
 }
 
-// value is what a message is worth that is delivered so long after it was asked for: in full within the aim,
-// then half with each further aim, down to the late worth.
+// value returns the worth of a message that is delivered late microseconds after its first hand-in. It is 1 within the latency target,
+// then halves with each further latency target down to the worth of a late message, and is 0 after the deadline.
 func value(c eventlog.Class, late int64) float64 {
 	aim := float64(c.LatencyTarget)
 	ms := float64(late) / 1000
@@ -147,16 +148,16 @@
 	return max(c.Value, math.Pow(0.5, (ms-aim)/aim))
 }
 
-// tally is what a day's events come to, message by message.
+// tally has the messages that a day's events describe.
 type tally struct {
 	figures  eventlog.Figures
 	messages []*message          // in the order of their first hand-ins
 	byID     map[string]*message // by the ID of each hand-in
-	answered map[string]bool     // hand-ins that their clients got an answer to
-	end      int64               // microseconds: the last event
+	answered map[string]bool     // hand-ins whose client got an answer
+	end      int64               // time of the last event, in microseconds
 }
 
-// message is one message over all its hand-ins. Times are microseconds.
+// message is a message with all its hand-ins. Times are in microseconds.
 type message struct {
 	first     int64
 	class     eventlog.Class
@@ -165,7 +166,7 @@
 	done      bool
 }
 
-// Make sums a day up.
+// Make summarizes a day from its events.
 func Make(events []eventlog.Event) Summary {
 	var s Summary
 	events = eventlog.Day(events)
@@ -181,11 +182,11 @@
 	return s
 }
 
-// readHandIns finds the messages of a day.
+// readHandIns collects the messages of a day from its hand-ins.
 func (s *Summary) readHandIns(events []eventlog.Event) *tally {
 	t := &tally{byID: map[string]*message{}, answered: map[string]bool{}}
 	byName := map[string]*message{}
-	repeats := map[string]string{} // hand-ins of one event, to the first of them
+	repeats := map[string]string{} // repeated hand-ins of an event, to the first hand-in
 	for _, e := range events {
 		t.end = max(t.end, e.T)
 		switch e.Kind {
@@ -212,13 +213,13 @@
 			}
 		case eventlog.Slip:
 			s.MaxLatenessMS = max(s.MaxLatenessMS, float64(e.MaxUS)/1000)
-		default: // the others tell nothing of messages
+		default: // other events say nothing about hand-ins
 		}
 	}
 	return t
 }
 
-// second is the entry of the second in which a time, in microseconds, lies.
+// second returns the entry for a time in microseconds. Times outside the day count in its first or last second.
 func (s *Summary) second(t int64) *Second {
 	return &s.Seconds[min(max(0, int(t/1e6)), len(s.Seconds)-1)]
 }
@@ -253,12 +254,12 @@
 			} else if e.Status != http.StatusOK && e.Status != http.StatusAccepted {
 				s.second(e.T).Failed++
 			}
-		default: // the others are no outcomes
+		default: // other events are not outcomes
 		}
 	}
 }
 
-// countMessages adds the messages up by second, by member and in all.
+// countMessages sums up the messages by second, by member and in total.
 func (s *Summary) countMessages(t *tally) {
 	members := map[string]*Member{}
 	var latencies []float64
@@ -303,7 +304,7 @@
 	}
 }
 
-// worst finds the ten seconds of arrivals with the least share served.
+// worst finds the ten seconds of arrivals with the lowest fraction of worth served.
 func (s *Summary) worst(length float64) {
 	s.Worst = s.ServedFraction
 	n := min(int(math.Ceil(length)), len(s.Seconds))
@@ -358,7 +359,7 @@
 			o := open{name(e.Dest), "cold", "cold"}
 			if e.State == "off" {
 				begin(o, e.T)
-			} else if at := from[o]; len(at) > 0 { // an outage while it was warming
+			} else if at := from[o]; len(at) > 0 { // a new outage during slow start
 				finish(o, min(e.T, at[0]+fig.SlowStart*1000))
 			}
 		case eventlog.Fell:
@@ -369,7 +370,7 @@
 			}
 		case eventlog.Ready:
 			finish(open{e.Sender, "away", "sender"}, e.T)
-		default: // the other events tell nothing here
+		default: // other events begin or end no band
 		}
 	}
 	for _, o := range list {
@@ -384,7 +385,7 @@
 	slices.SortStableFunc(s.Bands, func(a, b Band) int { return cmp.Or(cmp.Compare(a.Row, b.Row), cmp.Compare(a.From, b.From)) })
 }
 
-// step is the grain of the calls in flight, in microseconds.
+// step is the sampling interval of the calls in flight, in microseconds.
 const step = 200_000
 
 func (s *Summary) flights(events []eventlog.Event, fig eventlog.Figures, end int64) {
@@ -414,7 +415,7 @@
 				mark(c.Dest, e.T, -1)
 				delete(at, e.Call)
 			}
-		default: // the other events tell nothing here
+		default: // other events do not change the number of calls in flight
 		}
 	}
 	for i, r := range fig.Receivers {
--- a/internal/faulttest/report/report_test.go
+++ b/internal/faulttest/report/report_test.go
@@ -12,8 +12,8 @@
 	"saffronyard.example/saffronyard/internal/faulttest/judge"
 )
 
-// log is a day of 12 s: one message a second of member a, delivered at once but for those of seconds 3 and 4,
-// which fail and come late; member b has one, which is handed back and delivered at the second try.
+// log is a day of 12 s. Member a has one message a second, which is delivered after half a second, except that the message of
+// second 3 is late and that of second 4 fails. Member b has one message, which is handed back and delivered at the second attempt.
 func log() []eventlog.Event {
 	const s = 1_000_000
 	events := []eventlog.Event{{Kind: eventlog.World, Figures: &eventlog.Figures{Name: "x", Seconds: 12, SlowStart: 5000,
@@ -36,7 +36,7 @@
 	for i := range int64(12) {
 		after := int64(s / 2)
 		if i == 3 {
-			after = 2 * s // half of its worth
+			after = 2 * s // late: half of its worth
 		}
 		if i == 4 {
 			after = 0
@@ -89,19 +89,19 @@
 	if b := bands["sender"]; b.Row != "n0" || b.From != 7 || b.To != 8 {
 		t.Errorf("%+v", b)
 	}
-	// The call of z is out from 6 to 8 s at the second receiver.
+	// The call of message z is in flight at the second receiver from 6 to 8 s.
 	if f := s.Flights[1].Out; f[29] != 0 || f[31] != 1 || f[39] != 1 || f[41] != 0 {
 		t.Errorf("%v", f)
 	}
 }
 
-// A woken receiver is served as usual from when four fifths of its capacity go over half a second, or all of the
-// burst has gone.
+// A receiver reaches its usual service rate after a burst when it serves four fifths of its capacity over half a second, or when it
+// has served the whole burst.
 func TestWoken(t *testing.T) {
 	day := func(capacity float64, messages int, at ...float64) Woken {
 		events := []eventlog.Event{{Kind: eventlog.World, Figures: &eventlog.Figures{Receivers: []eventlog.Receiver{{Name: "r0", Capacity: capacity}},
 			Wakes: []eventlog.Wake{{AtMS: 10_000, Messages: messages}}}}}
-		for _, s := range append([]float64{9.8, 9.9}, at...) { // what came before does not count
+		for _, s := range append([]float64{9.8, 9.9}, at...) { // calls served before the burst do not count
 			events = append(events, eventlog.Event{T: int64(s * 1e6), Kind: eventlog.Done, Status: 200})
 		}
 		return Make(events).Woken[0]
@@ -129,7 +129,7 @@
 	}
 }
 
-// An answer under an id that its client counts on no longer delivers nothing.
+// A successful call for a hand-in whose client stopped waiting for the answer does not count as a delivery.
 func TestVoidHandInDeliversNothing(t *testing.T) {
 	events := []eventlog.Event{{Kind: eventlog.World, Figures: &eventlog.Figures{Classes: map[string]eventlog.Class{"c": {LatencyTarget: 1000, Deadline: 8000}}}},
 		{T: 1, Kind: eventlog.HandIn, ID: "a", Msg: "m", Class: "c"}, {T: 400_000, Kind: eventlog.Answer, ID: "a", Detail: "patience"},
@@ -139,7 +139,7 @@
 	}
 }
 
-// The page is one sound document, escapes names, needs no other file, and says what the verdict is.
+// The page is a well-formed document that escapes names, refers to no other file and shows the verdict.
 func TestHTML(t *testing.T) {
 	v, err := judge.Judge(log())
 	if err != nil {
@@ -170,7 +170,7 @@
 	}
 }
 
-// An empty day makes a page, too.
+// A day without events gives a page without NaN.
 func TestEmptyDay(t *testing.T) {
 	var b strings.Builder
 	if err := HTML(&b, judge.Report{}, Make(nil)); err != nil || strings.Contains(b.String(), "NaN") {
