--- a/internal/faulttest/cli/compare.go
+++ b/internal/faulttest/cli/compare.go
@@ -20,9 +20,9 @@
 
 // variant is a set of message formats with which a day is played.
 type variant struct {
-	name  string
-	speak encoding.Format   // of the clients
-	calls []encoding.Format // of the calls to each kind of receiver, assigned in turn
+	name         string
+	clientFormat encoding.Format   // of the clients
+	callFormats  []encoding.Format // of the calls to each kind of receiver, assigned in turn
 }
 
 // variants returns the variants that are compared: as many plain ones as given, to measure their spread, then each format for both
@@ -38,10 +38,10 @@
 	return append(all, variant{"mixed", encoding.Mixed, []encoding.Format{encoding.Binary, encoding.Plain, encoding.Batched, encoding.Structured}})
 }
 
-// over returns a copy of a day's script with the variant's formats. A script without kinds of receivers gets the usual ones.
-func (v variant) over(s script.Script) (*script.Script, error) {
+// apply returns a copy of a day's script with the variant's formats. A script without kinds of receivers gets the usual ones.
+func (v variant) apply(s script.Script) (*script.Script, error) {
 	d := *s.Day
-	d.Speak = v.speak
+	d.Speak = v.clientFormat
 	s.Day = &d
 	s.Kinds = slices.Clone(s.Kinds)
 	if len(s.Kinds) == 0 {
@@ -52,38 +52,38 @@
 		s.Kinds = usual
 	}
 	for i := range s.Kinds {
-		s.Kinds[i].Format = v.calls[i%len(v.calls)]
+		s.Kinds[i].Format = v.callFormats[i%len(v.callFormats)]
 	}
 	return &s, nil
 }
 
-// played is the result of a variant's day.
-type played struct {
+// variantResult is the result of a variant's day.
+type variantResult struct {
 	variant
-	verdict judge.Report
-	sum     report.Summary
-	answers map[string]int    // number of first answers, by status
-	first   map[string]string // status of the first answer, by message
-	use     day.Usage
+	verdict      judge.Report
+	sum          report.Summary
+	answerCounts map[string]int    // number of first answers, by status
+	firstAnswers map[string]string // status of the first answer, by message
+	use          day.Usage
 }
 
-// fates finds the first answer to each message. It ignores how messages ended, because which few of them expire while a receiver
+// recordAnswers finds the first answer to each message. It ignores how messages ended, because which few of them expire while a receiver
 // hangs differs between any two runs; the share of worth covers that.
-func (p *played) fates(events []eventlog.Event) {
-	p.answers, p.first = map[string]int{}, map[string]string{}
+func (p *variantResult) recordAnswers(events []eventlog.Event) {
+	p.answerCounts, p.firstAnswers = map[string]int{}, map[string]string{}
 	msg := map[string]string{}
 	for _, e := range eventlog.Day(events) {
 		switch e.Kind {
 		case eventlog.HandIn:
 			msg[e.ID] = e.Msg
 		case eventlog.Answer:
-			if m := msg[e.ID]; p.first[m] == "" {
+			if m := msg[e.ID]; p.firstAnswers[m] == "" {
 				status := e.Status
 				if status == 200 { // accepted like 202, and already delivered
 					status = 202
 				}
-				p.first[m] = fmt.Sprint(status)
-				p.answers[p.first[m]]++
+				p.firstAnswers[m] = fmt.Sprint(status)
+				p.answerCounts[p.firstAnswers[m]]++
 			}
 		default: // other events say nothing about first answers
 		}
@@ -91,10 +91,10 @@
 }
 
 // differ returns how many messages of p have another first answer, or none, in q.
-func (p *played) differ(q *played) int {
+func (p *variantResult) differ(q *variantResult) int {
 	n := 0
-	for m, f := range p.first {
-		if q.first[m] != f {
+	for m, f := range p.firstAnswers {
+		if q.firstAnswers[m] != f {
 			n++
 		}
 	}
@@ -129,12 +129,12 @@
 		}
 		codes = append(codes, code)
 	}
-	return worst(codes), nil
+	return worstCode(codes), nil
 }
 
 // compareDay plays one day in each variant and prints where a variant differs from the plain runs.
 func compareDay(ctx context.Context, s script.Script, path string, plain, tries int, slack float64, out io.Writer) (int, error) {
-	var runs []*played
+	var runs []*variantResult
 	code := judge.ExitPass
 	fmt.Fprintf(out, "%-11s %-24s %9s %8s %8s %8s %8s %9s  %s\n", "day, spoken", "first answers", "delivered", "worth", "p50", "p99", "differ", "CPU/msg", "rules")
 	for _, v := range variants(plain) {
@@ -154,14 +154,14 @@
 			if p.verdict.Late != "" {
 				rules = "INCONCLUSIVE: " + p.verdict.Late
 			}
-			code = worst([]int{code, p.verdict.Exit()})
+			code = worstCode([]int{code, p.verdict.Exit()})
 		}
-		fmt.Fprintf(out, "%-11s %-24s %9d %7.2f%% %7.3fs %7.3fs %8d %7.0fus  %s\n", v.name, counts(p.answers), p.sum.Delivered, p.sum.ServedFraction*100,
+		fmt.Fprintf(out, "%-11s %-24s %9d %7.2f%% %7.3fs %7.3fs %8d %7.0fus  %s\n", v.name, counts(p.answerCounts), p.sum.Delivered, p.sum.ServedFraction*100,
 			p.sum.Latency50, p.sum.Lat99, runs[0].differ(p), p.use.Senders.Seconds()*1e6/float64(max(1, p.sum.Delivered)), rules)
 	}
-	for _, why := range outside(runs[:plain], runs[plain:], slack) {
+	for _, why := range deviations(runs[:plain], runs[plain:], slack) {
 		fmt.Fprintln(out, "DIFFERS:", why)
-		code = worst([]int{code, judge.ExitFail})
+		code = worstCode([]int{code, judge.ExitFail})
 	}
 	if code == judge.ExitPass {
 		fmt.Fprintf(out, "%s: all forms within the spread of %d plain runs\n", runs[0].sum.Name, plain)
@@ -169,23 +169,23 @@
 	return code, nil
 }
 
-func playVariant(ctx context.Context, s script.Script, v variant, path string, tries int) (*played, error) {
-	p := &played{variant: v}
-	over, err := v.over(s)
+func playVariant(ctx context.Context, s script.Script, v variant, path string, tries int) (*variantResult, error) {
+	p := &variantResult{variant: v}
+	over, err := v.apply(s)
 	if err != nil {
 		return nil, err
 	}
-	events, verdict, use, err := playOnce(ctx, over, v.name, path, tries)
+	events, verdict, use, err := playUntilConclusive(ctx, over, v.name, path, tries)
 	if err != nil {
 		return nil, err
 	}
 	p.verdict, p.sum, p.use = verdict, report.Make(events), use
-	p.fates(events)
+	p.recordAnswers(events)
 	return p, nil
 }
 
-// playOnce plays a day, and repeats an inconclusive day up to tries times in total. Each run writes its event log to a new folder.
-func playOnce(ctx context.Context, s *script.Script, name, path string, tries int) (events []eventlog.Event, verdict judge.Report, use day.Usage, err error) {
+// playUntilConclusive plays a day, and repeats an inconclusive day up to tries times in total. Each run writes its event log to a new folder.
+func playUntilConclusive(ctx context.Context, s *script.Script, name, path string, tries int) (events []eventlog.Event, verdict judge.Report, use day.Usage, err error) {
 	for range tries {
 		plan, err := s.Make()
 		if err != nil {
@@ -223,9 +223,9 @@
 	return strings.Join(all, " ")
 }
 
-// outside describes where the other variants lie outside the spread of the plain runs: in the answers to messages, the share
+// deviations describes where the other variants lie outside the spread of the plain runs: in the answers to messages, the share
 // of worth and the median time to delivery.
-func outside(plain, others []*played, slack float64) []string {
+func deviations(plain, others []*variantResult, slack float64) []string {
 	var all []string
 	differ, least, most, slowest := 0, math.Inf(1), 0.0, 0.0
 	for _, p := range plain {
@@ -235,7 +235,7 @@
 		least, most, slowest = min(least, p.sum.ServedFraction), max(most, p.sum.ServedFraction), max(slowest, p.sum.Latency50)
 	}
 	// A few messages differ by chance, while a fault in the handling of a format affects many.
-	allowed := differ + max(2, len(plain[0].first)/200)
+	allowed := differ + max(2, len(plain[0].firstAnswers)/200)
 	for _, p := range others {
 		n := math.MaxInt
 		for _, q := range plain {
--- a/internal/faulttest/cli/cost.go
+++ b/internal/faulttest/cli/cost.go
@@ -56,19 +56,19 @@
 	}
 	var cases []cost.Case
 	for _, name := range names {
-		one := cost.Case{Clients: c.clients, Body: c.body, Churn: c.churn, Memory: c.memory, For: time.Duration(c.seconds * float64(time.Second)), Warm: 2 * time.Second}
-		if n, err := fmt.Sscanf(name, "%d/%d/%d", &one.Listed, &one.Busy, &one.Backlog); n != 3 || one.Listed < 1 || one.Busy < 1 || one.Busy > one.Listed || one.Listed > 60000 || one.Backlog < 0 || one.Backlog > 150000 {
+		parsed := cost.Case{Clients: c.clients, Body: c.body, Churn: c.churn, Memory: c.memory, For: time.Duration(c.seconds * float64(time.Second)), Warm: 2 * time.Second}
+		if n, err := fmt.Sscanf(name, "%d/%d/%d", &parsed.Listed, &parsed.Busy, &parsed.Backlog); n != 3 || parsed.Listed < 1 || parsed.Busy < 1 || parsed.Busy > parsed.Listed || parsed.Listed > 60000 || parsed.Backlog < 0 || parsed.Backlog > 150000 {
 			return nil, nil, badArgument("cost: %q is not LISTED/BUSY/HELD (LISTED 1 to 60000, BUSY 1 to LISTED, HELD 0 to 150000): %v", name, err)
 		}
-		cases = append(cases, one)
+		cases = append(cases, parsed)
 	}
 	if c.forms != "" {
 		for _, form := range strings.Split(c.forms, ",") {
-			one := cases[0]
-			if one.Format = encoding.Format(form); !one.Format.Known(false) {
+			formCase := cases[0]
+			if formCase.Format = encoding.Format(form); !formCase.Format.Known(false) {
 				return nil, nil, badArgument("cost: unknown form %q; the forms are plain, binary, structured and batched", form)
 			}
-			cases, names = append(cases, one), append(names, names[0]+" "+form)
+			cases, names = append(cases, formCase), append(names, names[0]+" "+form)
 		}
 	}
 	if c.clients < 1 || c.body < 0 || c.body > 64<<10 || c.seconds <= 0 {
@@ -103,7 +103,7 @@
 		off := cases[0]
 		on := off
 		on.Fleet, on.Limits = true, options.limits
-		return beside(ctx, out, []string{path}, folder, options.pairs, off, on)
+		return compareCases(ctx, out, []string{path}, folder, options.pairs, off, on)
 	}
 	return costTable(ctx, out, []string{path}, folder, cases, names)
 }
@@ -148,9 +148,9 @@
 	return 0, nil
 }
 
-// beside measures two cases against each other at the same time, several times. Each run starts new processes, and the order of the
+// compareCases measures two cases against each other at the same time, several times. Each run starts new processes, and the order of the
 // two cases alternates.
-func beside(ctx context.Context, out io.Writer, command []string, folder string, times int, off, on cost.Case) (int, error) {
+func compareCases(ctx context.Context, out io.Writer, command []string, folder string, times int, off, on cost.Case) (int, error) {
 	var all []float64
 	for i := range times {
 		below := filepath.Join(folder, fmt.Sprint(i))
--- a/internal/faulttest/cli/fleet.go
+++ b/internal/faulttest/cli/fleet.go
@@ -35,17 +35,17 @@
 	}
 	options.Command = command
 	tally := policyTally{out: out}
-	overSeeds(ctx, seeds.seed, seeds.runs, seeds.side, func(seed uint64) {
-		one := options
-		one.Seed, one.Folder = seed, seeds.folder(seed)
-		one.Senders, one.Voters = manySenders(seed, one.Senders, one.Voters, 3, 4, 5, 6, 7)
-		result, err := policytest.Run(ctx, one)
+	runSeeds(ctx, seeds.seed, seeds.runs, seeds.parallel, func(seed uint64) {
+		dayOptions := options
+		dayOptions.Seed, dayOptions.Folder = seed, seeds.folder(seed)
+		dayOptions.Senders, dayOptions.Voters = fleetSize(seed, dayOptions.Senders, dayOptions.Voters, 3, 4, 5, 6, 7)
+		result, err := policytest.Run(ctx, dayOptions)
 		if ctx.Err() == nil {
-			tally.add(one, result, err)
+			tally.add(dayOptions, result, err)
 		}
 	})
 	tally.print()
-	return exit(ctx, tally.failed)
+	return exitCode(ctx, tally.failed)
 }
 
 // policyTally prints the result of each day and sums up all days.
@@ -88,5 +88,5 @@
 func (t *policyTally) print() {
 	all := t.all
 	fmt.Fprintf(t.out, "%d days, %d broken; %d calls judged; changes: %d took hold, %d aborted, %d refused, %d unknown\n", t.played, t.failed, all.Calls, all.Commits, all.Aborts, all.Refused, all.Unknown)
-	fmt.Fprintf(t.out, "from proposal to in force: %s\nfrom the last call under a version to the first under the next: %s\n", spread(all.Takes), spread(all.Switches))
+	fmt.Fprintf(t.out, "from proposal to in force: %s\nfrom the last call under a version to the first under the next: %s\n", formatDurations(all.Takes), formatDurations(all.Switches))
 }
--- a/internal/faulttest/cli/limits.go
+++ b/internal/faulttest/cli/limits.go
@@ -34,20 +34,20 @@
 	}
 	options.Command = command
 	tally := limitTally{out: out}
-	overSeeds(ctx, seeds.seed, seeds.runs, seeds.side, func(seed uint64) {
-		one := options
-		one.Seed, one.Folder = seed, seeds.folder(seed)
-		one.Senders, one.Voters = manySenders(seed, one.Senders, one.Voters, 3, 5, 8)
+	runSeeds(ctx, seeds.seed, seeds.runs, seeds.parallel, func(seed uint64) {
+		dayOptions := options
+		dayOptions.Seed, dayOptions.Folder = seed, seeds.folder(seed)
+		dayOptions.Senders, dayOptions.Voters = fleetSize(seed, dayOptions.Senders, dayOptions.Voters, 3, 5, 8)
 		if !options.Halve && !options.Quiet {
-			one.Halve = seed%4 == 3
+			dayOptions.Halve = seed%4 == 3
 		}
-		result, err := quotatest.Run(ctx, one)
+		result, err := quotatest.Run(ctx, dayOptions)
 		if ctx.Err() == nil {
-			tally.add(one, result, err)
+			tally.add(dayOptions, result, err)
 		}
 	})
 	tally.print()
-	return exit(ctx, tally.failed)
+	return exitCode(ctx, tally.failed)
 }
 
 // registerLimitFlags adds the flags of the limits command.
--- a/internal/faulttest/cli/main_test.go
+++ b/internal/faulttest/cli/main_test.go
@@ -41,7 +41,7 @@
 	os.Exit(code)
 }
 
-func built(t *testing.T) (sender, rehearse string) {
+func buildPrograms(t *testing.T) (sender, rehearse string) {
 	t.Helper()
 	programs.once.Do(func() {
 		dir := os.Getenv("TMPDIR")
@@ -58,7 +58,7 @@
 }
 
 // call runs a subcommand in this process.
-func call(t *testing.T, args ...string) (code int, out, errs string) {
+func runCommand(t *testing.T, args ...string) (code int, out, errs string) {
 	t.Helper()
 	var o, e bytes.Buffer
 	code = command(context.Background(), args, &o, &e)
@@ -74,7 +74,7 @@
 
 // The judge reports each wrong sender for the rule that it breaks and for no other rule, and passes the right sender.
 func TestSelftest(t *testing.T) {
-	_, rehearse := built(t)
+	_, rehearse := buildPrograms(t)
 	var out bytes.Buffer
 	code, err := selftestWith(context.Background(), rehearse, 4, maxDayAttempts, slowMachine, &out)
 	t.Log("\n" + out.String())
@@ -86,8 +86,8 @@
 	}
 }
 
-// A trial whose verdict does not match the sender's fault counts as missed: an undetected fault, a violation of another rule, a failed
-// right sender or a rule without a chance.
+// wrongVerdict reports a trial whose verdict does not match the sender's fault: an undetected fault, a violation of another rule, a
+// failed right sender or a rule without a chance.
 func TestSelftestThatMisses(t *testing.T) {
 	result := func(broken int) judge.Report {
 		var r judge.Report
@@ -111,7 +111,7 @@
 		"right one fails": {trial{rule: 0, verdict: result(1)}, false},
 		"no chance":       {trial{rule: 0, verdict: judge.Report{Results: []judge.Result{{Rule: 1, Verdict: judge.NotTried}}}}, false},
 	} {
-		if why := c.trial.missed(); (why == "") != c.right {
+		if why := c.trial.wrongVerdict(); (why == "") != c.right {
 			t.Errorf("%s: %q", name, why)
 		}
 	}
@@ -120,10 +120,10 @@
 // Two short days against the real sender pass: one with brief faults of receivers, one with restarts of senders. The verdict and the
 // report made again from the event log are the same.
 func TestShortDays(t *testing.T) {
-	sender, _ := built(t)
+	sender, _ := buildPrograms(t)
 	dir := t.TempDir()
 	log, page := filepath.Join(dir, "events.jsonl"), filepath.Join(dir, "report.html")
-	code, out, errs := call(t, "run", "-sender", sender, "-quiet", "-tries", strconv.Itoa(maxDayAttempts), "-log", log, "-report", page, "testdata/troubles.toml", "testdata/senders.toml")
+	code, out, errs := runCommand(t, "run", "-sender", sender, "-quiet", "-tries", strconv.Itoa(maxDayAttempts), "-log", log, "-report", page, "testdata/troubles.toml", "testdata/senders.toml")
 	t.Log("\n" + out + errs)
 	if code != judge.ExitPass {
 		t.Fatalf("exit %d", code)
@@ -138,7 +138,7 @@
 	}
 	for _, name := range []string{"troubles", "senders"} {
 		log := strings.Replace(log, ".jsonl", "-"+name+".jsonl", 1)
-		if code, again, _ := call(t, "judge", log); code != judge.ExitPass || !strings.Contains(out, strings.SplitN(again, "worst 10 s", 2)[0]) {
+		if code, again, _ := runCommand(t, "judge", log); code != judge.ExitPass || !strings.Contains(out, strings.SplitN(again, "worst 10 s", 2)[0]) {
 			t.Errorf("judge on the event log of %s: exit %d:\n%s", name, code, again)
 		}
 		page := strings.Replace(page, ".html", "-"+name+".html", 1)
@@ -146,18 +146,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if code, _, _ := call(t, "report", log, page+"2"); code != 0 {
+		if code, _, _ := runCommand(t, "report", log, page+"2"); code != 0 {
 			t.Errorf("report: exit %d", code)
 		}
 		if is, err := os.ReadFile(page + "2"); err != nil || !bytes.Equal(is, was) {
 			t.Errorf("the report made again from the event log of %s differs: %v", name, err)
 		}
-		noChildren(t, log)
+		checkProcessesEnded(t, log)
 	}
 }
 
-// noChildren checks that every process that a day's event log records as started has ended.
-func noChildren(t *testing.T, path string) {
+// checkProcessesEnded checks that every process that a day's event log records as started has ended.
+func checkProcessesEnded(t *testing.T, path string) {
 	t.Helper()
 	f, err := os.Open(path)
 	if err != nil {
@@ -186,11 +186,11 @@
 // A day whose sender exits before it is ready is inconclusive, and a sender program that does not exist is a bad argument: neither
 // must count as a pass.
 func TestSenderThatCannotRun(t *testing.T) {
-	code, _, errs := call(t, "run", "-quiet", "-sender", "/bin/false", "testdata/troubles.toml")
+	code, _, errs := runCommand(t, "run", "-quiet", "-sender", "/bin/false", "testdata/troubles.toml")
 	if code != judge.ExitInconclusive || !strings.Contains(errs, "before it was ready") {
 		t.Errorf("exit %d: %s", code, errs)
 	}
-	code, _, errs = call(t, "run", "-quiet", "-sender", "/no/such/program", "testdata/troubles.toml")
+	code, _, errs = runCommand(t, "run", "-quiet", "-sender", "/no/such/program", "testdata/troubles.toml")
 	if code != judge.ExitScript || !strings.Contains(errs, "/no/such/program") {
 		t.Errorf("exit %d: %s", code, errs)
 	}
@@ -222,7 +222,7 @@
 		{[]string{"up", bad}, bad + ":3"},
 		{[]string{mutantCommand, "nothing"}, "configuration"},
 	} {
-		code, out, errs := call(t, c.args...)
+		code, out, errs := runCommand(t, c.args...)
 		if c.args != nil && c.args[0] == mutantCommand {
 			c.says = "no fault is called"
 		}
@@ -233,21 +233,21 @@
 }
 
 func TestListAndPlan(t *testing.T) {
-	code, out, errs := call(t, "list", "../../../rehearsals")
+	code, out, errs := runCommand(t, "list", "../../../rehearsals")
 	if code != 0 || strings.Count(out, "\n") < 16 || !strings.Contains(out, "holiday-peak") || !strings.Contains(out, "laid over a day") {
 		t.Errorf("exit %d: %s%s", code, out, errs)
 	}
 	args := []string{"run", "-plan", "../../../rehearsals/hang.toml", "../../../rehearsals/over/kill-n0.toml", "../../../rehearsals/slow.toml"}
-	code, first, _ := call(t, args...)
-	_, second, _ := call(t, args...)
+	code, first, _ := runCommand(t, args...)
+	_, second, _ := runCommand(t, args...)
 	if code != 0 || first != second || !strings.Contains(first, "hang+kill-n0: ") || !strings.Contains(first, "kill") || !strings.Contains(first, "\nslow: ") {
 		t.Errorf("exit %d: %s", code, first)
 	}
-	_, other, _ := call(t, append([]string{"run", "-plan", "-seed", "99"}, args[2:]...)...)
+	_, other, _ := runCommand(t, append([]string{"run", "-plan", "-seed", "99"}, args[2:]...)...)
 	if other == first {
 		t.Error("another seed gives the same plan")
 	}
-	code, both, _ := call(t, "run", "-plan", "-together", "../../../rehearsals/hang.toml", "../../../rehearsals/slow.toml")
+	code, both, _ := runCommand(t, "run", "-plan", "-together", "../../../rehearsals/hang.toml", "../../../rehearsals/slow.toml")
 	if code != 0 || !strings.Contains(both, "hang+slow: ") || !strings.Contains(both, "trouble hang") || !strings.Contains(both, "trouble slow") {
 		t.Errorf("exit %d: %s", code, both)
 	}
@@ -255,7 +255,7 @@
 
 // SIGINT ends a day and its processes, and the event log has the events up to then.
 func TestInterrupted(t *testing.T) {
-	sender, rehearse := built(t)
+	sender, rehearse := buildPrograms(t)
 	log := filepath.Join(t.TempDir(), "events.jsonl")
 	cmd := exec.Command(rehearse, "run", "-sender", sender, "-log", log, "testdata/troubles.toml")
 	var errs, out syncBuffer
@@ -264,21 +264,21 @@
 		t.Fatal(err)
 	}
 	defer cmd.Process.Kill()
-	await(t, "no progress line", func() bool { return regexp.MustCompile(` [1-9]\d* asked`).MatchString(errs.String()) })
+	waitFor(t, "no progress line", func() bool { return regexp.MustCompile(` [1-9]\d* asked`).MatchString(errs.String()) })
 	cmd.Process.Signal(syscall.SIGINT)
 	err := cmd.Wait()
 	if cmd.ProcessState.ExitCode() != judge.ExitInconclusive || !strings.Contains(out.String(), "broken off") {
 		t.Errorf("%v: %s", err, out.String())
 	}
-	noChildren(t, log)
-	if code, out, _ := call(t, "judge", log); code != judge.ExitInconclusive || !strings.Contains(out, "the log ends before the day does") {
+	checkProcessesEnded(t, log)
+	if code, out, _ := runCommand(t, "judge", log); code != judge.ExitInconclusive || !strings.Contains(out, "the log ends before the day does") {
 		t.Errorf("judge on the log of an interrupted day: exit %d: %s", code, out)
 	}
 }
 
 // When the kit is killed with SIGKILL, its senders end too.
 func TestKilledKit(t *testing.T) {
-	sender, rehearse := built(t)
+	sender, rehearse := buildPrograms(t)
 	logs := t.TempDir()
 	cmd := exec.Command(rehearse, "run", "-sender", sender, "-logs", logs, "testdata/troubles.toml")
 	var errs syncBuffer
@@ -286,7 +286,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "no progress line", func() bool { return strings.Contains(errs.String(), "asked") })
+	waitFor(t, "no progress line", func() bool { return strings.Contains(errs.String(), "asked") })
 	cmd.Process.Kill()
 	cmd.Wait()
 	raw, err := os.ReadFile(filepath.Join(logs, "troubles", "n0", "config.json"))
@@ -297,7 +297,7 @@
 	if err := json.Unmarshal(raw, &c); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the sender still runs after the kit was killed", func() bool {
+	waitFor(t, "the sender still runs after the kit was killed", func() bool {
 		resp, err := http.Get("http://" + c.Listen + "/-/ready")
 		if err == nil {
 			resp.Body.Close()
@@ -308,7 +308,7 @@
 
 // The up command prints the addresses and a curl command to hand a message in. A message that is handed in that way arrives and is printed.
 func TestUp(t *testing.T) {
-	sender, rehearse := built(t)
+	sender, rehearse := buildPrograms(t)
 	cmd := exec.Command(rehearse, "up", "-sender", sender, "-for", "60s")
 	var out syncBuffer
 	cmd.Stdout, cmd.Stderr = &out, &out
@@ -316,7 +316,7 @@
 		t.Fatal(err)
 	}
 	defer cmd.Process.Kill()
-	await(t, "no curl line", func() bool {
+	waitFor(t, "no curl line", func() bool {
 		return strings.Contains(out.String(), "curl -i") && strings.Contains(out.String(), "^C ends it")
 	})
 	addr := regexp.MustCompile(`-d hello http://(\S+)/api`).FindStringSubmatch(out.String())
@@ -340,7 +340,7 @@
 	if resp.StatusCode != http.StatusAccepted {
 		t.Fatalf("the message was answered %s, want 202", resp.Status)
 	}
-	await(t, "the message has not arrived", func() bool { return strings.Contains(out.String(), "message by-hand ended there: 200") })
+	waitFor(t, "the message has not arrived", func() bool { return strings.Contains(out.String(), "message by-hand ended there: 200") })
 	cmd.Process.Signal(syscall.SIGINT)
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("%v: %s", err, out.String())
@@ -364,7 +364,7 @@
 	return s.b.String()
 }
 
-func await(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -376,27 +376,27 @@
 // On a day with all CloudEvents formats mixed, faults, a kill and a restart, every rule holds and every event arrives as its client
 // sent it.
 func TestShortDayOfEvents(t *testing.T) {
-	sender, _ := built(t)
+	sender, _ := buildPrograms(t)
 	log := filepath.Join(t.TempDir(), "events.jsonl")
-	code, out, errs := call(t, "run", "-sender", sender, "-quiet", "-tries", strconv.Itoa(maxDayAttempts), "-log", log, "testdata/forms.toml")
+	code, out, errs := runCommand(t, "run", "-sender", sender, "-quiet", "-tries", strconv.Itoa(maxDayAttempts), "-log", log, "testdata/forms.toml")
 	t.Log("\n" + out + errs)
 	if code != judge.ExitPass {
 		t.Fatalf("exit %d", code)
 	}
-	noChildren(t, log)
+	checkProcessesEnded(t, log)
 }
 
-// outside reports answers, worth and delivery times that lie outside the spread of the plain runs, and nothing else.
+// deviations reports answers, worth and delivery times that lie outside the spread of the plain runs, and nothing else.
 func TestOutside(t *testing.T) {
-	run := func(share, p50 float64, fates ...string) *played {
-		p := &played{variant: variant{name: "x"}, first: map[string]string{}}
+	result := func(share, p50 float64, statuses ...string) *variantResult {
+		p := &variantResult{variant: variant{name: "x"}, firstAnswers: map[string]string{}}
 		p.sum.ServedFraction, p.sum.Latency50 = share, p50
-		for i, f := range fates {
-			p.first[fmt.Sprint(i)] = f
+		for i, f := range statuses {
+			p.firstAnswers[fmt.Sprint(i)] = f
 		}
 		return p
 	}
-	some := func(n int, f string) []string {
+	answers := func(n int, f string) []string {
 		all := make([]string, 100)
 		for i := range all {
 			if all[i] = "202"; i < n {
@@ -405,19 +405,19 @@
 		}
 		return all
 	}
-	plain := []*played{run(0.95, 0.2, some(0, "")...), run(0.97, 0.22, some(3, "503")...)}
+	plain := []*variantResult{result(0.95, 0.2, answers(0, "")...), result(0.97, 0.22, answers(3, "503")...)}
 	for name, c := range map[string]struct {
-		run  *played
+		run  *variantResult
 		says string
 	}{
-		"the same":      {run(0.96, 0.21, some(4, "503")...), ""},
-		"answers":       {run(0.96, 0.21, some(9, "422")...), "9 messages were answered otherwise"},
-		"less worth":    {run(0.93, 0.21, some(0, "")...), "93.00% of the worth"},
-		"more worth":    {run(0.99, 0.21, some(0, "")...), "99.00% of the worth"},
-		"slower":        {run(0.96, 0.3, some(0, "")...), "within 0.300 s"},
-		"none came out": {run(0, 0, some(100, "0")...), "100 messages"},
+		"the same":      {result(0.96, 0.21, answers(4, "503")...), ""},
+		"answers":       {result(0.96, 0.21, answers(9, "422")...), "9 messages were answered otherwise"},
+		"less worth":    {result(0.93, 0.21, answers(0, "")...), "93.00% of the worth"},
+		"more worth":    {result(0.99, 0.21, answers(0, "")...), "99.00% of the worth"},
+		"slower":        {result(0.96, 0.3, answers(0, "")...), "within 0.300 s"},
+		"none came out": {result(0, 0, answers(100, "0")...), "100 messages"},
 	} {
-		got := strings.Join(outside(plain, []*played{c.run}, 0.01), "\n")
+		got := strings.Join(deviations(plain, []*variantResult{c.run}, 0.01), "\n")
 		if c.says == "" && got != "" || !strings.Contains(got, c.says) {
 			t.Errorf("%s: %q, want %q", name, got, c.says)
 		}
--- a/internal/faulttest/cli/measure.go
+++ b/internal/faulttest/cli/measure.go
@@ -62,12 +62,12 @@
 	fmt.Fprintln(out, day.Machine())
 	fmt.Fprintf(out, "%9s %9s %10s %10s %12s %12s %12s %10s\n", "asked/s", "served/s", "slip p99", "slip most", "kit CPU/msg", "sender/msg", "judge/msg", "verdict")
 	for rate := *first; rate <= *last; rate *= 2 {
-		one, err := measureRate(ctx, []string{path}, filepath.Join(folder, fmt.Sprint(rate)), *seconds, rate)
+		measured, err := measureRate(ctx, []string{path}, filepath.Join(folder, fmt.Sprint(rate)), *seconds, rate)
 		if err != nil {
-			return one.code, err
+			return measured.code, err
 		}
-		one.print(out)
-		if one.word() != rateKept {
+		measured.print(out)
+		if measured.word() != rateKept {
 			return 0, nil
 		}
 	}
--- a/internal/faulttest/cli/run.go
+++ b/internal/faulttest/cli/run.go
@@ -212,7 +212,7 @@
 		}
 		code := 0
 		for try := 1; ; try++ {
-			code, err = o.one(ctx, p, []string{path}, out, errs)
+			code, err = o.playDay(ctx, p, []string{path}, out, errs)
 			if err != nil || code != judge.ExitInconclusive || try >= o.attempts {
 				break
 			}
@@ -223,11 +223,11 @@
 		}
 		codes = append(codes, code)
 	}
-	return worst(codes), nil
+	return worstCode(codes), nil
 }
 
-// worst returns the exit code for several days: a failed rule takes precedence over an inconclusive day.
-func worst(codes []int) int {
+// worstCode returns the exit code for several days: a failed rule takes precedence over an inconclusive day.
+func worstCode(codes []int) int {
 	for _, c := range []int{judge.ExitFail, judge.ExitInconclusive} {
 		if slices.Contains(codes, c) {
 			return c
@@ -262,8 +262,8 @@
 	}
 }
 
-// one plays a day and prints its verdict.
-func (o runFlags) one(ctx context.Context, p *script.Plan, command []string, out, errs io.Writer) (int, error) {
+// playDay plays a day and prints its verdict.
+func (o runFlags) playDay(ctx context.Context, p *script.Plan, command []string, out, errs io.Writer) (int, error) {
 	folder := o.logs
 	if folder == "" {
 		var err error
--- a/internal/faulttest/cli/seeds.go
+++ b/internal/faulttest/cli/seeds.go
@@ -19,9 +19,9 @@
 
 // seedFlags are the flags shared by the commands that play one day per seed.
 type seedFlags struct {
-	program, logs string
-	seed          uint64 // the first seed
-	runs, side    int    // number of days, and how many of them run at the same time
+	program, logs  string
+	seed           uint64 // the first seed
+	runs, parallel int    // number of days, and how many of them run at the same time
 }
 
 // register adds the flags to a command's flag set.
@@ -30,12 +30,12 @@
 	f.StringVar(&s.logs, "logs", "", "keep the senders' files and logs in this `folder`; by default a new temporary folder")
 	f.Uint64Var(&s.seed, "seed", 1, "the first `seed`")
 	f.IntVar(&s.runs, "runs", 1, "number of seeds")
-	f.IntVar(&s.side, "side", 2, "number of days that are played at the same time")
+	f.IntVar(&s.parallel, "side", 2, "number of days that are played at the same time")
 }
 
 // check reports flags out of range; sound is whether the command's own flags are in range. The message is the same for all commands.
 func (s *seedFlags) check(sound bool) error {
-	if s.runs < 1 || s.side < 1 || !sound {
+	if s.runs < 1 || s.parallel < 1 || !sound {
 		return fmt.Errorf("%w: -runs and -side must be over 0, -senders at most 100, -seconds at least 2", errUsage)
 	}
 	return nil
@@ -60,8 +60,8 @@
 	return filepath.Join(s.logs, fmt.Sprintf("seed-%d", seed))
 }
 
-// exit returns the exit code of a command that counted the given number of failed days.
-func exit(ctx context.Context, failed int) (int, error) {
+// exitCode returns the exit code of a command that counted the given number of failed days.
+func exitCode(ctx context.Context, failed int) (int, error) {
 	if err := ctx.Err(); err != nil {
 		return 0, err
 	}
@@ -79,8 +79,8 @@
 	return "kept"
 }
 
-// overSeeds plays the given number of seeds, up to side of them at the same time, until ctx ends.
-func overSeeds(ctx context.Context, first uint64, runs, side int, play func(seed uint64)) {
+// runSeeds plays the given number of seeds, as many at the same time as side says, until ctx ends.
+func runSeeds(ctx context.Context, first uint64, runs, side int, play func(seed uint64)) {
 	seeds := make(chan uint64)
 	var work sync.WaitGroup
 	for range side {
@@ -102,8 +102,8 @@
 	work.Wait()
 }
 
-// manySenders returns the numbers of senders and voters of a seed's day. A number that is not 0 is used as given.
-func manySenders(seed uint64, senders, voters int, sizes ...int) (int, int) {
+// fleetSize returns the numbers of senders and voters of a seed's day. A number that is not 0 is used as given.
+func fleetSize(seed uint64, senders, voters int, sizes ...int) (int, int) {
 	if senders == 0 {
 		senders = sizes[seed%uint64(len(sizes))]
 	}
@@ -116,8 +116,8 @@
 	return senders, voters
 }
 
-// spread formats the median, the 99th percentile and the maximum of durations, and sorts them.
-func spread(all []time.Duration) string {
+// formatDurations formats the median, the 99th percentile and the maximum of durations, and sorts them.
+func formatDurations(all []time.Duration) string {
 	if len(all) == 0 {
 		return "none"
 	}
--- a/internal/faulttest/cli/selftest.go
+++ b/internal/faulttest/cli/selftest.go
@@ -106,8 +106,8 @@
 	err     error
 }
 
-// missed describes the first wrong verdict: a rule that was not tried, an undetected violation or a false one. It returns "" if there is none.
-func (t trial) missed() string {
+// wrongVerdict describes the first wrong verdict: a rule that was not tried, an undetected violation or a false one. It returns "" if there is none.
+func (t trial) wrongVerdict() string {
 	for _, r := range t.verdict.Results {
 		switch {
 		case r.Verdict == judge.NotTried:
@@ -181,15 +181,15 @@
 		return judge.ExitScript, err
 	}
 	trials := make([]trial, len(mutant.Faults()))
-	room := make(chan struct{}, atOnce)
+	semaphore := make(chan struct{}, atOnce)
 	var wg sync.WaitGroup
 	for i, fault := range mutant.Faults() {
 		trials[i] = trial{fault: fault, rule: i}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			room <- struct{}{}
-			defer func() { <-room }()
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
 			trials[i].play(ctx, self, folder, tries, grace)
 		}()
 	}
@@ -212,14 +212,14 @@
 		for _, r := range t.verdict.Results {
 			fmt.Fprintf(out, " %-9s", r.Verdict)
 		}
-		switch why := t.missed(); {
+		switch problem := t.wrongVerdict(); {
 		case t.verdict.Late != "":
 			fmt.Fprintf(out, " INCONCLUSIVE: %s", t.verdict.Late)
 			if code == judge.ExitPass {
 				code = judge.ExitInconclusive
 			}
-		case why != "":
-			fmt.Fprintf(out, " MISSED: %s; events in %s", why, t.folder)
+		case problem != "":
+			fmt.Fprintf(out, " MISSED: %s; events in %s", problem, t.folder)
 			code = judge.ExitFail
 		case t.rule == 0:
 			fmt.Fprint(out, " green")
--- a/internal/faulttest/cli/teach.go
+++ b/internal/faulttest/cli/teach.go
@@ -19,17 +19,17 @@
 // firstSpan is the period after a sender joins in which its calls are counted.
 const firstSpan = 30 * time.Second
 
-// newcomer is the result of a sender that joined, over its first 30 s.
-type newcomer struct {
+// joinResult is the result of a sender that joined, over its first 30 s.
+type joinResult struct {
 	calls, failed int // failed calls ended with an error, a refusal or no answer
 	delivered     float64
 	broken        []int // numbers of the rules that were broken
 	late          string
 }
 
-// newcomerOf counts the calls of the last sender whose first process became ready during the day.
-func newcomerOf(events []eventlog.Event, verdict judge.Report) (newcomer, error) {
-	n := newcomer{late: verdict.Late, delivered: report.Make(events).ServedFraction}
+// measureJoin counts the calls of the last sender whose first process became ready during the day.
+func measureJoin(events []eventlog.Event, verdict judge.Report) (joinResult, error) {
+	n := joinResult{late: verdict.Late, delivered: report.Make(events).ServedFraction}
 	for _, r := range verdict.Results {
 		if r.Verdict == judge.Fail {
 			n.broken = append(n.broken, r.Rule)
@@ -89,15 +89,15 @@
 	if err != nil {
 		return judge.ExitScript, err
 	}
-	pairs := make([][2]newcomer, *seeds)
+	pairs := make([][2]joinResult, *seeds)
 	failures := make([]error, *seeds)
 	var wg sync.WaitGroup
-	room := make(chan struct{}, *jobs)
+	semaphore := make(chan struct{}, *jobs)
 	for i := range pairs {
 		wg.Add(1)
-		room <- struct{}{}
+		semaphore <- struct{}{}
 		go func() {
-			defer func() { <-room; wg.Done() }()
+			defer func() { <-semaphore; wg.Done() }()
 			for k, taught := range []bool{false, true} {
 				if pairs[i][k], failures[i] = playTaught(ctx, *all[0], uint64(*from+i), taught, path); failures[i] != nil {
 					return
@@ -110,10 +110,10 @@
 }
 
 // printPairs prints a row for each pair and the ratios over all pairs in which the kit did not run late.
-func printPairs(out io.Writer, from int, pairs [][2]newcomer, failures []error) (int, error) {
+func printPairs(out io.Writer, from int, pairs [][2]joinResult, failures []error) (int, error) {
 	code := judge.ExitPass
 	fmt.Fprintf(out, "%-5s %18s %18s %8s %17s  %s\n", "seed", "cold failed/calls", "taught failed/calls", "ratio", "worth cold/taught", "rules broken")
-	var sound [][2]newcomer
+	var valid [][2]joinResult
 	for i, p := range pairs {
 		if failures[i] != nil {
 			return judge.ExitInconclusive, failures[i]
@@ -128,21 +128,21 @@
 		if p[0].late+p[1].late != "" {
 			remark += " left out: the kit ran late"
 		} else {
-			sound = append(sound, p)
+			valid = append(valid, p)
 		}
 		fmt.Fprintf(out, "%-5d %18s %18s %8.2f %8.4f %8.4f %s\n", from+i, fmt.Sprintf("%d/%d", p[0].failed, p[0].calls), fmt.Sprintf("%d/%d", p[1].failed, p[1].calls),
-			ratioOf([][2]newcomer{p}), p[0].delivered, p[1].delivered, remark)
+			ratioOf([][2]joinResult{p}), p[0].delivered, p[1].delivered, remark)
 	}
-	if len(sound) == 0 {
+	if len(valid) == 0 {
 		return judge.ExitInconclusive, nil
 	}
-	low, high := interval(sound)
+	low, high := interval(valid)
 	fmt.Fprintf(out, "failed calls taught to cold over %d pairs: median of the pairs' ratios %.2f (95%% of resamples %.2f to %.2f), of all calls together %.2f\n",
-		len(sound), medianRatio(sound), low, high, ratioOf(sound))
+		len(valid), medianRatio(valid), low, high, ratioOf(valid))
 	return code, nil
 }
 
-func playTaught(ctx context.Context, s script.Script, seed uint64, taught bool, path string) (newcomer, error) {
+func playTaught(ctx context.Context, s script.Script, seed uint64, taught bool, path string) (joinResult, error) {
 	d := *s.Day
 	d.Seed = seed
 	name := "taught"
@@ -150,16 +150,16 @@
 		d.Features, name = "", "cold"
 	}
 	s.Day = &d
-	events, verdict, _, err := playOnce(ctx, &s, name+"-"+strconv.FormatUint(seed, 10), path, 2)
+	events, verdict, _, err := playUntilConclusive(ctx, &s, name+"-"+strconv.FormatUint(seed, 10), path, 2)
 	if err != nil {
-		return newcomer{}, err
+		return joinResult{}, err
 	}
-	return newcomerOf(events, verdict)
+	return measureJoin(events, verdict)
 }
 
 // ratioOf returns the fraction of calls that failed for the taught senders, divided by that for the cold ones. It returns 1 if no
 // call of a cold sender failed or the taught senders made no calls.
-func ratioOf(pairs [][2]newcomer) float64 {
+func ratioOf(pairs [][2]joinResult) float64 {
 	var failed, calls [2]float64
 	for _, p := range pairs {
 		for k := range p {
@@ -173,10 +173,10 @@
 	return failed[1] / calls[1] / (failed[0] / calls[0])
 }
 
-func medianRatio(pairs [][2]newcomer) float64 {
+func medianRatio(pairs [][2]joinResult) float64 {
 	var all []float64
 	for _, p := range pairs {
-		all = append(all, ratioOf([][2]newcomer{p}))
+		all = append(all, ratioOf([][2]joinResult{p}))
 	}
 	slices.Sort(all)
 	n := len(all)
@@ -184,16 +184,16 @@
 }
 
 // interval returns the bounds within which the median ratio lies in 95% of the bootstrap resamples of the pairs.
-func interval(pairs [][2]newcomer) (low, high float64) {
+func interval(pairs [][2]joinResult) (low, high float64) {
 	const samples = 2000
 	rng := rand.New(rand.NewPCG(1, 2))
 	medians := make([]float64, samples)
 	for i := range medians {
-		some := make([][2]newcomer, len(pairs))
-		for k := range some {
-			some[k] = pairs[rng.IntN(len(pairs))]
+		sample := make([][2]joinResult, len(pairs))
+		for k := range sample {
+			sample[k] = pairs[rng.IntN(len(pairs))]
 		}
-		medians[i] = medianRatio(some)
+		medians[i] = medianRatio(sample)
 	}
 	slices.Sort(medians)
 	return medians[samples/40], medians[samples-1-samples/40]
--- a/internal/faulttest/cli/up.go
+++ b/internal/faulttest/cli/up.go
@@ -74,18 +74,18 @@
 		ctx, cancel = context.WithTimeout(ctx, *limit)
 		defer cancel()
 	}
-	show := &shown{out: out}
-	d, err := day.Open(ctx, plan, day.Options{Command: []string{path}, Folder: folder, Log: file, Watch: show.watch, Open: true})
+	printer := &eventPrinter{out: out}
+	d, err := day.Open(ctx, plan, day.Options{Command: []string{path}, Folder: folder, Log: file, Watch: printer.watch, Open: true})
 	if err != nil {
 		return judge.ExitInconclusive, err
 	}
 	for _, m := range d.Places() {
-		show.print(m)
+		printer.print(m)
 	}
-	show.print("")
-	show.print("Hand a message in:")
-	show.print("  " + d.Curl())
-	show.print("Troubles of the script run from now on. ^C ends it; all that happens is written to " + file.Name())
+	printer.print("")
+	printer.print("Hand a message in:")
+	printer.print("  " + d.Curl())
+	printer.print("Troubles of the script run from now on. ^C ends it; all that happens is written to " + file.Name())
 	d.Faults()
 	<-ctx.Done()
 	if err := d.Close(); err != nil {
@@ -94,19 +94,19 @@
 	return 0, nil
 }
 
-// shown prints events: where messages arrive and how they end, faults and process exits.
-type shown struct {
+// eventPrinter prints events: where messages arrive and how they end, faults and process exits.
+type eventPrinter struct {
 	mu  sync.Mutex
 	out io.Writer
 }
 
-func (s *shown) print(line string) {
+func (s *eventPrinter) print(line string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fmt.Fprintln(s.out, line)
 }
 
-func (s *shown) watch(e eventlog.Event) {
+func (s *eventPrinter) watch(e eventlog.Event) {
 	at := time.Duration(e.T) * time.Microsecond
 	switch e.Kind {
 	case eventlog.Call:
--- a/internal/faulttest/day/acts.go
+++ b/internal/faulttest/day/acts.go
@@ -12,7 +12,7 @@
 	"saffronyard.example/saffronyard/internal/faulttest/traffic"
 )
 
-func (d *Day) fault(format string, args ...any) {
+func (d *Day) logKitFailure(format string, args ...any) {
 	d.log.Add(eventlog.Event{Kind: eventlog.KitFailure, Detail: fmt.Sprintf(format, args...)})
 }
 
@@ -22,13 +22,13 @@
 	go func() {
 		defer d.tasks.Done()
 		if err := f(); err != nil && d.ctx.Err() == nil {
-			d.fault("%v", err)
+			d.logKitFailure("%v", err)
 		}
 	}()
 }
 
-// act performs the acts of the plan at their times.
-func (d *Day) act() {
+// runActs performs the acts of the plan at their times.
+func (d *Day) runActs() {
 	for _, a := range d.plan.Acts {
 		if !traffic.Sleep(d.ctx, a.At-d.log.Now()) {
 			return
@@ -41,7 +41,7 @@
 func (d *Day) do(a script.Act) {
 	switch a.Do {
 	case "trouble", "end":
-		d.strike(a)
+		d.applyFault(a)
 	case "replace":
 		for _, dest := range a.Dests {
 			d.replace(dest)
@@ -59,9 +59,9 @@
 	case "move":
 		d.moveDiscovery()
 	case "join":
-		s, err := d.machine(a.Sender)
+		s, err := d.addSender(a.Sender)
 		if err != nil {
-			d.fault("%v", err)
+			d.logKitFailure("%v", err)
 			return
 		}
 		d.background(func() error { return s.Start(true) })
@@ -85,8 +85,8 @@
 	}
 }
 
-// strike begins or ends a fault at receivers.
-func (d *Day) strike(a script.Act) {
+// applyFault begins or ends a fault at receivers.
+func (d *Day) applyFault(a script.Act) {
 	begins := a.Do == "trouble"
 	for _, dest := range a.Dests {
 		if a.Fault.Kind == fault.Drain {
@@ -135,7 +135,7 @@
 	case "restart":
 		s.Term()
 	case "lose":
-		pause = lostBack
+		pause = lostMachineDelay
 		if err := s.Kill(true); err != nil {
 			return err
 		}
@@ -182,9 +182,9 @@
 		d.mu.Unlock()
 		switch {
 		case was == 0 && is == 1:
-			d.updateList(d.line(dest, e, platform.Draining))
+			d.updateList(d.target(dest, e, platform.Draining))
 		case was == 1 && is == 0:
-			d.updateList(d.line(dest, e, platform.Serving))
+			d.updateList(d.target(dest, e, platform.Serving))
 		}
 	}
 }
@@ -200,16 +200,16 @@
 	old := all[0]
 	next, err := r.Add()
 	if err != nil {
-		d.fault("%v", err)
+		d.logKitFailure("%v", err)
 		return
 	}
-	d.updateList(d.line(dest, next, platform.Serving))
-	d.updateList(d.line(dest, old, platform.Draining))
+	d.updateList(d.target(dest, next, platform.Serving))
+	d.updateList(d.target(dest, old, platform.Draining))
 	d.background(func() error {
 		if !traffic.Sleep(d.ctx, removeAfter) {
 			return nil
 		}
-		d.updateList(d.line(dest, old, platform.Deleted))
+		d.updateList(d.target(dest, old, platform.Deleted))
 		if traffic.Sleep(d.ctx, removeAfter) {
 			r.Remove(old)
 		}
--- a/internal/faulttest/day/day.go
+++ b/internal/faulttest/day/day.go
@@ -28,7 +28,7 @@
 	connIdle          = 15 * time.Second
 	connectTime       = 1500 * time.Millisecond
 	removeAfter       = 3 * time.Second // time from the begin of a replaced endpoint's drain to its removal from the list, and from there to its stop
-	lostBack          = 2 * time.Second // time until a lost machine comes back with an empty folder
+	lostMachineDelay  = 2 * time.Second // time until a lost machine comes back with an empty folder
 	stabilizationTime = 500 * time.Millisecond
 	tickInterval      = 5 * time.Millisecond
 )
@@ -53,16 +53,16 @@
 
 // Day is a day that is being played.
 type Day struct {
-	plan      *script.Plan
-	options   Options
-	log       *eventlog.Log
-	hosts     *hosts
-	text      string // of the features file, with placeholders for addresses
-	links     *links.Net
-	registry  *traffic.Registry
-	clients   *traffic.Clients
-	discovery *platform.Platform
-	late      *lateness
+	plan         *script.Plan
+	options      Options
+	log          *eventlog.Log
+	hosts        *hosts
+	featuresText string // of the features file, with placeholders for addresses
+	links        *links.Net
+	registry     *traffic.Registry
+	clients      *traffic.Clients
+	discovery    *platform.Platform
+	late         *lateness
 
 	mu        sync.Mutex
 	senders   []*fleet.Sender
@@ -80,23 +80,23 @@
 		return nil, Usage{}, err
 	}
 	began, cpu := time.Now(), kitCPU()
-	over := make(chan struct{})
+	actsDone := make(chan struct{})
 	go func() {
-		d.act()
-		close(over)
+		d.runActs()
+		close(actsDone)
 	}()
-	var beside sync.WaitGroup
+	var during sync.WaitGroup
 	if opt.During != nil {
-		beside.Add(1)
+		during.Add(1)
 		go func() {
-			defer beside.Done()
+			defer during.Done()
 			opt.During(ctx, d)
 		}()
 	}
 	d.clients.Run(ctx)
-	beside.Wait()
+	during.Wait()
 	select {
-	case <-over:
+	case <-actsDone:
 	case <-ctx.Done():
 	}
 	traffic.Sleep(ctx, stabilizationTime) // events still in flight at the end are recorded
@@ -105,7 +105,7 @@
 		d.log.Add(eventlog.Event{Kind: eventlog.End})
 	}
 	use := Usage{Kit: kitCPU() - cpu, Wall: time.Since(began)}
-	<-over
+	<-actsDone
 	err = d.Close()
 	for _, s := range d.senders {
 		cpu, memory := s.Used()
@@ -186,7 +186,7 @@
 // Faults starts to perform the acts of the plan in the background.
 func (d *Day) Faults() {
 	d.background(func() error {
-		d.act()
+		d.runActs()
 		return nil
 	})
 }
--- a/internal/faulttest/day/day_test.go
+++ b/internal/faulttest/day/day_test.go
@@ -56,8 +56,8 @@
 	return Options{Command: []string{self}, Folder: t.TempDir()}
 }
 
-// lines returns the states of an endpoint in the events of a kind, in order: those in the list, or those sent to sender n0.
-func lines(events []eventlog.Event, kind eventlog.Kind, endpoint string) string {
+// endpointStates returns the states of an endpoint in the events of a kind, in order: those in the list, or those sent to sender n0.
+func endpointStates(events []eventlog.Event, kind eventlog.Kind, endpoint string) string {
 	var all []string
 	for _, e := range events {
 		if e.Kind == kind && e.Endpoint == endpoint && (e.Sender == "" || e.Sender == "n0") {
@@ -109,10 +109,10 @@
 		"r0-e0": "SERVING DRAINING SERVING", "r0-e1": "SERVING DRAINING SERVING", // r0-e0 is in both drains
 		"r1-e0": "SERVING DRAINING DELETED", "r1-e2": "SERVING", "r2-e0": "SERVING",
 	} {
-		if got := lines(events, eventlog.Changed, endpoint); got != want {
+		if got := endpointStates(events, eventlog.Changed, endpoint); got != want {
 			t.Errorf("states of %s in the list: %s, want %s", endpoint, got, want)
 		}
-		if got := lines(events, eventlog.ListSent, endpoint); got != want {
+		if got := endpointStates(events, eventlog.ListSent, endpoint); got != want {
 			t.Errorf("states of %s sent to the sender: %s, want %s", endpoint, got, want)
 		}
 	}
--- a/internal/faulttest/day/hosts.go
+++ b/internal/faulttest/day/hosts.go
@@ -55,17 +55,17 @@
 // through the link between the two senders.
 var hostSlot = regexp.MustCompile(`\{n(\d+)(?::(\d+))?\}`)
 
-// reach is the placeholder for tables with the addresses through which a sender reaches ports of all other senders, TCP and UDP, by
+// reachSlot is the placeholder for tables with the addresses through which a sender reaches ports of all other senders, TCP and UDP, by
 // links: {reach peers 7946 7947} becomes [[peers.reach]] tables.
-var reach = regexp.MustCompile(`\{reach (\w+)((?: \d+)+)\}`)
+var reachSlot = regexp.MustCompile(`\{reach (\w+)((?: \d+)+)\}`)
 
 // features writes the features file of a sender and returns the arguments that pass it. It returns none if the day has no features.
 func (d *Day) features(i int) (args []string, err error) {
-	if d.text == "" {
+	if d.featuresText == "" {
 		return nil, nil
 	}
-	text := reach.ReplaceAllStringFunc(d.text, func(match string) string {
-		parts := reach.FindStringSubmatch(match)
+	text := reachSlot.ReplaceAllStringFunc(d.featuresText, func(match string) string {
+		parts := reachSlot.FindStringSubmatch(match)
 		var b strings.Builder
 		for to := range d.plan.MaxSenders() {
 			for _, port := range strings.Fields(parts[2]) {
@@ -73,9 +73,9 @@
 					continue
 				}
 				addr := d.hosts.sender(to) + ":" + port
-				link, bad := d.links.LinkBoth(name(i), name(to), addr)
-				if bad != nil {
-					err = bad
+				link, linkErr := d.links.LinkBoth(name(i), name(to), addr)
+				if linkErr != nil {
+					err = linkErr
 				}
 				fmt.Fprintf(&b, "[[%s.reach]]\naddress = %q\nvia = %q\n", parts[1], addr, link)
 			}
@@ -91,9 +91,9 @@
 		}
 		addr := host + ":" + parts[2]
 		if to != i {
-			link, bad := d.links.Link(name(i), name(to), addr)
-			if bad != nil {
-				err = bad
+			link, linkErr := d.links.Link(name(i), name(to), addr)
+			if linkErr != nil {
+				err = linkErr
 			}
 			addr = link
 		}
--- a/internal/faulttest/day/late.go
+++ b/internal/faulttest/day/late.go
@@ -40,7 +40,7 @@
 		defer close(l.done)
 		t := time.NewTimer(tickInterval)
 		defer t.Stop()
-		due, told := time.Now().Add(tickInterval), time.Now()
+		due, lastFlush := time.Now().Add(tickInterval), time.Now()
 		for {
 			select {
 			case <-t.C:
@@ -50,8 +50,8 @@
 			l.log.Wait()
 			now := time.Now()
 			l.add(now.Sub(due))
-			if now.Sub(told) >= time.Second {
-				told = now
+			if now.Sub(lastFlush) >= time.Second {
+				lastFlush = now
 				l.flush()
 			}
 			due = time.Now().Add(tickInterval)
@@ -75,10 +75,10 @@
 
 func (l *lateness) stop() {
 	l.mu.Lock()
-	was := l.started
+	running := l.started
 	l.started = false
 	l.mu.Unlock()
-	if was {
+	if running {
 		close(l.quit)
 		<-l.done
 	}
--- a/internal/faulttest/day/setup.go
+++ b/internal/faulttest/day/setup.go
@@ -39,7 +39,7 @@
 		}
 		text += "\n" + zone.features(plan)
 	}
-	d.text = text
+	d.featuresText = text
 	d.options = opt
 	d.log = eventlog.New(opt.Log, opt.Watch)
 	d.links = links.New(plan.Day.Seed, func(from, to, what string) {
@@ -62,14 +62,14 @@
 		}
 		d.receivers = append(d.receivers, s)
 		for _, e := range s.Endpoints() {
-			d.discovery.Set(d.line(i, e, platform.Serving))
+			d.discovery.Set(d.target(i, e, platform.Serving))
 		}
 	}
 	var wg sync.WaitGroup
 	errs := make([]error, plan.Senders)
 	d.clients = traffic.New(plan, d.log, d.registry, d.late.add)
 	for i := range plan.Senders {
-		s, err := d.machine(i)
+		s, err := d.addSender(i)
 		if err != nil {
 			return fail(err)
 		}
@@ -88,8 +88,8 @@
 	return d, nil
 }
 
-// machine creates the sender with number i, without starting its process.
-func (d *Day) machine(i int) (*fleet.Sender, error) {
+// addSender creates the sender with number i, without starting its process.
+func (d *Day) addSender(i int) (*fleet.Sender, error) {
 	name, host := name(i), d.hosts.sender(i)
 	args, err := d.features(i)
 	if err != nil {
@@ -116,7 +116,7 @@
 	return s, nil
 }
 
-func (d *Day) line(dest int, e *receiver.Endpoint, state string) platform.Target {
+func (d *Day) target(dest int, e *receiver.Endpoint, state string) platform.Target {
 	return platform.Target{ID: e.ID, Addr: e.Addr, Zone: "a", Kind: d.plan.Receivers[dest].Kind, Cell: dest, State: state, Weight: 1}
 }
 
--- a/internal/faulttest/encoding/encoding.go
+++ b/internal/faulttest/encoding/encoding.go
@@ -114,8 +114,8 @@
 	return b.String()
 }
 
-// sum returns a checksum over the attributes and data of an event, which must reach the receiver unchanged.
-func sum(id, source, kind, subject, member, key, order string, body []byte) string {
+// checksum returns a hash of the attributes and data of an event, which must reach the receiver unchanged.
+func checksum(id, source, kind, subject, member, key, order string, body []byte) string {
 	h := fnv.New64a()
 	for _, s := range []string{id, source, kind, subject, member, key, order, string(body)} {
 		fmt.Fprintf(h, "%d:%s", len(s), s)
@@ -127,7 +127,7 @@
 func (f Format) Request(m Message) []byte {
 	kind, subject := typePrefix+m.Class, "dest/"+strconv.Itoa(m.Dest)
 	attributes := [][2]string{{"specversion", "1.0"}, {"id", m.ID}, {"source", Source}, {"type", kind}, {"subject", subject}, {"member", m.Member},
-		{"expirytime", m.Expires.UTC().Format(time.RFC3339Nano)}, {"sum", sum(m.ID, Source, kind, subject, m.Member, m.Key, m.Order, m.Body)}}
+		{"expirytime", m.Expires.UTC().Format(time.RFC3339Nano)}, {"sum", checksum(m.ID, Source, kind, subject, m.Member, m.Key, m.Order, m.Body)}}
 	if m.Key != "" {
 		attributes = append(attributes, [2]string{"idkey", m.Key})
 	}
@@ -261,7 +261,7 @@
 	if e.get("source") != Source {
 		return nil // the sender made this event from a plain message
 	}
-	want := sum(e.get("id"), Source, e.get("type"), e.get("subject"), e.get("member"), e.get("idkey"), e.get("orderkey"), []byte(e.get("data")))
+	want := checksum(e.get("id"), Source, e.get("type"), e.get("subject"), e.get("member"), e.get("idkey"), e.get("orderkey"), []byte(e.get("data")))
 	if got := e.get("sum"); got != want {
 		return invalidEvent("event %s is not what its client sent: sum %s, not %s", e.get("id"), got, want)
 	}
--- a/internal/faulttest/eventlog/eventlog.go
+++ b/internal/faulttest/eventlog/eventlog.go
@@ -253,21 +253,21 @@
 		if err != nil && err != io.EOF {
 			return events, false, fmt.Errorf("%s:%d: %w", name, n, err)
 		}
-		whole := err == nil
+		terminated := err == nil
 		if len(bytes.TrimSpace(line)) > 0 {
 			var e Event
-			if bad := json.Unmarshal(line, &e); bad != nil {
-				if !whole {
+			if decodeErr := json.Unmarshal(line, &e); decodeErr != nil {
+				if !terminated {
 					return events, true, nil
 				}
-				return events, false, fmt.Errorf("%s:%d: not an event: %w", name, n, bad)
+				return events, false, fmt.Errorf("%s:%d: not an event: %w", name, n, decodeErr)
 			}
 			if e.Kind == "" {
 				return events, false, &NoKindError{File: name, Line: n}
 			}
 			events = append(events, e)
 		}
-		if !whole {
+		if !terminated {
 			return events, false, nil
 		}
 	}
--- a/internal/faulttest/platform/platform.go
+++ b/internal/faulttest/platform/platform.go
@@ -47,11 +47,11 @@
 )
 
 const (
-	askWithin   = 10 * time.Second // a sender that neither watches nor polls counts as notified after this
-	afterFailed = 4                // factor on askWithin after a failed request
-	watchGap    = 200 * time.Millisecond
-	maxWatch    = time.Minute
-	oldCloses   = 1500 * time.Millisecond // time until the connections to a former address are closed
+	pollDeadline         = 10 * time.Second // a sender that neither watches nor polls counts as notified after this
+	failedPollFactor     = 4                // factor on pollDeadline after a failed request
+	watchGap             = 200 * time.Millisecond
+	maxWatch             = time.Minute
+	oldAddressCloseDelay = 1500 * time.Millisecond // time until the connections to a former address are closed
 )
 
 type change struct {
@@ -96,7 +96,7 @@
 // New starts a platform without senders. It calls notice for each notice that a sender posts. host returns the host for each listener.
 func New(log *eventlog.Log, host func() string, notice func(sender, id, outcome string, retry time.Duration)) *Platform {
 	p := &Platform{log: log, host: host, notice: notice, list: map[string]Target{}, wake: make(chan struct{}), feeds: map[string]*senderFeed{}, stop: make(chan struct{})}
-	go p.deem()
+	go p.deemNotified()
 	return p
 }
 
@@ -151,7 +151,7 @@
 	p.feeds[sender] = next
 	p.mu.Unlock()
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), oldCloses)
+		ctx, cancel := context.WithTimeout(context.Background(), oldAddressCloseDelay)
 		defer cancel()
 		old.server.Shutdown(ctx) // closes the listener at once and idle connections
 		old.server.Close()
@@ -172,9 +172,9 @@
 	}
 	if fresh || len(o.listSent) == 0 {
 		o.listSent = map[string]string{}
-		whole := p.completeList()
-		p.notify(o, whole, "known")
-		return whole
+		complete := p.completeList()
+		p.notify(o, complete, "known")
+		return complete
 	}
 	known := Targets{Version: o.version, Full: true, Servers: []Target{}}
 	for _, t := range p.sorted() {
@@ -319,18 +319,18 @@
 		o.last, o.failed = p.log.Now(), failed
 		p.mu.Unlock()
 	}
-	for over := false; ; {
+	for expired := false; ; {
 		if p.down {
 			p.failed++
-			breaks := p.failed%2 == 0
+			abort := p.failed%2 == 0
 			end(true)
-			if breaks { // every second failing request ends with a broken connection, the others with an answer
+			if abort { // every second failing request ends with a broken connection, the others with an answer
 				panic(http.ErrAbortHandler)
 			}
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if !watch || p.version > after || over {
+		if !watch || p.version > after || expired {
 			break
 		}
 		wake := p.wake
@@ -338,7 +338,7 @@
 		select {
 		case <-wake:
 		case <-limit.C:
-			over = true
+			expired = true
 		case <-r.Context().Done():
 			p.mu.Lock()
 			end(true)
@@ -354,8 +354,8 @@
 	if watch {
 		t = p.since(after)
 	}
-	named := p.zone != nil
-	if named {
+	zoneFollowed := p.zone != nil
+	if zoneFollowed {
 		t.Servers = []Target{}
 	}
 	p.mu.Unlock()
@@ -367,14 +367,14 @@
 		}
 	}
 	p.mu.Lock()
-	if err == nil && !named {
+	if err == nil && !zoneFollowed {
 		p.notify(o, t, "")
 	}
 	end(err != nil)
 }
 
-// deem periodically records as sent the changes that a sender that neither watches nor polls should have requested by now.
-func (p *Platform) deem() {
+// deemNotified periodically records as sent the changes that a sender that neither watches nor polls should have requested by now.
+func (p *Platform) deemNotified() {
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -386,9 +386,9 @@
 		p.mu.Lock()
 		now := p.log.Now()
 		for _, o := range p.feeds {
-			within := askWithin
+			within := pollDeadline
 			if o.failed {
-				within *= afterFailed
+				within *= failedPollFactor
 			}
 			if p.zone != nil || o.run == 0 || o.watching > 0 || now-o.last <= max(within, watchGap) {
 				continue
--- a/internal/faulttest/report/html.go
+++ b/internal/faulttest/report/html.go
@@ -163,7 +163,7 @@
 		fmt.Fprintf(&p, "%.1f,%d ", s.x(0), r.Y+rowHigh)
 		for i, n := range f.Out {
 			r.PeakInFlight = max(r.PeakInFlight, n)
-			fmt.Fprintf(&p, "%.1f,%.1f ", s.x(float64(i)*step5), float64(r.Y)+rowHigh*(1-float64(n)/float64(peak)))
+			fmt.Fprintf(&p, "%.1f,%.1f ", s.x(float64(i)*stepSeconds), float64(r.Y)+rowHigh*(1-float64(n)/float64(peak)))
 		}
 		fmt.Fprintf(&p, "%.1f,%d", s.x(s.Length), r.Y+rowHigh)
 		r.Points = p.String()
@@ -176,5 +176,5 @@
 	d.High = y + 20
 }
 
-// step5 is the sampling interval of Flight, in seconds.
-const step5 = float64(step) / 1e6
+// stepSeconds is the sampling interval of Flight, in seconds.
+const stepSeconds = float64(step) / 1e6
--- a/internal/faulttest/report/report.go
+++ b/internal/faulttest/report/report.go
@@ -72,14 +72,14 @@
 	Usual float64
 }
 
-// usualPart and usualSpan define the usual service rate after a burst: this fraction of the capacity over this span.
+// usualFraction and usualSpan define the usual service rate after a burst: this fraction of the capacity over this span.
 const (
-	usualPart = 0.8
-	usualSpan = 500_000 // microseconds
+	usualFraction = 0.8
+	usualSpan     = 500_000 // microseconds
 )
 
-// wakes finds for each burst when its receiver reached its usual service rate.
-func (s *Summary) wakes(events []eventlog.Event, fig eventlog.Figures) {
+// findWoken finds for each burst when its receiver reached its usual service rate.
+func (s *Summary) findWoken(events []eventlog.Event, fig eventlog.Figures) {
 	served := map[int][]int64{}
 	for _, e := range events {
 		if e.Kind == eventlog.Done && e.Status == 200 {
@@ -92,7 +92,7 @@
 		}
 		at := w.AtMS * 1000
 		k := Woken{Receiver: fig.Receivers[w.Dest].Name, At: float64(at) / 1e6, Messages: w.Messages, Usual: -1}
-		want := max(1, usualPart*fig.Receivers[w.Dest].Capacity*usualSpan/1e6)
+		want := max(1, usualFraction*fig.Receivers[w.Dest].Capacity*usualSpan/1e6)
 		var since []int64
 		for _, t := range served[w.Dest] {
 			if t < at {
@@ -178,7 +178,7 @@
 	s.worst(t.figures.Seconds)
 	s.bands(events, t.figures, t.end)
 	s.flights(events, t.figures, t.end)
-	s.wakes(events, t.figures)
+	s.findWoken(events, t.figures)
 	return s
 }
 
--- a/internal/faulttest/script/link.go
+++ b/internal/faulttest/script/link.go
@@ -27,8 +27,8 @@
 }
 
 func (l *Link) check() error {
-	set(&l.Rate, 200)
-	set(&l.After, 100)
+	setDefault(&l.Rate, 200)
+	setDefault(&l.After, 100)
 	if (l.Do == "lose" || l.Do == "repeat" || l.Do == "reorder") && l.Fraction == 0 {
 		l.Fraction = 0.3
 	} else if l.Fraction != 0 && l.Do != "lose" && l.Do != "repeat" && l.Do != "reorder" {
@@ -105,7 +105,7 @@
 		case "one":
 			return []int{drawn}, nil
 		}
-		i, err := p.sender(name, l.where)
+		i, err := p.senderIndex(name, l.where)
 		return []int{i}, err
 	}
 	from, err := end(l.From, a)
@@ -184,15 +184,15 @@
 
 // Who returns the names of the senders and links that an act affects; it is empty for an act that affects receivers or discovery.
 func (a Act) Who() []string {
-	var who []string
+	var names []string
 	for _, w := range a.Ways {
-		who = append(who, name(w.From)+">"+name(w.To))
+		names = append(names, name(w.From)+">"+name(w.To))
 	}
 	switch a.Do {
 	case "kill", "restart", "lose", "join", "keep", "old", "pause", "resume":
-		who = append(who, name(a.Sender))
+		names = append(names, name(a.Sender))
 	}
-	return who
+	return names
 }
 
 func name(sender int) string { return "n" + strconv.Itoa(sender) }
--- a/internal/faulttest/script/plan.go
+++ b/internal/faulttest/script/plan.go
@@ -119,13 +119,13 @@
 			return invalid(g.where, "there is no member %q", g.Member)
 		}
 		if g.Sender != "" {
-			if _, err := p.sender(g.Sender, g.where); err != nil {
+			if _, err := p.senderIndex(g.Sender, g.where); err != nil {
 				return err
 			}
 		}
 	}
-	// factor returns the factor by which surges multiply the traffic of a sender to a receiver at a time.
-	factor := func(at time.Duration, sender, dest int) float64 {
+	// surgeFactor returns the factor by which surges multiply the traffic of a sender to a receiver at a time.
+	surgeFactor := func(at time.Duration, sender, dest int) float64 {
 		f := 1.0
 		for _, g := range surges {
 			if at < g.At.D() || at >= g.At.D()+g.For.D() || (g.Member != "" && g.Member != p.Receivers[dest].Member) ||
@@ -148,8 +148,8 @@
 	for i, c := range p.Classes {
 		classes[i] = c.Weight
 	}
-	one := func(at time.Duration, sender, dest int) {
-		class := pick(rng, classes)
+	addArrival := func(at time.Duration, sender, dest int) {
+		class := pickWeighted(rng, classes)
 		a := Arrival{At: at, Sender: sender, Class: class, Dest: dest}
 		if c := p.Classes[class]; c.Ordered {
 			a.Order = fmt.Sprintf("%s-k%d", p.Receivers[dest].Name, rng.IntN(c.Keys))
@@ -170,17 +170,17 @@
 		if at >= end {
 			break
 		}
-		sender, dest := pick(rng, shares), pick(rng, receivers)
+		sender, dest := pickWeighted(rng, shares), pickWeighted(rng, receivers)
 		isClump := rng.Float64()*(single+clump) < clump
-		if rng.Float64()*top >= factor(at, sender, dest) {
+		if rng.Float64()*top >= surgeFactor(at, sender, dest) {
 			continue
 		}
 		if !isClump {
-			one(at, sender, dest)
+			addArrival(at, sender, dest)
 			continue
 		}
 		for range size(dest) {
-			one(at+time.Duration(rng.Float64()*float64(50*time.Millisecond)), sender, dest)
+			addArrival(at+time.Duration(rng.Float64()*float64(50*time.Millisecond)), sender, dest)
 		}
 	}
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
@@ -192,7 +192,7 @@
 	type span struct{ from, to time.Duration }
 	spans := make([][]span, len(p.Receivers))
 	for _, s := range all {
-		dests, err := p.who(s.Who, s.where, rng)
+		dests, err := p.selectReceivers(s.Who, s.where, rng)
 		if err != nil {
 			return err
 		}
@@ -213,14 +213,14 @@
 		classes[i] = c.Weight
 	}
 	for _, b := range all {
-		dests, err := p.who(b.Who, b.where, rng)
+		dests, err := p.selectReceivers(b.Who, b.where, rng)
 		if err != nil {
 			return err
 		}
 		for _, dest := range dests {
 			p.Wakes = append(p.Wakes, Wake{b.At.D(), dest, b.Messages})
 			for range b.Messages {
-				a := Arrival{At: b.At.D() + time.Duration(rng.Float64()*float64(b.Within.D())), Sender: rng.IntN(p.Senders), Class: pick(rng, classes), Dest: dest}
+				a := Arrival{At: b.At.D() + time.Duration(rng.Float64()*float64(b.Within.D())), Sender: rng.IntN(p.Senders), Class: pickWeighted(rng, classes), Dest: dest}
 				if c := p.Classes[a.Class]; c.Ordered {
 					a.Order = fmt.Sprintf("%s-k%d", p.Receivers[dest].Name, rng.IntN(c.Keys))
 				}
@@ -240,7 +240,7 @@
 	return r.Spec.Capacity
 }
 
-func pick(rng *rand.Rand, weights []float64) int {
+func pickWeighted(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
@@ -254,7 +254,7 @@
 	return len(weights) - 1
 }
 
-func (p *Plan) sender(name, where string) (int, error) {
+func (p *Plan) senderIndex(name, where string) (int, error) {
 	if len(name) > 1 && name[0] == 'n' {
 		if i, err := strconv.Atoi(name[1:]); err == nil && i >= 0 && i < p.Senders {
 			return i, nil
@@ -263,8 +263,8 @@
 	return 0, invalid(where, "there is no sender %q; the senders are n0 to n%d", name, p.Senders-1)
 }
 
-// who resolves the selected receivers. Random selections are drawn in the order of the script.
-func (p *Plan) who(w Who, where string, rng *rand.Rand) ([]int, error) {
+// selectReceivers resolves the selected receivers. Random selections are drawn in the order of the script.
+func (p *Plan) selectReceivers(w Who, where string, rng *rand.Rand) ([]int, error) {
 	var dests []int
 	order := rng.Perm(len(p.Receivers)) // always drawn, so that a change of this selection does not change later draws
 	switch {
@@ -318,7 +318,7 @@
 // faultActs adds the acts that begin and end each fault. A slow start has no end.
 func (p *Plan) faultActs(faults []Fault, rng *rand.Rand) error {
 	for i, t := range faults {
-		dests, err := p.who(t.Who, t.where, rng)
+		dests, err := p.selectReceivers(t.Who, t.where, rng)
 		if err != nil {
 			return err
 		}
@@ -339,7 +339,7 @@
 		a := Act{At: l.At.D(), Do: l.Do, Delay: l.Delay.D()}
 		switch l.Do {
 		case "replace":
-			dests, err := p.who(l.Who, l.where, rng)
+			dests, err := p.selectReceivers(l.Who, l.where, rng)
 			if err != nil {
 				return err
 			}
@@ -379,7 +379,7 @@
 				a.At += c.Each.D()
 			}
 		default:
-			i, err := p.sender(c.Which, c.where)
+			i, err := p.senderIndex(c.Which, c.where)
 			if err != nil {
 				return err
 			}
--- a/internal/faulttest/script/script.go
+++ b/internal/faulttest/script/script.go
@@ -208,7 +208,7 @@
 	if err := tomlfile.Decode(path, raw, s); err != nil {
 		return nil, err
 	}
-	lines := tables(raw)
+	lines := tableLines(raw)
 	if err := s.check(func(table string, i int) string {
 		if at := lines[table]; i < len(at) {
 			return fmt.Sprintf("%s:%d", path, at[i])
@@ -222,8 +222,8 @@
 
 var header = regexp.MustCompile(`^\s*\[{1,2}\s*([a-z_]+)\s*\]{1,2}`)
 
-// tables finds the line of each table's header, for errors that concern more than one value.
-func tables(raw []byte) map[string][]int {
+// tableLines finds the line of each table's header, for errors that concern more than one value.
+func tableLines(raw []byte) map[string][]int {
 	at := map[string][]int{}
 	for i, line := range strings.Split(string(raw), "\n") {
 		if m := header.FindStringSubmatch(line); m != nil {
@@ -233,7 +233,7 @@
 	return at
 }
 
-func set[T comparable](v *T, def T) {
+func setDefault[T comparable](v *T, def T) {
 	var zero T
 	if *v == zero {
 		*v = def
--- a/internal/faulttest/script/validate.go
+++ b/internal/faulttest/script/validate.go
@@ -9,11 +9,11 @@
 	"saffronyard.example/saffronyard/internal/faulttest/fault"
 )
 
-// placer returns the file and line of the i-th table of a kind, as in "day.toml:12".
-type placer func(kind string, i int) string
+// locator returns the file and line of the i-th table of a kind, as in "day.toml:12".
+type locator func(kind string, i int) string
 
 // check fills in the defaults of a script and returns an error for the first invalid entry.
-func (s *Script) check(where placer) error {
+func (s *Script) check(where locator) error {
 	if s.Day != nil {
 		if err := s.Day.check(where("day", 0)); err != nil {
 			return err
@@ -50,7 +50,7 @@
 const maxName = 64
 
 // checkNamed checks the entries that have names: classes, kinds of receivers, and members.
-func (s *Script) checkNamed(where placer) error {
+func (s *Script) checkNamed(where locator) error {
 	given := names{}
 	for i := range s.Classes {
 		if err := s.Classes[i].check(where("class", i)); err != nil {
@@ -80,7 +80,7 @@
 }
 
 // checkEvents checks the faults of receivers, the changes of the endpoint list, the actions on senders and the faults of links.
-func (s *Script) checkEvents(where placer) error {
+func (s *Script) checkEvents(where locator) error {
 	for i := range s.Faults {
 		t := &s.Faults[i]
 		t.where = where("trouble", i)
@@ -113,7 +113,7 @@
 }
 
 // checkTraffic checks the changes of the traffic: surges, sleeps and bursts.
-func (s *Script) checkTraffic(where placer) error {
+func (s *Script) checkTraffic(where locator) error {
 	for i := range s.Surges {
 		g := &s.Surges[i]
 		g.where = where("surge", i)
@@ -134,7 +134,7 @@
 	for i := range s.Bursts {
 		z := &s.Bursts[i]
 		z.where = where("burst", i)
-		set(&z.Within, Span(time.Second))
+		setDefault(&z.Within, Span(time.Second))
 		if z.Messages < 1 || z.Messages > 100_000 {
 			return invalid(z.where, "messages = %d is not in [1, 100000]", z.Messages)
 		}
@@ -146,7 +146,7 @@
 }
 
 func (g *Surge) check() error {
-	set(&g.Factor, 3)
+	setDefault(&g.Factor, 3)
 	if !(g.Factor > 0) || g.Factor > 100 {
 		return invalid(g.where, "factor %v is not in (0, 100]", g.Factor)
 	}
@@ -159,36 +159,36 @@
 	return nil
 }
 
-// inside reports whether v lies in (from, to]. It returns false for NaN.
-func inside(v, from, to float64) bool { return v > from && v <= to && !math.IsNaN(v) }
+// inRange reports whether v lies in (from, to]. It returns false for NaN.
+func inRange(v, from, to float64) bool { return v > from && v <= to && !math.IsNaN(v) }
 
 // setDefaults sets the fields that a script leaves out to the defaults in the fields' comments.
 func (d *Day) setDefaults() {
-	set(&d.Seconds, 15)
-	set(&d.Seed, 1)
-	set(&d.Rate, 30)
-	set(&d.Senders, 2)
-	set(&d.Receivers, 10)
-	set(&d.Zipf, 0.8)
-	set(&d.Load, 0.7)
-	set(&d.ClumpSpan, Span(1500*time.Millisecond))
-	set(&d.Body, 300)
-	set(&d.FirstBackoff, Span(500*time.Millisecond))
-	set(&d.Patience, Span(400*time.Millisecond))
-	set(&d.SlowStartCapacity, 0.18)
-	set(&d.SlowStart, Span(14*time.Second))
-	set(&d.FallMultiple, 2)
-	set(&d.FallSpan, Span(3*time.Second))
-	set(&d.DrainGrace, Span(2*time.Second))
-	set(&d.Grace, Span(50*time.Millisecond))
-	set(&d.OrderRest, Span(time.Second))
-	set(&d.ListDelay, Span(300*time.Millisecond))
-	set(&d.MemoryMB, 192)
-	set(&d.Sockets, 512)
-	set(&d.Disk, 3)
-	set(&d.SlotHeadroom, 2)
-	set(&d.ReportEach, Span(400*time.Millisecond))
-	set(&d.ReportLate, Span(100*time.Millisecond))
+	setDefault(&d.Seconds, 15)
+	setDefault(&d.Seed, 1)
+	setDefault(&d.Rate, 30)
+	setDefault(&d.Senders, 2)
+	setDefault(&d.Receivers, 10)
+	setDefault(&d.Zipf, 0.8)
+	setDefault(&d.Load, 0.7)
+	setDefault(&d.ClumpSpan, Span(1500*time.Millisecond))
+	setDefault(&d.Body, 300)
+	setDefault(&d.FirstBackoff, Span(500*time.Millisecond))
+	setDefault(&d.Patience, Span(400*time.Millisecond))
+	setDefault(&d.SlowStartCapacity, 0.18)
+	setDefault(&d.SlowStart, Span(14*time.Second))
+	setDefault(&d.FallMultiple, 2)
+	setDefault(&d.FallSpan, Span(3*time.Second))
+	setDefault(&d.DrainGrace, Span(2*time.Second))
+	setDefault(&d.Grace, Span(50*time.Millisecond))
+	setDefault(&d.OrderRest, Span(time.Second))
+	setDefault(&d.ListDelay, Span(300*time.Millisecond))
+	setDefault(&d.MemoryMB, 192)
+	setDefault(&d.Sockets, 512)
+	setDefault(&d.Disk, 3)
+	setDefault(&d.SlotHeadroom, 2)
+	setDefault(&d.ReportEach, Span(400*time.Millisecond))
+	setDefault(&d.ReportLate, Span(100*time.Millisecond))
 	if d.Retries == nil {
 		three := 3
 		d.Retries = &three
@@ -196,7 +196,7 @@
 	if d.Endpoints == nil {
 		d.Endpoints = []int{1, 3}
 	}
-	set(&d.Speak, encoding.Plain)
+	setDefault(&d.Speak, encoding.Plain)
 }
 
 func (d *Day) check(at string) error {
@@ -214,7 +214,7 @@
 		{"fall_span", d.FallSpan.D().Seconds(), 0, 60}, {"zipf", d.Zipf, -1e-9, 10}, {"clumps", d.Clumps, -1e-9, 0.9},
 		{"retries", float64(*d.Retries), -1, 20}, {"lost_answers", d.LostAnswers, -1e-9, 0.9}, {"grace", d.Grace.D().Seconds(), 0.049, 0.4}, {"settle", d.OrderRest.D().Seconds(), d.Grace.D().Seconds(), 600},
 	} {
-		if !inside(c.v, c.from, c.to) {
+		if !inRange(c.v, c.from, c.to) {
 			return invalid(at, "day: %s = %v is not in (%v, %v]", c.name, c.v, c.from, c.to)
 		}
 	}
@@ -228,7 +228,7 @@
 		return invalid(at, "day: sender_shares has %d shares for %d senders", len(d.SenderWeights), d.Senders)
 	}
 	for _, v := range d.SenderWeights {
-		if !inside(v, 0, 1e6) {
+		if !inRange(v, 0, 1e6) {
 			return invalid(at, "day: sender_shares: %v is not in (0, 1000000]", v)
 		}
 	}
@@ -236,19 +236,19 @@
 }
 
 func (c *Class) check(at string) error {
-	set(&c.Weight, 1)
-	set(&c.Effect, "keyed")
-	set(&c.Keys, 2)
-	set(&c.LatencyTarget, Span(2500*time.Millisecond))
-	set(&c.Deadline, Span(8*time.Second))
-	set(&c.KeyWindow, Span(7500*time.Millisecond))
-	set(&c.LateValue, 0.5)
+	setDefault(&c.Weight, 1)
+	setDefault(&c.Effect, "keyed")
+	setDefault(&c.Keys, 2)
+	setDefault(&c.LatencyTarget, Span(2500*time.Millisecond))
+	setDefault(&c.Deadline, Span(8*time.Second))
+	setDefault(&c.KeyWindow, Span(7500*time.Millisecond))
+	setDefault(&c.LateValue, 0.5)
 	switch c.Effect {
 	case "safe", "keyed", "unsafe":
 	default:
 		return invalid(at, "class %q: unknown effect = %q; want safe, keyed or unsafe", c.Name, c.Effect)
 	}
-	if !inside(c.Weight, 0, 1000) || c.Keys < 1 || c.Keys > 10000 || !inside(c.LateValue, -1e-9, 1) {
+	if !inRange(c.Weight, 0, 1000) || c.Keys < 1 || c.Keys > 10000 || !inRange(c.LateValue, -1e-9, 1) {
 		return invalid(at, "class %q: share must be in (0, 1000], keys in [1, 10000], late_worth in [0, 1]", c.Name)
 	}
 	if c.LatencyTarget.D() > c.Deadline.D() || c.Deadline.D() > time.Minute {
@@ -258,20 +258,20 @@
 }
 
 func (k *Kind) check(at string) error {
-	set(&k.Format, encoding.Plain)
+	setDefault(&k.Format, encoding.Plain)
 	if !k.Format.Known(false) {
 		return invalid(at, "kind %q: unknown form = %q; want plain, binary, structured or batched", k.Name, k.Format)
 	}
-	set(&k.Weight, 1)
-	set(&k.Service, Span(150*time.Millisecond))
-	set(&k.Spread, 0.6)
-	set(&k.Times, "lognormal")
-	set(&k.MinRate, 4)
-	set(&k.Queue, Span(500*time.Millisecond))
-	set(&k.Limit, "none")
-	set(&k.Window, Span(time.Second))
-	set(&k.MinConnections, 10)
-	set(&k.IdleClose, Span(15*time.Second))
+	setDefault(&k.Weight, 1)
+	setDefault(&k.Service, Span(150*time.Millisecond))
+	setDefault(&k.Spread, 0.6)
+	setDefault(&k.Times, "lognormal")
+	setDefault(&k.MinRate, 4)
+	setDefault(&k.Queue, Span(500*time.Millisecond))
+	setDefault(&k.Limit, "none")
+	setDefault(&k.Window, Span(time.Second))
+	setDefault(&k.MinConnections, 10)
+	setDefault(&k.IdleClose, Span(15*time.Second))
 	if k.Headroom == nil {
 		k.Headroom = []float64{1.3, 2}
 	}
@@ -279,7 +279,7 @@
 		k.LimitHeadroom = []float64{1.2, 2}
 	}
 	for name, r := range map[string][]float64{"headroom": k.Headroom, "limit_room": k.LimitHeadroom} {
-		if len(r) != 2 || !inside(r[0], 0, 1000) || !inside(r[1], 0, 1000) || r[1] < r[0] {
+		if len(r) != 2 || !inRange(r[0], 0, 1000) || !inRange(r[1], 0, 1000) || r[1] < r[0] {
 			return invalid(at, "kind %q: %s = %v: want minimum and maximum, over 0", k.Name, name, r)
 		}
 	}
@@ -293,7 +293,7 @@
 	default:
 		return invalid(at, "kind %q: unknown limit = %q; want none, rate or window", k.Name, k.Limit)
 	}
-	if !inside(k.Weight, 0, 1000) || !inside(k.Spread, 0, 10) || !inside(k.MinRate, 0, 1e5) || k.Connections < 0 || k.MinConnections < 1 {
+	if !inRange(k.Weight, 0, 1000) || !inRange(k.Spread, 0, 10) || !inRange(k.MinRate, 0, 1e5) || k.Connections < 0 || k.MinConnections < 1 {
 		return invalid(at, "kind %q: share, spread, least_rate and least_conns must be over 0, and connections must not be negative", k.Name)
 	}
 	if k.Service.D() > 10*time.Second || k.Window.D() > time.Minute {
@@ -312,7 +312,7 @@
 	if n != 1 {
 		return invalid(at, "who needs exactly one of name, kind, member, traffic, random; it has %d", n)
 	}
-	if w.Traffic != 0 && !inside(w.Traffic, 0, 1) {
+	if w.Traffic != 0 && !inRange(w.Traffic, 0, 1) {
 		return invalid(at, "who: traffic = %v is not in (0, 1]", w.Traffic)
 	}
 	if w.Random < 0 {
@@ -322,16 +322,16 @@
 }
 
 func (t *Fault) check() error {
-	set(&t.Fraction, 1)
-	set(&t.Factor, 8)
-	set(&t.Wait, Span(800*time.Millisecond))
+	setDefault(&t.Fraction, 1)
+	setDefault(&t.Factor, 8)
+	setDefault(&t.Wait, Span(800*time.Millisecond))
 	if err := t.Who.check(t.where); err != nil {
 		return err
 	}
-	if !inside(t.Fraction, 0, 1) {
+	if !inRange(t.Fraction, 0, 1) {
 		return invalid(t.where, "%s: share = %v is not in (0, 1]", t.What, t.Fraction)
 	}
-	if !inside(t.Factor, 1, 1000) {
+	if !inRange(t.Factor, 1, 1000) {
 		return invalid(t.where, "%s: factor = %v is not in (1, 1000]", t.What, t.Factor)
 	}
 	if t.For == 0 && t.What != fault.SlowStart {
@@ -347,8 +347,8 @@
 }
 
 func (l *List) check() error {
-	set(&l.Each, Span(500*time.Millisecond))
-	set(&l.Delay, Span(2*time.Second))
+	setDefault(&l.Each, Span(500*time.Millisecond))
+	setDefault(&l.Delay, Span(2*time.Second))
 	switch l.Do {
 	case "replace":
 		return l.Who.check(l.where)
