--- a/internal/faulttest/cli/main_test.go
+++ b/internal/faulttest/cli/main_test.go
@@ -24,9 +24,9 @@
 
 // programs are the sender and the fault-test command, built once for all tests, so that tests run them as a user does.
 var programs struct {
-	once             sync.Once
-	sender, rehearse string
-	err              error
+	once              sync.Once
+	sender, faultTest string
+	err               error
 }
 
 func TestMain(m *testing.M) {
@@ -41,7 +41,7 @@
 	os.Exit(code)
 }
 
-func buildPrograms(t *testing.T) (sender, rehearse string) {
+func buildPrograms(t *testing.T) (sender, faultTest string) {
 	t.Helper()
 	programs.once.Do(func() {
 		dir := os.Getenv("TMPDIR")
@@ -49,12 +49,12 @@
 		if out, err := build.CombinedOutput(); err != nil {
 			programs.err = fmt.Errorf("%w: %s", err, out)
 		}
-		programs.sender, programs.rehearse = filepath.Join(dir, "saffronyard"), filepath.Join(dir, programName)
+		programs.sender, programs.faultTest = filepath.Join(dir, "saffronyard"), filepath.Join(dir, programName)
 	})
 	if programs.err != nil {
 		t.Fatal(programs.err)
 	}
-	return programs.sender, programs.rehearse
+	return programs.sender, programs.faultTest
 }
 
 // call runs a subcommand in this process.
@@ -74,9 +74,9 @@
 
 // The judge reports each wrong sender for the rule that it breaks and for no other rule, and passes the right sender.
 func TestSelftest(t *testing.T) {
-	_, rehearse := buildPrograms(t)
+	_, faultTest := buildPrograms(t)
 	var out bytes.Buffer
-	code, err := selftestWith(context.Background(), rehearse, 4, maxDayAttempts, slowMachine, &out)
+	code, err := selftestWith(context.Background(), faultTest, 4, maxDayAttempts, slowMachine, &out)
 	t.Log("\n" + out.String())
 	if err != nil || code != judge.ExitPass {
 		t.Fatalf("exit %d: %v", code, err)
@@ -208,7 +208,7 @@
 	}
 	for _, c := range []struct {
 		args []string
-		says string
+		want string
 	}{
 		{nil, "fault-test plays a day"},
 		{[]string{"dance"}, `unknown command "dance"`},
@@ -224,9 +224,9 @@
 	} {
 		code, out, errs := runCommand(t, c.args...)
 		if c.args != nil && c.args[0] == mutantCommand {
-			c.says = "no fault is called"
+			c.want = "no fault is called"
 		}
-		if code != judge.ExitScript || !strings.Contains(out+errs, c.says) {
+		if code != judge.ExitScript || !strings.Contains(out+errs, c.want) {
 			t.Errorf("%v: exit %d, %s%s", c.args, code, out, errs)
 		}
 	}
@@ -255,9 +255,9 @@
 
 // SIGINT ends a day and its processes, and the event log has the events up to then.
 func TestInterrupted(t *testing.T) {
-	sender, rehearse := buildPrograms(t)
+	sender, faultTest := buildPrograms(t)
 	log := filepath.Join(t.TempDir(), "events.jsonl")
-	cmd := exec.Command(rehearse, "run", "-sender", sender, "-log", log, "testdata/troubles.toml")
+	cmd := exec.Command(faultTest, "run", "-sender", sender, "-log", log, "testdata/troubles.toml")
 	var errs, out syncBuffer
 	cmd.Stderr, cmd.Stdout = &errs, &out
 	if err := cmd.Start(); err != nil {
@@ -278,9 +278,9 @@
 
 // When the kit is killed with SIGKILL, its senders end too.
 func TestKilledKit(t *testing.T) {
-	sender, rehearse := buildPrograms(t)
+	sender, faultTest := buildPrograms(t)
 	logs := t.TempDir()
-	cmd := exec.Command(rehearse, "run", "-sender", sender, "-logs", logs, "testdata/troubles.toml")
+	cmd := exec.Command(faultTest, "run", "-sender", sender, "-logs", logs, "testdata/troubles.toml")
 	var errs syncBuffer
 	cmd.Stderr = &errs
 	if err := cmd.Start(); err != nil {
@@ -308,8 +308,8 @@
 
 // The up command prints the addresses and a curl command to hand a message in. A message that is handed in that way arrives and is printed.
 func TestUp(t *testing.T) {
-	sender, rehearse := buildPrograms(t)
-	cmd := exec.Command(rehearse, "up", "-sender", sender, "-for", "60s")
+	sender, faultTest := buildPrograms(t)
+	cmd := exec.Command(faultTest, "up", "-sender", sender, "-for", "60s")
 	var out syncBuffer
 	cmd.Stdout, cmd.Stderr = &out, &out
 	if err := cmd.Start(); err != nil {
@@ -408,7 +408,7 @@
 	plain := []*variantResult{result(0.95, 0.2, answers(0, "")...), result(0.97, 0.22, answers(3, "503")...)}
 	for name, c := range map[string]struct {
 		run  *variantResult
-		says string
+		want string
 	}{
 		"the same":      {result(0.96, 0.21, answers(4, "503")...), ""},
 		"answers":       {result(0.96, 0.21, answers(9, "422")...), "9 messages were answered otherwise"},
@@ -418,8 +418,8 @@
 		"none came out": {result(0, 0, answers(100, "0")...), "100 messages"},
 	} {
 		got := strings.Join(deviations(plain, []*variantResult{c.run}, 0.01), "\n")
-		if c.says == "" && got != "" || !strings.Contains(got, c.says) {
-			t.Errorf("%s: %q, want %q", name, got, c.says)
+		if c.want == "" && got != "" || !strings.Contains(got, c.want) {
+			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
 	}
 }
--- a/internal/faulttest/cli/selftest.go
+++ b/internal/faulttest/cli/selftest.go
@@ -106,7 +106,8 @@
 	err     error
 }
 
-// wrongVerdict describes the first wrong verdict: a rule that was not tried, an undetected violation or a false one. It returns "" if there is none.
+// wrongVerdict describes the first wrong verdict: a rule that was not tried, an undetected violation or a false one. It returns "" if
+// there is none.
 func (t trial) wrongVerdict() string {
 	for _, r := range t.verdict.Results {
 		switch {
--- a/internal/faulttest/day/day.go
+++ b/internal/faulttest/day/day.go
@@ -27,7 +27,7 @@
 	waitLetIn         = 50 * time.Millisecond // the day's grace is added to it
 	connIdle          = 15 * time.Second
 	connectTime       = 1500 * time.Millisecond
-	removeAfter       = 3 * time.Second // time from the begin of a replaced endpoint's drain to its removal from the list, and from there to its stop
+	removeAfter       = 3 * time.Second // time from the start of a replaced endpoint's drain to its removal from the list, and from there to its stop
 	lostMachineDelay  = 2 * time.Second // time until a lost machine comes back with an empty folder
 	stabilizationTime = 500 * time.Millisecond
 	tickInterval      = 5 * time.Millisecond
--- a/internal/faulttest/day/day_test.go
+++ b/internal/faulttest/day/day_test.go
@@ -67,7 +67,7 @@
 	return strings.Join(all, " ")
 }
 
-// Two overlapping drains act as one, from the begin of the first to the end of the last, regardless of other faults of the receiver.
+// Two overlapping drains act as one, from the start of the first to the end of the last, regardless of other faults of the receiver.
 // A replaced endpoint is drained and then removed, and the new one is listed.
 func TestPlay_DrainingAndReplacement(t *testing.T) {
 	t.Parallel()
@@ -125,7 +125,7 @@
 		return at
 	}
 	if from, to := first("r0-e0", "DRAINING"), first("r0-e0", "SERVING"); from < 500_000 || from > 1_500_000 || to < 3_500_000 {
-		t.Errorf("the overlapping drains last from %d to %d µs, want a begin at 0.5 to 1.5 s and an end from 3.5 s on", from, to)
+		t.Errorf("the overlapping drains last from %d to %d µs, want a start at 0.5 to 1.5 s and an end from 3.5 s on", from, to)
 	}
 }
 
@@ -269,7 +269,7 @@
 	}
 }
 
-// Each sender's features file names the other senders by its own links. The log has the begin and the end of a link's fault, and
+// Each sender's features file names the other senders by its own links. The log has the start and the end of a link's fault, and
 // the copy and the restoration of a sender's folder.
 func TestLinksAndFolders(t *testing.T) {
 	t.Parallel()
--- a/internal/faulttest/day/setup.go
+++ b/internal/faulttest/day/setup.go
@@ -26,7 +26,7 @@
 // Open starts the simulated receivers, the platform and the senders, and returns when all are ready.
 func Open(ctx context.Context, plan *script.Plan, opt Options) (*Day, error) {
 	if err := os.MkdirAll(opt.Folder, 0o755); err != nil {
-		return nil, fmt.Errorf("rehearsal: %w", err)
+		return nil, fmt.Errorf("create the folder of the day: %w", err)
 	}
 	// The day's clock starts with the arrivals, at Restart below: the events of the setup get times before 0.
 	d := &Day{plan: plan, hosts: newHosts(), draining: map[string]int{}, delay: plan.Day.ListDelay.D(), ctx: ctx}
@@ -35,7 +35,7 @@
 	if plan.Day.Names {
 		var err error
 		if zone.path, err = filepath.Abs(zone.path); err != nil {
-			return nil, fmt.Errorf("rehearsal: %w", err)
+			return nil, fmt.Errorf("path of the zone file: %w", err)
 		}
 		text += "\n" + zone.features(plan)
 	}
@@ -201,7 +201,7 @@
 func Folder(name string) (string, error) {
 	dir, err := os.MkdirTemp("", "rehearsal-"+name+"-")
 	if err != nil {
-		return "", fmt.Errorf("rehearsal: %w", err)
+		return "", fmt.Errorf("create temporary folder: %w", err)
 	}
 	return filepath.Clean(dir), nil
 }
--- a/internal/faulttest/eventlog/eventlog.go
+++ b/internal/faulttest/eventlog/eventlog.go
@@ -130,7 +130,7 @@
 // Log collects the events of all simulated components. It must be created with New.
 type Log struct {
 	start time.Time
-	shift atomic.Int64 // time from start to the begin of the day
+	shift atomic.Int64 // time from start until the day begins
 
 	mu       sync.Mutex
 	begun    bool
--- a/internal/faulttest/eventlog/eventlog_test.go
+++ b/internal/faulttest/eventlog/eventlog_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Read returns the events that were written, and events from before the begin of the day have negative times.
+// Read returns the events that were written, and events from before the start of the day have negative times.
 func TestLog_EncodesAndDecodes(t *testing.T) {
 	var b bytes.Buffer
 	var seen []Kind
--- a/internal/faulttest/platform/platform_test.go
+++ b/internal/faulttest/platform/platform_test.go
@@ -13,7 +13,7 @@
 	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
-const long = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 type notice struct{ sender, id, outcome string }
 
@@ -68,7 +68,7 @@
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(long); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal(what)
 		}
--- a/internal/faulttest/report/report.go
+++ b/internal/faulttest/report/report.go
@@ -48,7 +48,7 @@
 	Delivered        int
 	ServedFraction   float64 // of the worth asked for
 	Worst            float64 // ServedFraction in the worst 10 s
-	WorstFrom        float64 // begin of the worst 10 s, in seconds
+	WorstFrom        float64 // start of the worst 10 s, in seconds
 	WorstMember      Member
 	AboveLimit       int // calls answered 429 or 503
 	Failed           int // messages that were not delivered by the end
--- a/internal/faulttest/script/link.go
+++ b/internal/faulttest/script/link.go
@@ -45,13 +45,13 @@
 		}
 	case "reset":
 		if l.For != 0 {
-			return invalid(l.where, "reset takes no time: for is not allowed")
+			return invalid(l.where, `reset has no duration: the key "for" is not allowed`)
 		}
 	default:
 		return invalid(l.where, "unknown do = %q; want cut, refuse, slow, trickle, freeze, reset, lose, repeat or reorder", l.Do)
 	}
 	if l.Do != "reset" && l.For == 0 {
-		return invalid(l.where, "%s needs for", l.Do)
+		return invalid(l.where, `%s needs the key "for"`, l.Do)
 	}
 	if l.From == "" || l.To == "" {
 		return invalid(l.where, "%s needs from and to: \"n0\", \"all\" or \"one\"", l.Do)
@@ -166,7 +166,7 @@
 		return invalid(c.where, "unknown do = %q; want kill, restart, lose, keep, old, pause or join", c.Do)
 	}
 	if (c.Do == "pause") != (c.For > 0) {
-		return invalid(c.where, "pause needs for, and no other do allows it")
+		return invalid(c.where, `the key "for" is required for pause and not allowed otherwise`)
 	}
 	return nil
 }
--- a/internal/faulttest/script/script_test.go
+++ b/internal/faulttest/script/script_test.go
@@ -13,7 +13,7 @@
 
 // Errors in a script name the file and line.
 func TestErrorsNameTheLine(t *testing.T) {
-	for name, c := range map[string]struct{ text, says string }{
+	for name, c := range map[string]struct{ text, want string }{
 		"unknown key":              {"[day]\nseconds = 3\nsecond = 4\n", `x.toml:3: unknown key "day.second"`},
 		"unknown table":            {"[day]\n[[troubles]]\n", `x.toml:2: unknown key "troubles"`},
 		"no TOML":                  {"[day]\nseconds = = 3\n", "x.toml:2: "},
@@ -24,7 +24,7 @@
 		"no such trouble":          {"[[trouble]]\nwhat = \"flood\"\n", `x.toml:2: unknown trouble "flood"; want one of vanish, shut`},
 		"trouble for nobody":       {"[day]\n[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\n", "x.toml:2: who needs exactly one of"},
 		"trouble for two":          {"[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\nwho = {name = \"r0\", random = 1}\n", "x.toml:1: who needs exactly one of name, kind, member, traffic, random; it has 2"},
-		"trouble for no time":      {"[day]\n\n[[trouble]]\nwhat = \"hang\"\nwho = {random = 1}\n", "x.toml:3: hang needs for"},
+		"trouble for no time":      {"[day]\n\n[[trouble]]\nwhat = \"hang\"\nwho = {random = 1}\n", `x.toml:3: hang needs the key "for"`},
 		"second trouble is wrong":  {"[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\nwho = {random = 1}\n[[trouble]]\nwhat = \"fail\"\nshare = 2.0\nfor = \"1s\"\nwho = {random = 1}\n", "x.toml:5: fail: share = 2"},
 		"only with a hang":         {"[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\nonly = 1\nwho = {random = 1}\n", "x.toml:1: only is allowed only with drain"},
 		"too long a day":           {"[day]\nseconds = 1e9\n", "x.toml:1: day: seconds"},
@@ -38,31 +38,31 @@
 		"no such limit":            {"[[kind]]\nname = \"a\"\nlimit = \"some\"\n", "x.toml:1: kind \"a\": unknown limit"},
 		"headroom upside down":     {"[[kind]]\nname = \"a\"\nheadroom = [2.0, 1.0]\n", "x.toml:1: kind \"a\": headroom"},
 		"no such happening":        {"[[list]]\ndo = \"burn\"\n", "x.toml:1: unknown do = \"burn\"; want"},
-		"down without a length":    {"[[list]]\ndo = \"down\"\n", "x.toml:1: down needs for"},
-		"pause without a length":   {"[[sender]]\ndo = \"pause\"\nwhich = \"n0\"\n", "x.toml:1: pause needs for"},
-		"a kill that lasts":        {"[[sender]]\ndo = \"kill\"\nwhich = \"n0\"\nfor = \"1s\"\n", "x.toml:1: pause needs for, and no other do"},
+		"down without a length":    {"[[list]]\ndo = \"down\"\n", `x.toml:1: down needs the key "for"`},
+		"pause without a length":   {"[[sender]]\ndo = \"pause\"\nwhich = \"n0\"\n", `x.toml:1: the key "for" is required for pause`},
+		"a kill that lasts":        {"[[sender]]\ndo = \"kill\"\nwhich = \"n0\"\nfor = \"1s\"\n", `x.toml:1: the key "for" is required for pause and not allowed otherwise`},
 		"no such fault of a link":  {"[[link]]\ndo = \"burn\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:1: unknown do = \"burn\"; want cut"},
-		"a cut without a length":   {"\n[[link]]\ndo = \"cut\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:2: cut needs for"},
+		"a cut without a length":   {"\n[[link]]\ndo = \"cut\"\nfrom = \"n0\"\nto = \"n1\"\n", `x.toml:2: cut needs the key "for"`},
 		"a cut from nowhere":       {"[[link]]\ndo = \"cut\"\nfor = \"1s\"\nto = \"n1\"\n", "x.toml:1: cut needs from and to"},
 		"a link to itself":         {"[[link]]\ndo = \"cut\"\nfor = \"1s\"\nfrom = \"n1\"\nto = \"n1\"\n", "x.toml:1: from and to are both"},
 		"a share of a cut":         {"[[link]]\ndo = \"cut\"\nshare = 0.5\nfor = \"1s\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:1: share is allowed only with lose, repeat and reorder"},
 		"more than all are lost":   {"[[link]]\ndo = \"lose\"\nshare = 1.5\nfor = \"1s\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:1: share = 1.5 is not in [0, 1]"},
 		"slow by nothing":          {"[[link]]\ndo = \"slow\"\nfor = \"1s\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:1: slow needs delay or jitter"},
-		"a reset that lasts":       {"[[link]]\ndo = \"reset\"\nfor = \"1s\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:1: reset takes no time"},
+		"a reset that lasts":       {"[[link]]\ndo = \"reset\"\nfor = \"1s\"\nfrom = \"n0\"\nto = \"n1\"\n", "x.toml:1: reset has no duration"},
 		"sender without a name":    {"[[sender]]\ndo = \"kill\"\n", "x.toml:1: kill needs which"},
 		"surge of two":             {"[[surge]]\nfor = \"1s\"\nmember = \"a\"\nsender = \"n0\"\n", "x.toml:1: a surge takes"},
 		"a name that breaks lines": {"[[member]]\nname = \"a\\nb\"\nshare = 1.0\n", "x.toml:1: member name"},
 	} {
 		_, err := Parse("x.toml", []byte(c.text))
-		if err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v, want %q", name, err, c.says)
+		if err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: %v, want %q", name, err, c.want)
 		}
 	}
 }
 
 // Make fails, with the file and line, if an entry names a receiver, kind, sender or member that the day does not have.
 func TestPlanErrorsNameTheLine(t *testing.T) {
-	for name, c := range map[string]struct{ text, says string }{
+	for name, c := range map[string]struct{ text, want string }{
 		"no such receiver": {"[day]\n[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\nwho = {name = \"r99\"}\n", "x.toml:2: who matches no receiver"},
 		"no such kind":     {"[day]\n[[list]]\ndo = \"replace\"\nwho = {kind = \"bank\"}\n", "x.toml:2: who matches no receiver"},
 		"too many":         {"[day]\nreceivers = 2\n[[trouble]]\nwhat = \"hang\"\nfor = \"1s\"\nwho = {random = 3}\n", "x.toml:3: random = 3 of 2"},
@@ -78,8 +78,8 @@
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		if _, err := s.Make(); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v, want %q", name, err, c.says)
+		if _, err := s.Make(); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: %v, want %q", name, err, c.want)
 		}
 	}
 }
@@ -285,10 +285,10 @@
 			t.Errorf("receiver %d: %d messages, %d without the sleep and the burst", dest, b, a)
 		}
 	}
-	for text, says := range map[string]string{
-		"[[sleep]]\nwho = {name = \"r1\"}\n": "x.toml:5: a sleep needs for", "[[burst]]\nwho = {name = \"r1\"}\n": "x.toml:5: messages = 0",
+	for text, want := range map[string]string{
+		"[[sleep]]\nwho = {name = \"r1\"}\n": `x.toml:5: a sleep needs the key "for"`, "[[burst]]\nwho = {name = \"r1\"}\n": "x.toml:5: messages = 0",
 		"[[burst]]\nmessages = 3\n": "x.toml:5: who needs exactly one of"} {
-		if _, err := Parse("x.toml", []byte(day+text)); err == nil || !strings.Contains(err.Error(), says) {
+		if _, err := Parse("x.toml", []byte(day+text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
@@ -352,7 +352,7 @@
 	})
 }
 
-// The plan has an act for the begin and the end of each fault of links and processes, and prints the senders or links that it affects.
+// The plan has an act for the start and the end of each fault of links and processes, and prints the senders or links that it affects.
 func TestFaultsOfLinksAndProcesses(t *testing.T) {
 	s, err := Parse("x.toml", []byte(`
 [day]
--- a/internal/faulttest/script/validate.go
+++ b/internal/faulttest/script/validate.go
@@ -125,7 +125,7 @@
 		z := &s.Sleeps[i]
 		z.where = where("sleep", i)
 		if z.For == 0 {
-			return invalid(z.where, "a sleep needs for")
+			return invalid(z.where, `a sleep needs the key "for"`)
 		}
 		if err := z.Who.check(z.where); err != nil {
 			return err
@@ -151,7 +151,7 @@
 		return invalid(g.where, "factor %v is not in (0, 100]", g.Factor)
 	}
 	if g.For == 0 {
-		return invalid(g.where, "a surge needs for")
+		return invalid(g.where, `a surge needs the key "for"`)
 	}
 	if g.Member != "" && g.Sender != "" {
 		return invalid(g.where, "a surge takes member or sender, not both")
@@ -335,7 +335,7 @@
 		return invalid(t.where, "%s: factor = %v is not in (1, 1000]", t.What, t.Factor)
 	}
 	if t.For == 0 && t.What != fault.SlowStart {
-		return invalid(t.where, "%s needs for", t.What)
+		return invalid(t.where, `%s needs the key "for"`, t.What)
 	}
 	if t.Only < 0 {
 		return invalid(t.where, "%s: only = %d is negative", t.What, t.Only)
@@ -354,7 +354,7 @@
 		return l.Who.check(l.where)
 	case "down", "late":
 		if l.For == 0 {
-			return invalid(l.where, "%s needs for", l.Do)
+			return invalid(l.where, `%s needs the key "for"`, l.Do)
 		}
 	case "move":
 	default:
