--- a/internal/faulttest/day/setup.go
+++ b/internal/faulttest/day/setup.go
@@ -49,7 +49,7 @@
 	d.registry = traffic.NewRegistry(d.log, maxAttempts, opt.Open)
 	d.discovery = platform.New(d.log, d.hosts.next, d.registry.Notice)
 	if plan.Day.Names {
-		d.discovery.Names(zone.write)
+		d.discovery.UseZoneFile(zone.write)
 	}
 	d.log.Add(eventlog.Event{Kind: eventlog.World, Figures: d.figures()})
 	fail := func(err error) (*Day, error) { return nil, errors.Join(err, d.Close()) }
--- a/internal/faulttest/platform/platform.go
+++ b/internal/faulttest/platform/platform.go
@@ -100,9 +100,9 @@
 	return p
 }
 
-// Names publishes the endpoints in a zone file instead of the list, which stays empty: write rewrites the file on each change. A
+// UseZoneFile publishes the endpoints in a zone file instead of the list, which stays empty: write rewrites the file on each change. A
 // running sender counts as notified of a change as soon as the file is written.
-func (p *Platform) Names(write func([]Target) error) {
+func (p *Platform) UseZoneFile(write func([]Target) error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.zone = write
