--- a/internal/faulttest/cli/main_test.go
+++ b/internal/faulttest/cli/main_test.go
@@ -410,12 +410,12 @@
 		run  *variantResult
 		want string
 	}{
-		"the same":      {result(0.96, 0.21, answers(4, "503")...), ""},
-		"answers":       {result(0.96, 0.21, answers(9, "422")...), "9 messages were answered otherwise"},
-		"less worth":    {result(0.93, 0.21, answers(0, "")...), "93.00% of the worth"},
-		"more worth":    {result(0.99, 0.21, answers(0, "")...), "99.00% of the worth"},
-		"slower":        {result(0.96, 0.3, answers(0, "")...), "within 0.300 s"},
-		"none came out": {result(0, 0, answers(100, "0")...), "100 messages"},
+		"the same":   {result(0.96, 0.21, answers(4, "503")...), ""},
+		"answers":    {result(0.96, 0.21, answers(9, "422")...), "9 messages were answered otherwise"},
+		"less worth": {result(0.93, 0.21, answers(0, "")...), "93.00% of the worth"},
+		"more worth": {result(0.99, 0.21, answers(0, "")...), "99.00% of the worth"},
+		"slower":     {result(0.96, 0.3, answers(0, "")...), "within 0.300 s"},
+		"no answers": {result(0, 0, answers(100, "0")...), "100 messages"},
 	} {
 		got := strings.Join(deviations(plain, []*variantResult{c.run}, 0.01), "\n")
 		if c.want == "" && got != "" || !strings.Contains(got, c.want) {
--- a/internal/faulttest/day/day_test.go
+++ b/internal/faulttest/day/day_test.go
@@ -230,22 +230,22 @@
 	if use.Senders <= 0 || use.Kit <= 0 || use.Memory <= 0 {
 		t.Errorf("the usage lacks CPU time or memory: %+v", use)
 	}
-	handed := map[string]int{}
+	handIns := map[string]int{}
 	for _, e := range events {
 		if e.Kind == eventlog.HandIn {
-			handed[e.Sender]++
+			handIns[e.Sender]++
 		}
 	}
-	if handed["n0"] == 0 {
-		t.Errorf("no messages were handed in at n0: %v", handed)
+	if handIns["n0"] == 0 {
+		t.Errorf("no messages were handed in at n0: %v", handIns)
 	}
 	// Once n2 is ready, it gets its share: a third while three senders are up, half while n1 is lost.
-	here, all, joined := false, 0, 0
+	n2Ready, all, joined := false, 0, 0
 	for _, e := range events {
 		switch {
 		case e.Kind == eventlog.Ready && e.Sender == "n2":
-			here = true
-		case e.Kind == eventlog.HandIn && here:
+			n2Ready = true
+		case e.Kind == eventlog.HandIn && n2Ready:
 			if all++; e.Sender == "n2" {
 				joined++
 			}
--- a/internal/faulttest/eventlog/eventlog_test.go
+++ b/internal/faulttest/eventlog/eventlog_test.go
@@ -38,7 +38,7 @@
 	}{
 		"empty":            {"", 0, false, ""},
 		"torn last line":   {"{\"kind\":\"end\"}\n{\"kind\":\"ha", 1, true, ""},
-		"whole, no end":    {"{\"kind\":\"end\"}", 1, false, ""},
+		"no final newline": {"{\"kind\":\"end\"}", 1, false, ""},
 		"noise in between": {"{\"kind\":\"end\"}\nnoise\n{\"kind\":\"end\"}\n", 1, false, "log:2: "},
 		"no kind":          {"{\"t\":3}\n", 0, false, "log:1: an event without a kind"},
 		"blank lines":      {"\n{\"kind\":\"end\"}\n\n", 1, false, ""},
@@ -50,13 +50,13 @@
 	}
 }
 
-type full struct{}
+type failingWriter struct{}
 
-func (full) Write([]byte) (int, error) { return 0, errors.New("no space") }
+func (failingWriter) Write([]byte) (int, error) { return 0, errors.New("no space") }
 
 // Flush returns the error of a failed write, and Events still returns all events.
 func TestWriteFails(t *testing.T) {
-	l := New(full{}, nil)
+	l := New(failingWriter{}, nil)
 	l.Restart()
 	for range 10_000 {
 		l.Add(Event{Kind: HandIn, ID: "a", Msg: "m"})
--- a/internal/faulttest/fault/fault.go
+++ b/internal/faulttest/fault/fault.go
@@ -86,7 +86,7 @@
 // Combine returns the combined effect of faults that run at the same time. The result does not depend on their order.
 func Combine(on []Fault) Condition {
 	c := Condition{Slow: 1}
-	join := func(a *float64, b float64) { *a = 1 - (1-*a)*(1-b) }
+	combine := func(a *float64, b float64) { *a = 1 - (1-*a)*(1-b) }
 	for _, t := range on {
 		switch t.Kind {
 		case Vanish:
@@ -96,19 +96,19 @@
 		case Hang:
 			c.Hung = true
 		case CloseIdle:
-			join(&c.Closes, t.Fraction)
+			combine(&c.Closes, t.Fraction)
 		case Wait:
 			c.Wait = max(c.Wait, t.Wait)
 		case Refuse:
 			c.Refuses = true
 		case Fail:
-			join(&c.Fails, t.Fraction)
+			combine(&c.Fails, t.Fraction)
 		case Slow:
 			c.Slow *= t.Factor
 		case Reset:
-			join(&c.Resets, t.Fraction)
+			combine(&c.Resets, t.Fraction)
 		case Spoil:
-			join(&c.Spoils, t.Fraction)
+			combine(&c.Spoils, t.Fraction)
 		case Drain:
 			c.Draining = true
 		case SlowStart, kinds: // the receiver itself handles slow start
--- a/internal/faulttest/report/report_test.go
+++ b/internal/faulttest/report/report_test.go
@@ -110,10 +110,10 @@
 		got  Woken
 		want float64
 	}{
-		"at its pace":         {day(10, 100, 10.5, 11.5, 11.6, 11.7, 11.8, 11.9), 1.8}, // four within half a second
-		"never at its pace":   {day(10, 100, 10.5, 11.5, 12.5, 13.5), -1},
-		"all of the burst":    {day(10, 3, 10.5, 11.5, 12.5, 13.5), 2.5},
-		"a slow one, at once": {day(1, 100, 10.25), 0.25},
+		"at its pace":       {day(10, 100, 10.5, 11.5, 11.6, 11.7, 11.8, 11.9), 1.8}, // four within half a second
+		"never at its pace": {day(10, 100, 10.5, 11.5, 12.5, 13.5), -1},
+		"all of the burst":  {day(10, 3, 10.5, 11.5, 12.5, 13.5), 2.5},
+		"low capacity":      {day(1, 100, 10.25), 0.25},
 	} {
 		if math.Abs(c.got.Usual-c.want) > 1e-6 || c.got.At != 10 {
 			t.Errorf("%s: %+v, want %v", name, c.got, c.want)
