--- a/internal/faulttest/platform/platform.go
+++ b/internal/faulttest/platform/platform.go
@@ -159,8 +159,8 @@
 	return next.addr, nil
 }
 
-// Started records the start of a sender's next process. It returns the list as the sender last got it, or the current list for a
-// fresh sender.
+// Started records the start of a sender's next process. It returns the list as the sender last got it, or the current list if the
+// sender is fresh or never got a list.
 func (p *Platform) Started(sender string, run int, fresh bool) Targets {
 	p.mu.Lock()
 	defer p.mu.Unlock()
