--- a/internal/faulttest/cli/main_test.go
+++ b/internal/faulttest/cli/main_test.go
@@ -22,11 +22,11 @@
 	"saffronyard.example/saffronyard/internal/faulttest/judge"
 )
 
-// programs are built once for all tests: the sender and this command, as a user has them.
+// programs are the sender and the fault-test command, built once for all tests, so that tests run them as a user does.
 var programs struct {
-	once             sync.Once
-	sender, rehearse string
-	err              error
+	once              sync.Once
+	sender, faultTest string
+	err               error
 }
 
 func TestMain(m *testing.M) {
@@ -35,13 +35,13 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	os.Setenv("TMPDIR", dir) // what the tests leave goes with it
+	os.Setenv("TMPDIR", dir) // removes what the tests leave behind
 	code := m.Run()
 	os.RemoveAll(dir)
 	os.Exit(code)
 }
 
-func built(t *testing.T) (sender, rehearse string) {
+func buildPrograms(t *testing.T) (sender, faultTest string) {
 	t.Helper()
 	programs.once.Do(func() {
 		dir := os.Getenv("TMPDIR")
@@ -49,44 +49,45 @@
 		if out, err := build.CombinedOutput(); err != nil {
 			programs.err = fmt.Errorf("%w: %s", err, out)
 		}
-		programs.sender, programs.rehearse = filepath.Join(dir, "saffronyard"), filepath.Join(dir, programName)
+		programs.sender, programs.faultTest = filepath.Join(dir, "saffronyard"), filepath.Join(dir, programName)
 	})
 	if programs.err != nil {
 		t.Fatal(programs.err)
 	}
-	return programs.sender, programs.rehearse
+	return programs.sender, programs.faultTest
 }
 
 // call runs a subcommand in this process.
-func call(t *testing.T, args ...string) (code int, out, errs string) {
+func runCommand(t *testing.T, args ...string) (code int, out, errs string) {
 	t.Helper()
 	var o, e bytes.Buffer
 	code = command(context.Background(), args, &o, &e)
 	return code, o.String(), e.String()
 }
 
-// slowMachine is the grace of days that a machine plays which does much else: their verdict is not to hang on it.
+// slowMachine is the grace of days that are played on a busy machine, whose load must not change their verdict.
 const slowMachine = 300 * time.Millisecond
 
-// maxDayAttempts is how often such a day is played at most while the kit itself runs late: those days decide nothing. A day that
-// decides is not played again, whatever it says.
+// maxDayAttempts is the maximum number of times that a day is played while it is inconclusive because the kit ran late. A conclusive
+// day is not repeated, whatever its verdict is.
 const maxDayAttempts = 8
 
-// Each wrong sender is found out by the rule that it breaks, and by no other; the right one passes.
+// The judge reports each wrong sender for the rule that it breaks and for no other rule, and passes the right sender.
 func TestSelftest(t *testing.T) {
-	_, rehearse := built(t)
+	_, faultTest := buildPrograms(t)
 	var out bytes.Buffer
-	code, err := selftestWith(context.Background(), rehearse, 4, maxDayAttempts, slowMachine, &out)
+	code, err := selftestWith(context.Background(), faultTest, 4, maxDayAttempts, slowMachine, &out)
 	t.Log("\n" + out.String())
 	if err != nil || code != judge.ExitPass {
 		t.Fatalf("exit %d: %v", code, err)
 	}
 	if n := strings.Count(out.String(), "found out"); n != 6 || strings.Count(out.String(), "green") != 1 {
-		t.Errorf("%d wrong senders found out", n)
+		t.Errorf("%d wrong senders detected, want 6 and one passing sender", n)
 	}
 }
 
-// A self-test that misses a fault ends non-zero: here the judge hears of senders whose faults were swapped.
+// wrongVerdict reports a trial whose verdict does not match the sender's fault: an undetected fault, a violation of another rule, a
+// failed right sender or a rule without a chance.
 func TestSelftestThatMisses(t *testing.T) {
 	result := func(broken int) judge.Report {
 		var r judge.Report
@@ -110,25 +111,26 @@
 		"right one fails": {trial{rule: 0, verdict: result(1)}, false},
 		"no chance":       {trial{rule: 0, verdict: judge.Report{Results: []judge.Result{{Rule: 1, Verdict: judge.NotTried}}}}, false},
 	} {
-		if why := c.trial.missed(); (why == "") != c.right {
+		if why := c.trial.wrongVerdict(); (why == "") != c.right {
 			t.Errorf("%s: %q", name, why)
 		}
 	}
 }
 
-// Two short days against the real sender: one with each brief trouble that is tried fast, one with restarts.
+// Two short days against the real sender pass: one with brief faults of receivers, one with restarts of senders. The verdict and the
+// report made again from the event log are the same.
 func TestShortDays(t *testing.T) {
-	sender, _ := built(t)
+	sender, _ := buildPrograms(t)
 	dir := t.TempDir()
 	log, page := filepath.Join(dir, "events.jsonl"), filepath.Join(dir, "report.html")
-	code, out, errs := call(t, "run", "-sender", sender, "-quiet", "-tries", strconv.Itoa(maxDayAttempts), "-log", log, "-report", page, "testdata/troubles.toml", "testdata/senders.toml")
+	code, out, errs := runCommand(t, "run", "-sender", sender, "-quiet", "-tries", strconv.Itoa(maxDayAttempts), "-log", log, "-report", page, "testdata/troubles.toml", "testdata/senders.toml")
 	t.Log("\n" + out + errs)
 	if code != judge.ExitPass {
 		t.Fatalf("exit %d", code)
 	}
 	for _, rule := range []string{"1", "2", "3", "4", "5", "6"} {
 		if !regexp.MustCompile(`(?m)^  ` + rule + `  .* PASS `).MatchString(out) {
-			t.Errorf("rule %s has not passed in either day", rule)
+			t.Errorf("rule %s did not pass on either day", rule)
 		}
 	}
 	if !strings.Contains(out, "1 receivers woke with a burst; the last to be served as usual, r4, was after") {
@@ -136,26 +138,26 @@
 	}
 	for _, name := range []string{"troubles", "senders"} {
 		log := strings.Replace(log, ".jsonl", "-"+name+".jsonl", 1)
-		if code, again, _ := call(t, "judge", log); code != judge.ExitPass || !strings.Contains(out, strings.SplitN(again, "worst 10 s", 2)[0]) {
-			t.Errorf("judged again from its log, %s ends with %d:\n%s", name, code, again)
+		if code, again, _ := runCommand(t, "judge", log); code != judge.ExitPass || !strings.Contains(out, strings.SplitN(again, "worst 10 s", 2)[0]) {
+			t.Errorf("judge on the event log of %s: exit %d:\n%s", name, code, again)
 		}
 		page := strings.Replace(page, ".html", "-"+name+".html", 1)
 		was, err := os.ReadFile(page)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if code, _, _ := call(t, "report", log, page+"2"); code != 0 {
-			t.Errorf("report ends with %d", code)
+		if code, _, _ := runCommand(t, "report", log, page+"2"); code != 0 {
+			t.Errorf("report: exit %d", code)
 		}
 		if is, err := os.ReadFile(page + "2"); err != nil || !bytes.Equal(is, was) {
-			t.Errorf("the report made again of %s differs: %v", name, err)
+			t.Errorf("the report made again from the event log of %s differs: %v", name, err)
 		}
-		noChildren(t, log)
+		checkProcessesEnded(t, log)
 	}
 }
 
-// noChildren wants every process of a day's log to have ended.
-func noChildren(t *testing.T, path string) {
+// checkProcessesEnded checks that every process that a day's event log records as started has ended.
+func checkProcessesEnded(t *testing.T, path string) {
 	t.Helper()
 	f, err := os.Open(path)
 	if err != nil {
@@ -173,21 +175,22 @@
 			starts++
 		case eventlog.Exit:
 			exits++
-		default: // the other events tell nothing here
+		default: // other events say nothing about processes
 		}
 	}
 	if starts == 0 || starts != exits {
-		t.Errorf("%s: %d processes began and %d ended", path, starts, exits)
+		t.Errorf("%s: %d processes started and %d ended", path, starts, exits)
 	}
 }
 
-// A sender that ends by itself is a broken rule, not a day that passes; one that is never ready is no day.
+// A day whose sender exits before it is ready is inconclusive, and a sender program that does not exist is a bad argument: neither
+// must count as a pass.
 func TestSenderThatCannotRun(t *testing.T) {
-	code, _, errs := call(t, "run", "-quiet", "-sender", "/bin/false", "testdata/troubles.toml")
+	code, _, errs := runCommand(t, "run", "-quiet", "-sender", "/bin/false", "testdata/troubles.toml")
 	if code != judge.ExitInconclusive || !strings.Contains(errs, "before it was ready") {
 		t.Errorf("exit %d: %s", code, errs)
 	}
-	code, _, errs = call(t, "run", "-quiet", "-sender", "/no/such/program", "testdata/troubles.toml")
+	code, _, errs = runCommand(t, "run", "-quiet", "-sender", "/no/such/program", "testdata/troubles.toml")
 	if code != judge.ExitScript || !strings.Contains(errs, "/no/such/program") {
 		t.Errorf("exit %d: %s", code, errs)
 	}
@@ -205,85 +208,85 @@
 	}
 	for _, c := range []struct {
 		args []string
-		says string
+		want string
 	}{
 		{nil, "fault-test plays a day"},
-		{[]string{"dance"}, `no command "dance"`},
+		{[]string{"dance"}, `unknown command "dance"`},
 		{[]string{"run", "-nosuch"}, "nosuch"},
 		{[]string{"run", bad}, bad + ":3: unknown key"},
 		{[]string{"run", over}, "laid over a day"},
 		{[]string{"run", filepath.Join(dir, "none.toml")}, "none.toml"},
-		{[]string{"judge"}, "1 arguments are wanted"},
+		{[]string{"judge"}, "want 1 arguments, got 0"},
 		{[]string{"judge", torn}, torn + ":2: not an event"},
 		{[]string{"list", dir + "/nowhere"}, "no scripts in"},
 		{[]string{"up", bad}, bad + ":3"},
 		{[]string{mutantCommand, "nothing"}, "configuration"},
 	} {
-		code, out, errs := call(t, c.args...)
+		code, out, errs := runCommand(t, c.args...)
 		if c.args != nil && c.args[0] == mutantCommand {
-			c.says = "no fault is called"
+			c.want = "no fault is called"
 		}
-		if code != judge.ExitScript || !strings.Contains(out+errs, c.says) {
+		if code != judge.ExitScript || !strings.Contains(out+errs, c.want) {
 			t.Errorf("%v: exit %d, %s%s", c.args, code, out, errs)
 		}
 	}
 }
 
 func TestListAndPlan(t *testing.T) {
-	code, out, errs := call(t, "list", "../../../rehearsals")
+	code, out, errs := runCommand(t, "list", "../../../rehearsals")
 	if code != 0 || strings.Count(out, "\n") < 16 || !strings.Contains(out, "holiday-peak") || !strings.Contains(out, "laid over a day") {
 		t.Errorf("exit %d: %s%s", code, out, errs)
 	}
 	args := []string{"run", "-plan", "../../../rehearsals/hang.toml", "../../../rehearsals/over/kill-n0.toml", "../../../rehearsals/slow.toml"}
-	code, first, _ := call(t, args...)
-	_, second, _ := call(t, args...)
+	code, first, _ := runCommand(t, args...)
+	_, second, _ := runCommand(t, args...)
 	if code != 0 || first != second || !strings.Contains(first, "hang+kill-n0: ") || !strings.Contains(first, "kill") || !strings.Contains(first, "\nslow: ") {
 		t.Errorf("exit %d: %s", code, first)
 	}
-	_, other, _ := call(t, append([]string{"run", "-plan", "-seed", "99"}, args[2:]...)...)
+	_, other, _ := runCommand(t, append([]string{"run", "-plan", "-seed", "99"}, args[2:]...)...)
 	if other == first {
 		t.Error("another seed gives the same plan")
 	}
-	code, both, _ := call(t, "run", "-plan", "-together", "../../../rehearsals/hang.toml", "../../../rehearsals/slow.toml")
+	code, both, _ := runCommand(t, "run", "-plan", "-together", "../../../rehearsals/hang.toml", "../../../rehearsals/slow.toml")
 	if code != 0 || !strings.Contains(both, "hang+slow: ") || !strings.Contains(both, "trouble hang") || !strings.Contains(both, "trouble slow") {
 		t.Errorf("exit %d: %s", code, both)
 	}
 }
 
-// ^C ends a day and its processes, and what happened by then is in the log.
+// SIGINT ends a day and its processes, and the event log has the events up to then.
 func TestInterrupted(t *testing.T) {
-	sender, rehearse := built(t)
+	sender, faultTest := buildPrograms(t)
 	log := filepath.Join(t.TempDir(), "events.jsonl")
-	cmd := exec.Command(rehearse, "run", "-sender", sender, "-log", log, "testdata/troubles.toml")
+	cmd := exec.Command(faultTest, "run", "-sender", sender, "-log", log, "testdata/troubles.toml")
 	var errs, out syncBuffer
 	cmd.Stderr, cmd.Stdout = &errs, &out
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer cmd.Process.Kill()
-	await(t, "no progress line", func() bool { return regexp.MustCompile(` [1-9]\d* asked`).MatchString(errs.String()) })
+	waitFor(t, "no progress line", func() bool { return regexp.MustCompile(` [1-9]\d* asked`).MatchString(errs.String()) })
 	cmd.Process.Signal(syscall.SIGINT)
 	err := cmd.Wait()
 	if cmd.ProcessState.ExitCode() != judge.ExitInconclusive || !strings.Contains(out.String(), "broken off") {
 		t.Errorf("%v: %s", err, out.String())
 	}
-	noChildren(t, log)
-	if code, out, _ := call(t, "judge", log); code != judge.ExitInconclusive || !strings.Contains(out, "the log ends before the day does") {
-		t.Errorf("judged, a broken day ends with %d: %s", code, out)
+	checkProcessesEnded(t, log)
+	if code, out, _ := runCommand(t, "judge", log); code != judge.ExitInconclusive || !strings.Contains(out, "the log ends before the day does") {
+		t.Errorf("judge on the log of an interrupted day: exit %d: %s", code, out)
 	}
 }
 
-// A kit that is killed leaves no sender behind.
+// When the kit is killed with SIGKILL, its senders end too.
 func TestKilledKit(t *testing.T) {
-	sender, rehearse := built(t)
+	sender, faultTest := buildPrograms(t)
 	logs := t.TempDir()
-	cmd := exec.Command(rehearse, "run", "-sender", sender, "-logs", logs, "testdata/troubles.toml")
+	cmd := exec.Command(faultTest, "run", "-sender", sender, "-logs", logs, "testdata/troubles.toml")
 	var errs syncBuffer
 	cmd.Stderr = &errs
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "no progress line", func() bool { return strings.Contains(errs.String(), "asked") })
+	waitFor(t, "no progress line", func() bool { return strings.Contains(errs.String(), "asked") })
 	cmd.Process.Kill()
 	cmd.Wait()
 	raw, err := os.ReadFile(filepath.Join(logs, "troubles", "n0", "config.json"))
@@ -294,7 +297,7 @@
 	if err := json.Unmarshal(raw, &c); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the sender still serves", func() bool {
+	waitFor(t, "the sender still runs after the kit was killed", func() bool {
 		resp, err := http.Get("http://" + c.Listen + "/-/ready")
 		if err == nil {
 			resp.Body.Close()
@@ -303,23 +306,23 @@
 	})
 }
 
-// 'up' tells where all is and how to hand a message in; one handed in that way arrives and is shown.
+// The up command prints the addresses and a curl command to hand a message in. A message that is handed in that way arrives and is printed.
 func TestUp(t *testing.T) {
-	sender, rehearse := built(t)
-	cmd := exec.Command(rehearse, "up", "-sender", sender, "-for", "60s")
+	sender, faultTest := buildPrograms(t)
+	cmd := exec.Command(faultTest, "up", "-sender", sender, "-for", "60s")
 	var out syncBuffer
 	cmd.Stdout, cmd.Stderr = &out, &out
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer cmd.Process.Kill()
-	await(t, "no curl line", func() bool {
+	waitFor(t, "no curl line", func() bool {
 		return strings.Contains(out.String(), "curl -i") && strings.Contains(out.String(), "^C ends it")
 	})
 	addr := regexp.MustCompile(`-d hello http://(\S+)/api`).FindStringSubmatch(out.String())
 	headers := regexp.MustCompile(`-H "([\w-]+): ([^"]*)"`).FindAllStringSubmatch(out.String(), -1)
 	if addr == nil || len(headers) != 6 {
-		t.Fatalf("the line is not what it was: %s", out.String())
+		t.Fatalf("the curl command has no address or not 6 headers: %s", out.String())
 	}
 	r, err := http.NewRequest(http.MethodPost, "http://"+addr[1]+"/api", strings.NewReader("hello"))
 	if err != nil {
@@ -335,9 +338,9 @@
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusAccepted {
-		t.Fatalf("answered %s", resp.Status)
+		t.Fatalf("the message was answered %s, want 202", resp.Status)
 	}
-	await(t, "it has not arrived", func() bool { return strings.Contains(out.String(), "message by-hand ended there: 200") })
+	waitFor(t, "the message has not arrived", func() bool { return strings.Contains(out.String(), "message by-hand ended there: 200") })
 	cmd.Process.Signal(syscall.SIGINT)
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("%v: %s", err, out.String())
@@ -361,7 +364,7 @@
 	return s.b.String()
 }
 
-func await(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -370,30 +373,30 @@
 	}
 }
 
-// A day in all forms of CloudEvents, mixed, with troubles, a kill and a restart: every rule holds, and every event
-// arrives as its client sent it.
+// On a day with all CloudEvents formats mixed, faults, a kill and a restart, every rule holds and every event arrives as its client
+// sent it.
 func TestShortDayOfEvents(t *testing.T) {
-	sender, _ := built(t)
+	sender, _ := buildPrograms(t)
 	log := filepath.Join(t.TempDir(), "events.jsonl")
-	code, out, errs := call(t, "run", "-sender", sender, "-quiet", "-tries", strconv.Itoa(maxDayAttempts), "-log", log, "testdata/forms.toml")
+	code, out, errs := runCommand(t, "run", "-sender", sender, "-quiet", "-tries", strconv.Itoa(maxDayAttempts), "-log", log, "testdata/forms.toml")
 	t.Log("\n" + out + errs)
 	if code != judge.ExitPass {
 		t.Fatalf("exit %d", code)
 	}
-	noChildren(t, log)
+	checkProcessesEnded(t, log)
 }
 
-// What differs is found: answers, worth and times that no plain run has.
+// deviations reports answers, worth and delivery times that lie outside the spread of the plain runs, and nothing else.
 func TestOutside(t *testing.T) {
-	run := func(share, p50 float64, fates ...string) *played {
-		p := &played{variant: variant{name: "x"}, first: map[string]string{}}
+	result := func(share, p50 float64, statuses ...string) *variantResult {
+		p := &variantResult{variant: variant{name: "x"}, firstAnswers: map[string]string{}}
 		p.sum.ServedFraction, p.sum.Latency50 = share, p50
-		for i, f := range fates {
-			p.first[fmt.Sprint(i)] = f
+		for i, f := range statuses {
+			p.firstAnswers[fmt.Sprint(i)] = f
 		}
 		return p
 	}
-	some := func(n int, f string) []string {
+	answers := func(n int, f string) []string {
 		all := make([]string, 100)
 		for i := range all {
 			if all[i] = "202"; i < n {
@@ -402,21 +405,21 @@
 		}
 		return all
 	}
-	plain := []*played{run(0.95, 0.2, some(0, "")...), run(0.97, 0.22, some(3, "503")...)}
+	plain := []*variantResult{result(0.95, 0.2, answers(0, "")...), result(0.97, 0.22, answers(3, "503")...)}
 	for name, c := range map[string]struct {
-		run  *played
-		says string
+		run  *variantResult
+		want string
 	}{
-		"the same":      {run(0.96, 0.21, some(4, "503")...), ""},
-		"answers":       {run(0.96, 0.21, some(9, "422")...), "9 messages were answered otherwise"},
-		"less worth":    {run(0.93, 0.21, some(0, "")...), "93.00% of the worth"},
-		"more worth":    {run(0.99, 0.21, some(0, "")...), "99.00% of the worth"},
-		"slower":        {run(0.96, 0.3, some(0, "")...), "within 0.300 s"},
-		"none came out": {run(0, 0, some(100, "0")...), "100 messages"},
+		"the same":   {result(0.96, 0.21, answers(4, "503")...), ""},
+		"answers":    {result(0.96, 0.21, answers(9, "422")...), "9 messages were answered otherwise"},
+		"less worth": {result(0.93, 0.21, answers(0, "")...), "93.00% of the worth"},
+		"more worth": {result(0.99, 0.21, answers(0, "")...), "99.00% of the worth"},
+		"slower":     {result(0.96, 0.3, answers(0, "")...), "within 0.300 s"},
+		"no answers": {result(0, 0, answers(100, "0")...), "100 messages"},
 	} {
-		got := strings.Join(outside(plain, []*played{c.run}, 0.01), "\n")
-		if c.says == "" && got != "" || !strings.Contains(got, c.says) {
-			t.Errorf("%s: %q, want %q", name, got, c.says)
+		got := strings.Join(deviations(plain, []*variantResult{c.run}, 0.01), "\n")
+		if c.want == "" && got != "" || !strings.Contains(got, c.want) {
+			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
 	}
 }
--- a/internal/faulttest/cli/up.go
+++ b/internal/faulttest/cli/up.go
@@ -15,7 +15,7 @@
 	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
-// upDay is what 'rehearse up' keeps running: no traffic but that of the user's own hands.
+// upDay is the day that the up command keeps running by default: it has no traffic except what the user sends by hand.
 const upDay = `
 about = "one sender, three receivers, no traffic"
 [day]
@@ -36,11 +36,11 @@
 deadline = "28s"
 `
 
-// up keeps one sender and a few receivers running until it is interrupted, and tells what arrives.
+// up keeps one sender and a few receivers running until it is interrupted, and prints the messages that arrive.
 func up(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
 	f := flags("up [DAY.toml]", errs)
 	program := f.String("sender", "", "the sender's `program`; by default the one beside this program, or built from the sources")
-	limit := f.Duration("for", 0, "end by itself after this `time`; 0: only when interrupted")
+	limit := f.Duration("for", 0, "stop after this `time`; 0: only when interrupted")
 	if err := parse(f, args); err != nil {
 		return 0, err
 	}
@@ -74,18 +74,18 @@
 		ctx, cancel = context.WithTimeout(ctx, *limit)
 		defer cancel()
 	}
-	show := &shown{out: out}
-	d, err := day.Open(ctx, plan, day.Options{Command: []string{path}, Folder: folder, Log: file, Watch: show.watch, Open: true})
+	printer := &eventPrinter{out: out}
+	d, err := day.Open(ctx, plan, day.Options{Command: []string{path}, Folder: folder, Log: file, Watch: printer.watch, Open: true})
 	if err != nil {
 		return judge.ExitInconclusive, err
 	}
 	for _, m := range d.Places() {
-		show.print(m)
+		printer.print(m)
 	}
-	show.print("")
-	show.print("Hand a message in:")
-	show.print("  " + d.Curl())
-	show.print("Troubles of the script run from now on. ^C ends it; all that happens is written to " + file.Name())
+	printer.print("")
+	printer.print("Hand a message in:")
+	printer.print("  " + d.Curl())
+	printer.print("Troubles of the script run from now on. ^C ends it; all that happens is written to " + file.Name())
 	d.Faults()
 	<-ctx.Done()
 	if err := d.Close(); err != nil {
@@ -94,19 +94,19 @@
 	return 0, nil
 }
 
-// shown prints what arrives where.
-type shown struct {
+// eventPrinter prints events: where messages arrive and how they end, faults and process exits.
+type eventPrinter struct {
 	mu  sync.Mutex
 	out io.Writer
 }
 
-func (s *shown) print(line string) {
+func (s *eventPrinter) print(line string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fmt.Fprintln(s.out, line)
 }
 
-func (s *shown) watch(e eventlog.Event) {
+func (s *eventPrinter) watch(e eventlog.Event) {
 	at := time.Duration(e.T) * time.Microsecond
 	switch e.Kind {
 	case eventlog.Call:
@@ -125,6 +125,6 @@
 		s.print(fmt.Sprintf("%8.3f s  the kit failed: %s", at.Seconds(), e.Detail))
 	case eventlog.Exit:
 		s.print(fmt.Sprintf("%8.3f s  sender %s ended (code %d)", at.Seconds(), e.Sender, e.Status))
-	default: // the other events tell nothing here
+	default: // other events are not printed
 	}
 }
--- a/internal/faulttest/day/acts.go
+++ b/internal/faulttest/day/acts.go
@@ -12,23 +12,23 @@
 	"saffronyard.example/saffronyard/internal/faulttest/traffic"
 )
 
-func (d *Day) fault(format string, args ...any) {
+func (d *Day) logKitFailure(format string, args ...any) {
 	d.log.Add(eventlog.Event{Kind: eventlog.KitFailure, Detail: fmt.Sprintf(format, args...)})
 }
 
-// background does what takes time beside the plan.
+// background runs f in a goroutine that Close waits for, and logs its error as a failure of the kit.
 func (d *Day) background(f func() error) {
 	d.tasks.Add(1)
 	go func() {
 		defer d.tasks.Done()
 		if err := f(); err != nil && d.ctx.Err() == nil {
-			d.fault("%v", err)
+			d.logKitFailure("%v", err)
 		}
 	}()
 }
 
-// act does what the plan says, when it says so.
-func (d *Day) act() {
+// runActs performs the acts of the plan at their times.
+func (d *Day) runActs() {
 	for _, a := range d.plan.Acts {
 		if !traffic.Sleep(d.ctx, a.At-d.log.Now()) {
 			return
@@ -37,11 +37,11 @@
 	}
 }
 
-// do carries out one act of the plan.
+// do performs one act of the plan.
 func (d *Day) do(a script.Act) {
 	switch a.Do {
 	case "trouble", "end":
-		d.strike(a)
+		d.applyFault(a)
 	case "replace":
 		for _, dest := range a.Dests {
 			d.replace(dest)
@@ -59,9 +59,9 @@
 	case "move":
 		d.moveDiscovery()
 	case "join":
-		s, err := d.machine(a.Sender)
+		s, err := d.addSender(a.Sender)
 		if err != nil {
-			d.fault("%v", err)
+			d.logKitFailure("%v", err)
 			return
 		}
 		d.background(func() error { return s.Start(true) })
@@ -85,8 +85,8 @@
 	}
 }
 
-// strike begins or ends a fault at receivers.
-func (d *Day) strike(a script.Act) {
+// applyFault begins or ends a fault at receivers.
+func (d *Day) applyFault(a script.Act) {
 	begins := a.Do == "trouble"
 	for _, dest := range a.Dests {
 		if a.Fault.Kind == fault.Drain {
@@ -100,11 +100,11 @@
 	}
 }
 
-// moveDiscovery gives discovery another address for each sender and has them read their configuration again.
+// moveDiscovery gives discovery another address for each sender that is ready and makes these senders reload their configuration.
 func (d *Day) moveDiscovery() {
 	for i, s := range slices.Clone(d.senders) {
 		if !s.Ready() {
-			continue // its next process is told the address it finds then
+			continue // its next process gets the current address in its configuration
 		}
 		d.background(func() error {
 			addr, err := d.discovery.Move(s.Name)
@@ -120,7 +120,7 @@
 	}
 }
 
-// restart ends a sender's process in the way of an act (kill, restart, lose, old) and starts the next one after a pause.
+// restart ends a sender's process as the act (kill, restart, lose or old) requires, and starts the next process after a pause.
 func (d *Day) restart(s *fleet.Sender, act string) error {
 	pause := fleet.DownTime
 	switch act {
@@ -135,7 +135,7 @@
 	case "restart":
 		s.Term()
 	case "lose":
-		pause = lostBack
+		pause = lostMachineDelay
 		if err := s.Kill(true); err != nil {
 			return err
 		}
@@ -151,7 +151,7 @@
 	return s.Start(act == "lose")
 }
 
-// updateList changes a line of the list, as late as discovery tells it.
+// updateList changes an entry of the list in the background, after the delay of discovery.
 func (d *Day) updateList(t platform.Target) {
 	d.mu.Lock()
 	delay := d.delay
@@ -164,8 +164,8 @@
 	})
 }
 
-// drain begins or ends a drain of so many of a receiver's endpoints, the first ones, or all. Where two overlap
-// an endpoint serves again when both are over.
+// drain begins or ends a drain of a receiver's first endpoints, as many as only says, or of all if only is 0. If drains of an endpoint
+// overlap, the endpoint serves again only when all of them are over.
 func (d *Day) drain(dest, only int, begins bool) {
 	for i, e := range d.receivers[dest].Endpoints() {
 		if only > 0 && i >= only {
@@ -182,15 +182,15 @@
 		d.mu.Unlock()
 		switch {
 		case was == 0 && is == 1:
-			d.updateList(d.line(dest, e, platform.Draining))
+			d.updateList(d.target(dest, e, platform.Draining))
 		case was == 1 && is == 0:
-			d.updateList(d.line(dest, e, platform.Serving))
+			d.updateList(d.target(dest, e, platform.Serving))
 		}
 	}
 }
 
-// replace puts a new endpoint in the place of a receiver's first one: the new one is listed, the old one
-// drains, and is gone some time later.
+// replace replaces a receiver's first endpoint: it lists a new endpoint, and the old one drains and is later removed from the list
+// and stopped.
 func (d *Day) replace(dest int) {
 	r := d.receivers[dest]
 	all := r.Endpoints()
@@ -200,16 +200,16 @@
 	old := all[0]
 	next, err := r.Add()
 	if err != nil {
-		d.fault("%v", err)
+		d.logKitFailure("%v", err)
 		return
 	}
-	d.updateList(d.line(dest, next, platform.Serving))
-	d.updateList(d.line(dest, old, platform.Draining))
+	d.updateList(d.target(dest, next, platform.Serving))
+	d.updateList(d.target(dest, old, platform.Draining))
 	d.background(func() error {
 		if !traffic.Sleep(d.ctx, removeAfter) {
 			return nil
 		}
-		d.updateList(d.line(dest, old, platform.Deleted))
+		d.updateList(d.target(dest, old, platform.Deleted))
 		if traffic.Sleep(d.ctx, removeAfter) {
 			r.Remove(old)
 		}
--- a/internal/faulttest/day/setup.go
+++ b/internal/faulttest/day/setup.go
@@ -23,23 +23,23 @@
 	"saffronyard.example/saffronyard/internal/faulttest/traffic"
 )
 
-// Open starts the stand-ins and the senders and returns when all are ready.
+// Open starts the simulated receivers, the platform and the senders, and returns when all are ready.
 func Open(ctx context.Context, plan *script.Plan, opt Options) (*Day, error) {
 	if err := os.MkdirAll(opt.Folder, 0o755); err != nil {
-		return nil, fmt.Errorf("rehearsal: %w", err)
+		return nil, fmt.Errorf("create the folder of the day: %w", err)
 	}
-	// The day's clock starts with its arrivals: what is set up before has its events at time 0 and after.
+	// The day's clock starts with the arrivals, at Restart below: the events of the setup get times before 0.
 	d := &Day{plan: plan, hosts: newHosts(), draining: map[string]int{}, delay: plan.Day.ListDelay.D(), ctx: ctx}
 	zone := &zoneFile{path: filepath.Join(opt.Folder, "kit.zone")}
 	text := plan.FeaturesText()
 	if plan.Day.Names {
 		var err error
 		if zone.path, err = filepath.Abs(zone.path); err != nil {
-			return nil, fmt.Errorf("rehearsal: %w", err)
+			return nil, fmt.Errorf("path of the zone file: %w", err)
 		}
 		text += "\n" + zone.features(plan)
 	}
-	d.text = text
+	d.featuresText = text
 	d.options = opt
 	d.log = eventlog.New(opt.Log, opt.Watch)
 	d.links = links.New(plan.Day.Seed, func(from, to, what string) {
@@ -49,7 +49,7 @@
 	d.registry = traffic.NewRegistry(d.log, maxAttempts, opt.Open)
 	d.discovery = platform.New(d.log, d.hosts.next, d.registry.Notice)
 	if plan.Day.Names {
-		d.discovery.Names(zone.write)
+		d.discovery.UseZoneFile(zone.write)
 	}
 	d.log.Add(eventlog.Event{Kind: eventlog.World, Figures: d.figures()})
 	fail := func(err error) (*Day, error) { return nil, errors.Join(err, d.Close()) }
@@ -62,14 +62,14 @@
 		}
 		d.receivers = append(d.receivers, s)
 		for _, e := range s.Endpoints() {
-			d.discovery.Set(d.line(i, e, platform.Serving))
+			d.discovery.Set(d.target(i, e, platform.Serving))
 		}
 	}
 	var wg sync.WaitGroup
 	errs := make([]error, plan.Senders)
 	d.clients = traffic.New(plan, d.log, d.registry, d.late.add)
 	for i := range plan.Senders {
-		s, err := d.machine(i)
+		s, err := d.addSender(i)
 		if err != nil {
 			return fail(err)
 		}
@@ -88,8 +88,8 @@
 	return d, nil
 }
 
-// machine makes the next sender's machine.
-func (d *Day) machine(i int) (*fleet.Sender, error) {
+// addSender creates the sender with number i, without starting its process.
+func (d *Day) addSender(i int) (*fleet.Sender, error) {
 	name, host := name(i), d.hosts.sender(i)
 	args, err := d.features(i)
 	if err != nil {
@@ -116,11 +116,11 @@
 	return s, nil
 }
 
-func (d *Day) line(dest int, e *receiver.Endpoint, state string) platform.Target {
+func (d *Day) target(dest int, e *receiver.Endpoint, state string) platform.Target {
 	return platform.Target{ID: e.ID, Addr: e.Addr, Zone: "a", Kind: d.plan.Receivers[dest].Kind, Cell: dest, State: state, Weight: 1}
 }
 
-// figures are what the judge goes by.
+// figures returns the parameters of the day that the judge uses.
 func (d *Day) figures() *eventlog.Figures {
 	day := d.plan.Day
 	f := &eventlog.Figures{Name: d.plan.Name, Seed: day.Seed, Seconds: day.Seconds, AnswerGrace: answerGrace.Milliseconds(), Grace: day.Grace.D().Milliseconds(),
@@ -140,7 +140,7 @@
 	return f
 }
 
-// config is a sender's configuration, in the names of PROTOCOL and DEPLOY.
+// config returns a sender's configuration, with the keys that PROTOCOL and DEPLOY define.
 func (d *Day) config(i int, discovery string, known platform.Targets, run int) (map[string]any, error) {
 	day, p := d.plan.Day, d.plan
 	rate := day.Rate / day.Load / float64(p.Senders)
@@ -197,16 +197,16 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Folder makes a new folder for a day's files below the system's one for those.
+// Folder creates a new folder for a day's files in the system's folder for temporary files.
 func Folder(name string) (string, error) {
 	dir, err := os.MkdirTemp("", "rehearsal-"+name+"-")
 	if err != nil {
-		return "", fmt.Errorf("rehearsal: %w", err)
+		return "", fmt.Errorf("create temporary folder: %w", err)
 	}
 	return filepath.Clean(dir), nil
 }
 
-// Machine describes the machine's size for notes on measurements.
+// Machine describes the machine on which a measurement runs.
 func Machine() string {
 	return fmt.Sprintf("%d cores, %s/%s, %s", runtime.NumCPU(), runtime.GOOS, runtime.GOARCH, runtime.Version())
 }
