--- a/internal/faulttest/judge/errors.go
+++ b/internal/faulttest/judge/errors.go
@@ -3,6 +3,6 @@
 import "errors"
 
 var (
-	errNoFigures = errors.New("the event world has no figures")
-	errNoWorld   = errors.New("the log has no event world: nothing says what the rules' figures are")
+	errNoFigures = errors.New("the world event has no figures")
+	errNoWorld   = errors.New("the log has no world event, which defines the figures of the rules")
 )
--- a/internal/faulttest/judge/judge.go
+++ b/internal/faulttest/judge/judge.go
@@ -1,5 +1,5 @@
-// Package judge says from a day's event log alone whether the six rules held. It does no I/O: the same
-// events give the same verdict.
+// Package judge checks from a day's event log alone whether the six rules were kept. It does no I/O: the same events give the same
+// verdict.
 package judge
 
 import (
@@ -11,10 +11,10 @@
 	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
-// Verdict is what a rule comes to.
+// Verdict is the outcome of checking a rule.
 type Verdict string
 
-// The verdicts. NotTried means that the day never gave the rule a chance to break.
+// The verdicts. NotTried means that the day had no situation in which the rule could have been broken.
 const (
 	Pass     Verdict = "PASS"
 	Fail     Verdict = "FAIL"
@@ -26,16 +26,16 @@
 	Rule     int // 1 to 6
 	Name     string
 	Verdict  Verdict
-	Tried    int    // chances to break it
-	Broken   int    // times it was
-	Evidence string // of the first break
+	Tried    int    // situations in which the rule could have been broken
+	Broken   int    // violations
+	Evidence string // of the first violation
 }
 
 // Report is the verdict on a day.
 type Report struct {
 	Name    string
 	Results []Result
-	Late    string // why the day decides nothing; "" if it does
+	Late    string // why the day is inconclusive; "" if it is conclusive
 }
 
 // The exit codes of a verdict.
@@ -46,7 +46,7 @@
 	ExitInconclusive = 3
 )
 
-// Exit is the exit code that the report comes to. A day on which the kit itself was late decides nothing.
+// Exit returns the exit code of the report. A day on which the kit itself was late is inconclusive.
 func (r Report) Exit() int {
 	if r.Late != "" {
 		return ExitInconclusive
@@ -59,24 +59,24 @@
 	return ExitPass
 }
 
-// The bounds of the kit's own lateness: the most is the rules' grace, as with more what is stamped may be off by
-// more than that; the p99 is a part of it.
+// Bounds of the kit's own lateness. The maximum must not exceed the rules' grace, as logged times may otherwise be off by more than the
+// grace. The p99 must not exceed a fraction of the grace.
 const (
-	lateP99 = 5   // of the grace
-	lateFew = 100 // samples: of fewer the p99 is but the most
+	p99Divisor    = 5   // the bound of the p99 is the grace divided by this
+	minP99Samples = 100 // with fewer samples the p99 is no more than the maximum
 )
 
 // call is one call at a receiver.
 type call struct {
 	eventlog.Event // of kind Call
-	hand           *hand
+	submission     *submission
 	run            int
 	done           bool
 	end            eventlog.Event // of kind Done
 }
 
-// never is whether the outcome proves that the call did not run.
-func (c *call) never() bool {
+// notExecuted reports whether the outcome proves that the call did not run.
+func (c *call) notExecuted() bool {
 	if !c.done || c.end.Detail != "" {
 		return false
 	}
@@ -87,31 +87,31 @@
 	return false
 }
 
-// served is whether the call's answer says that the message is delivered.
+// served reports whether the call's answer confirms that the message is delivered.
 func (c *call) served() bool { return c.done && c.end.Status == 200 }
 
-// doubtAt is whether at a time the call may have run, or may yet, as far as its sender can know.
-func (c *call) doubtAt(t int64) bool { return c.T <= t && !(c.never() && c.end.T <= t) }
+// mayHaveRunAt reports whether the call may have run or may still run, as far as its sender can know at a time.
+func (c *call) mayHaveRunAt(t int64) bool { return c.T <= t && !(c.notExecuted() && c.end.T <= t) }
 
-// hand is one hand-in.
-type hand struct {
+// submission is one hand-in of a message.
+type submission struct {
 	eventlog.Event
-	order    int // place in the log
+	order    int // position in the log
 	answer   eventlog.Event
 	answered bool
 	notices  []eventlog.Event
 	calls    []*call
 }
 
-// void is whether its client counts on it no longer: it got no answer.
-func (h *hand) void() bool { return !h.answered || h.answer.Status == 0 }
+// unanswered reports whether the client got no answer and so no longer relies on this hand-in.
+func (h *submission) unanswered() bool { return !h.answered || h.answer.Status == 0 }
 
-func (h *hand) taken() bool {
+func (h *submission) accepted() bool {
 	return h.answered && (h.answer.Status == 200 || h.answer.Status == 202)
 }
 
-// delivered is when the first 200 was written.
-func (h *hand) delivered() (int64, bool) {
+// deliveredAt returns when the first 200 was written.
+func (h *submission) deliveredAt() (int64, bool) {
 	at, ok := int64(0), false
 	for _, c := range h.calls {
 		if c.served() && (!ok || c.end.T < at) {
@@ -121,9 +121,9 @@
 	return at, ok
 }
 
-// over is when the message came to its end.
-func (h *hand) over() (int64, bool) {
-	at, ok := h.delivered()
+// endedAt returns when the message ended: its first delivery or notice.
+func (h *submission) endedAt() (int64, bool) {
+	at, ok := h.deliveredAt()
 	for _, n := range h.notices {
 		if !ok || n.T < at {
 			at, ok = n.T, true
@@ -136,11 +136,11 @@
 type process struct {
 	run                           int
 	start, ready, term, kill, end int64 // 0: not yet
-	lost, crash                   bool
+	stateLost, crash              bool
 }
 
-// gone is from when on the process was being ended; 0 if it never was.
-func (p *process) gone() int64 {
+// endingSince returns when the process was terminated, else when it was killed, else when it ended; 0 if none of these happened.
+func (p *process) endingSince() int64 {
 	for _, t := range []int64{p.term, p.kill, p.end} {
 		if t > 0 {
 			return t
@@ -149,25 +149,25 @@
 	return 0
 }
 
-// day is the log, indexed.
+// day is an indexed event log.
 type day struct {
-	figures  eventlog.Figures
-	ids      map[string]*hand
-	hands    []*hand
-	calls    []*call
-	unknown  []eventlog.Event // calls that nobody handed in
-	listSent []eventlog.Event
-	outages  []eventlog.Event
-	senders  map[string][]*process
-	names    []string
-	end      int64
-	ended    bool
-	slips    []eventlog.Event
-	faults   []eventlog.Event
+	figures     eventlog.Figures
+	ids         map[string]*submission
+	submissions []*submission
+	calls       []*call
+	unknown     []eventlog.Event // calls with messages that no client handed in
+	listSent    []eventlog.Event
+	outages     []eventlog.Event
+	senders     map[string][]*process
+	senderNames []string
+	end         int64
+	ended       bool
+	slips       []eventlog.Event
+	kitFailures []eventlog.Event
 }
 
 func index(events []eventlog.Event) (*day, error) {
-	d := &day{ids: map[string]*hand{}, senders: map[string][]*process{}}
+	d := &day{ids: map[string]*submission{}, senders: map[string][]*process{}}
 	sorted := slices.Clone(eventlog.Day(events))
 	slices.SortStableFunc(sorted, func(a, b eventlog.Event) int { return cmp.Compare(a.T, b.T) })
 	byCall := map[int64]*call{}
@@ -180,7 +180,7 @@
 			}
 		}
 		if all == nil {
-			d.names = append(d.names, e.Sender)
+			d.senderNames = append(d.senderNames, e.Sender)
 		}
 		p := &process{run: e.Run}
 		d.senders[e.Sender] = append(all, p)
@@ -196,14 +196,14 @@
 			d.figures, found = *e.Figures, true
 		case eventlog.HandIn:
 			if first := d.ids[e.Event]; e.Event != "" && first != nil && first.Sender == e.Sender {
-				// The same event again, at the same sender: it counts as the first try, and what comes of either is one
-				// message's.
+				// The same event handed in again at the same sender is the same message as the first hand-in: calls, answers and
+				// notices under either id belong to this message.
 				d.ids[e.ID] = first
 				continue
 			}
-			h := &hand{Event: e, order: i}
+			h := &submission{Event: e, order: i}
 			d.ids[e.ID] = h
-			d.hands = append(d.hands, h)
+			d.submissions = append(d.submissions, h)
 		case eventlog.Answer:
 			if h := d.ids[e.ID]; h != nil && (!h.answered || h.answer.Status == 0 && h.answer.Detail != "closed") {
 				h.answer, h.answered = e, true
@@ -214,7 +214,7 @@
 				d.unknown = append(d.unknown, e)
 				continue
 			}
-			c := &call{Event: e, hand: h}
+			c := &call{Event: e, submission: h}
 			byCall[e.Call] = c
 			h.calls = append(h.calls, c)
 			d.calls = append(d.calls, c)
@@ -238,17 +238,17 @@
 			proc(e).term = e.T
 		case eventlog.Killed:
 			p := proc(e)
-			p.kill, p.lost = e.T, p.lost || e.Detail == "lost"
+			p.kill, p.stateLost = e.T, p.stateLost || e.Detail == "lost"
 		case eventlog.Exit:
 			p := proc(e)
 			p.end, p.crash = e.T, e.Detail == "crash"
 		case eventlog.Slip:
 			d.slips = append(d.slips, e)
 		case eventlog.KitFailure:
-			d.faults = append(d.faults, e)
+			d.kitFailures = append(d.kitFailures, e)
 		case eventlog.End:
 			d.ended = true
-		default: // the other events tell nothing here
+		default: // no rule depends on the other events
 		}
 	}
 	if !found {
@@ -260,7 +260,7 @@
 	return d, nil
 }
 
-// runAt is which process of a sender there was at a time: the last that had started.
+// runAt returns the run number of a sender's process at a time: the last one that had started.
 func (d *day) runAt(sender string, t int64) int {
 	run := 0
 	for _, p := range d.senders[sender] {
@@ -271,13 +271,13 @@
 	return run
 }
 
-// ms is a time limit in the log's unit.
+// ms converts milliseconds to the log's unit, microseconds.
 func ms(v int64) int64 { return v * 1000 }
 
-// at writes a time for people.
+// at formats a time of the log in seconds.
 func at(t int64) string { return fmt.Sprintf("%.3f s", float64(t)/1e6) }
 
-// Judge gives the verdict on a day.
+// Judge checks all rules against a day's events.
 func Judge(events []eventlog.Event) (Report, error) {
 	d, err := index(events)
 	if err != nil {
@@ -288,8 +288,8 @@
 		name  string
 		check func(*day) tally
 	}{
-		{"no message is lost", lost}, {"no effect twice", twice}, {"drains are kept", checkDraining},
-		{"a returning receiver is not pushed over", pushed}, {"a key's order is kept", order}, {"waits are kept", waits},
+		{"no message is lost", checkLoss}, {"no effect twice", checkRepeats}, {"drains are kept", checkDraining},
+		{"a returning receiver is not pushed over", checkRecovery}, {"a key's order is kept", checkOrder}, {"waits are kept", checkWaits},
 	} {
 		t := rule.check(d)
 		res := Result{Rule: i + 1, Name: rule.name, Verdict: Pass, Tried: t.tried, Broken: t.broken, Evidence: t.evidence}
@@ -304,7 +304,7 @@
 	return r, nil
 }
 
-// late is why a day decides nothing.
+// late returns why a day is inconclusive; "" if it is conclusive.
 func (d *day) late() string {
 	if !d.ended {
 		return "the log ends before the day does"
@@ -312,23 +312,23 @@
 	if len(d.slips) == 0 {
 		return "the kit did not measure its own lateness"
 	}
-	for _, f := range d.faults {
+	for _, f := range d.kitFailures {
 		return fmt.Sprintf("the kit failed at %s: %s", at(f.T), f.Detail)
 	}
 	lateMost := time.Duration(d.figures.Grace) * time.Millisecond
-	lateP99 := lateMost / lateP99
+	lateP99 := lateMost / p99Divisor
 	for _, s := range d.slips {
 		if s.MaxUS > lateMost.Microseconds() {
 			return fmt.Sprintf("the kit ran %.1f ms late in the second before %s (%v is allowed)", float64(s.MaxUS)/1000, at(s.T), lateMost)
 		}
-		if s.Count >= lateFew && s.P99US > lateP99.Microseconds() {
+		if s.Count >= minP99Samples && s.P99US > lateP99.Microseconds() {
 			return fmt.Sprintf("the kit ran %.1f ms late at p99 in the second before %s (%v is allowed)", float64(s.P99US)/1000, at(s.T), lateP99)
 		}
 	}
 	return ""
 }
 
-// tally counts chances and breaks of a rule.
+// tally counts the situations in which a rule could have been broken, and its violations.
 type tally struct {
 	tried, broken int
 	evidence      string
--- a/internal/faulttest/judge/judge_test.go
+++ b/internal/faulttest/judge/judge_test.go
@@ -9,7 +9,7 @@
 	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
-// writer builds a day's log. Times are microseconds; each scene has a receiver of its own.
+// writer builds a day's log. Times are microseconds; each scenario has a receiver of its own.
 type writer struct {
 	events []eventlog.Event
 	calls  int64
@@ -42,27 +42,27 @@
 	w.end = max(w.end, e.T)
 }
 
-// log ends the day with nothing late.
+// log returns the events and the end of a day on which the kit was never late.
 func (w *writer) log() []eventlog.Event {
 	return append(w.events[:len(w.events):len(w.events)], eventlog.Event{T: w.end + 1, Kind: eventlog.Slip, MaxUS: 900, P99US: 300, Count: 200},
 		eventlog.Event{T: w.end + 20_000*millisecond, Kind: eventlog.End})
 }
 
-// taken hands a message in at t, to be answered 202 two milliseconds later, and returns its id.
-func (w *writer) taken(t int64, sender, class, order string, dest int) string {
-	id := w.handed(t, sender, class, order, dest)
+// accepted hands a message in at t, which is answered 202 two milliseconds later, and returns its id.
+func (w *writer) accepted(t int64, sender, class, order string, dest int) string {
+	id := w.handIn(t, sender, class, order, dest)
 	w.add(eventlog.Event{T: t + 2*millisecond, Kind: eventlog.Answer, Sender: sender, ID: id, Status: 202})
 	return id
 }
 
-func (w *writer) handed(t int64, sender, class, order string, dest int) string {
+func (w *writer) handIn(t int64, sender, class, order string, dest int) string {
 	w.msgs++
 	id := fmt.Sprintf("id%d", w.msgs)
 	w.add(eventlog.Event{T: t, Kind: eventlog.HandIn, Sender: sender, ID: id, Msg: fmt.Sprintf("m%d", w.msgs), Class: class, Order: order, Dest: dest, Deadline: 8000})
 	return id
 }
 
-// call is a call whose last byte came at t; it ends at done with a status and a note, or never if done is 0.
+// call adds a call whose last byte arrived at t. It ends at done with a status and a detail, or never if done is 0.
 func (w *writer) call(t, done int64, sender, id string, dest, status int, note string) {
 	w.calls++
 	w.add(eventlog.Event{T: t, Kind: eventlog.Call, Sender: sender, ID: id, Call: w.calls, Dest: dest, Endpoint: fmt.Sprintf("r%d-e0", dest), First: t})
@@ -75,15 +75,15 @@
 	w.add(eventlog.Event{T: t, Kind: eventlog.Notice, Sender: sender, ID: id, Outcome: outcome})
 }
 
-// scene writes what is right up to its limit, by milliseconds over it: 0 and less keep the rule.
-type scene struct {
+// scenario writes events that exceed the limit of a rule by over milliseconds; with 0 or less they keep the rule.
+type scenario struct {
 	name string
 	rule int
 	play func(w *writer, t int64, over int64)
 }
 
-// ramp is the number of calls that a receiver just bears at a time after its return, by the rule's words.
-func bears(after int64, capacity float64) int {
+// coldCapacity returns the number of calls that rule 4 allows within its span at a time after an outage.
+func coldCapacity(after int64, capacity float64) int {
 	warm := 0.2 + 0.8*float64(after)/10_000_000
 	budget := 2 * warm * capacity * 3
 	slack := 4.0
@@ -93,83 +93,83 @@
 	return int(budget + slack)
 }
 
-var scenes = []scene{
+var scenarios = []scenario{
 	{"the end is a notice", 1, func(w *writer, t, over int64) {
-		id := w.taken(t, "n0", "safe", "", w.dest)
+		id := w.accepted(t, "n0", "safe", "", w.dest)
 		w.notice(t+(8000+300+50+over)*millisecond, "n0", id, "given_up")
 	}},
 	{"the end is a delivery", 1, func(w *writer, t, over int64) {
-		id := w.taken(t, "n1", "keyed", "", w.dest)
+		id := w.accepted(t, "n1", "keyed", "", w.dest)
 		w.call(t+8000*millisecond, t+(8000+300+50+over)*millisecond, "n1", id, w.dest, 200, "")
 	}},
 	{"sent after its notice", 1, func(w *writer, t, over int64) {
-		id := w.taken(t, "n0", "safe", "", w.dest)
+		id := w.accepted(t, "n0", "safe", "", w.dest)
 		w.notice(t+500*millisecond, "n0", id, "handed_back")
 		w.call(t+(500+50+over)*millisecond, t+900*millisecond, "n0", id, w.dest, 200, "")
 	}},
 	{"a key is forgotten", 2, func(w *writer, t, over int64) {
-		id := w.taken(t, "n0", "keyed", "", w.dest)
+		id := w.accepted(t, "n0", "keyed", "", w.dest)
 		w.call(t+5*millisecond, t+100*millisecond, "n0", id, w.dest, 0, eventlog.DetailReset)
 		w.call(t+(5+3000+50+over)*millisecond, t+4000*millisecond, "n0", id, w.dest, 200, "")
 	}},
 	{"an unsafe message before its refusal", 2, func(w *writer, t, over int64) {
-		id := w.taken(t, "n0", "unsafe", "", w.dest)
+		id := w.accepted(t, "n0", "unsafe", "", w.dest)
 		w.call(t+5*millisecond, t+100*millisecond, "n0", id, w.dest, 503, "")
 		w.call(t+(100-over)*millisecond, t+300*millisecond, "n0", id, w.dest, 200, "")
 	}},
 	{"an unsafe message handed back before its refusal", 2, func(w *writer, t, over int64) {
-		id := w.taken(t, "n1", "unsafe", "", w.dest)
+		id := w.accepted(t, "n1", "unsafe", "", w.dest)
 		w.call(t+5*millisecond, t+100*millisecond, "n1", id, w.dest, 503, "")
 		w.notice(t+(100-over)*millisecond, "n1", id, "handed_back")
 	}},
 	{"a drained endpoint", 3, func(w *writer, t, over int64) {
 		w.add(eventlog.Event{T: t, Kind: eventlog.ListSent, Sender: "n0", Run: 1, Endpoint: fmt.Sprintf("r%d-e0", w.dest), Dest: w.dest, State: "DRAINING"})
-		id := w.taken(t+1000*millisecond, "n0", "safe", "", w.dest)
+		id := w.accepted(t+1000*millisecond, "n0", "safe", "", w.dest)
 		w.call(t+(2000+50+over)*millisecond, t+2300*millisecond, "n0", id, w.dest, 200, "")
-		w.taken(t+3000*millisecond, "n0", "safe", "", w.dest)
+		w.accepted(t+3000*millisecond, "n0", "safe", "", w.dest)
 		w.notice(t+3500*millisecond, "n0", fmt.Sprintf("id%d", w.msgs), "given_up")
 	}},
 	{"a cold receiver", 4, func(w *writer, t, over int64) {
 		w.add(eventlog.Event{T: t, Kind: eventlog.Outage, Dest: w.dest, State: "on"})
-		seen := w.taken(t+100*millisecond, "n0", "safe", "", w.dest)
+		seen := w.accepted(t+100*millisecond, "n0", "safe", "", w.dest)
 		w.call(t+200*millisecond, t+300*millisecond, "n0", seen, w.dest, 503, "")
 		w.notice(t+400*millisecond, "n0", seen, "given_up")
 		back := t + 5000*millisecond
 		w.add(eventlog.Event{T: back, Kind: eventlog.Outage, Dest: w.dest, State: "off", Capacity: 10})
 		at := back + 1000*millisecond
-		for range bears(1000*millisecond, 10) + int(over) { // one call too many for each over
-			id := w.taken(at-10*millisecond, "n0", "safe", "", w.dest)
+		for range coldCapacity(1000*millisecond, 10) + int(over) { // over is a number of calls here
+			id := w.accepted(at-10*millisecond, "n0", "safe", "", w.dest)
 			w.call(at, at+50*millisecond, "n0", id, w.dest, 200, "")
 		}
 	}},
 	{"an ordered key's rest", 5, func(w *writer, t, over int64) {
 		key := fmt.Sprint("k", w.dest)
-		a := w.taken(t, "n0", "ordered", key, w.dest)
-		b := w.taken(t+10*millisecond, "n0", "ordered", key, w.dest)
+		a := w.accepted(t, "n0", "ordered", key, w.dest)
+		b := w.accepted(t+10*millisecond, "n0", "ordered", key, w.dest)
 		w.call(t+20*millisecond, t+500*millisecond, "n0", a, w.dest, 0, eventlog.DetailClosedBySender)
 		w.notice(t+510*millisecond, "n0", a, "given_up")
 		w.call(t+(500+800-50-over)*millisecond, t+1500*millisecond, "n0", b, w.dest, 200, "")
 	}},
 	{"an ordered key goes singly", 5, func(w *writer, t, over int64) {
 		key := fmt.Sprint("k", w.dest)
-		a := w.taken(t, "n1", "ordered", key, w.dest)
-		b := w.taken(t+10*millisecond, "n1", "ordered", key, w.dest)
+		a := w.accepted(t, "n1", "ordered", key, w.dest)
+		b := w.accepted(t+10*millisecond, "n1", "ordered", key, w.dest)
 		w.call(t+20*millisecond, t+120*millisecond, "n1", a, w.dest, 200, "")
 		w.call(t+(120-over)*millisecond, t+300*millisecond, "n1", b, w.dest, 200, "")
 	}},
 	{"the begin of a wait", 6, func(w *writer, t, over int64) {
-		id := w.taken(t, "n0", "safe", "", w.dest)
-		w.wait(t+5*millisecond, t+50*millisecond, 1000, "n0", id, w.dest)
+		id := w.accepted(t, "n0", "safe", "", w.dest)
+		w.rateLimited(t+5*millisecond, t+50*millisecond, 1000, "n0", id, w.dest)
 		w.call(t+(50+100+over)*millisecond, t+300*millisecond, "n0", id, w.dest, 200, "")
 	}},
 	{"the end of a wait", 6, func(w *writer, t, over int64) {
-		id := w.taken(t, "n0", "safe", "", w.dest)
-		w.wait(t+5*millisecond, t+50*millisecond, 1000, "n0", id, w.dest)
+		id := w.accepted(t, "n0", "safe", "", w.dest)
+		w.rateLimited(t+5*millisecond, t+50*millisecond, 1000, "n0", id, w.dest)
 		w.call(t+(50+1000-over)*millisecond, t+1200*millisecond, "n0", id, w.dest, 200, "")
 	}},
 }
 
-func (w *writer) wait(t, done, ms int64, sender, id string, dest int) {
+func (w *writer) rateLimited(t, done, ms int64, sender, id string, dest int) {
 	w.call(t, done, sender, id, dest, 429, "")
 	w.events[len(w.events)-1].WaitMS = ms
 }
@@ -190,10 +190,9 @@
 	return of
 }
 
-// Each limit holds to the millisecond: at it and one before it the rule passes, and one past it it fails,
-// alone among the rules.
+// Tests each limit to the millisecond: at the limit and 1 ms below it the rule passes; 1 ms above it this rule fails, and no other.
 func TestLimitsToTheMillisecond(t *testing.T) {
-	for _, s := range scenes {
+	for _, s := range scenarios {
 		for _, over := range []int64{-1, 0, 1, 2} {
 			w := newWriter()
 			s.play(w, 1000*millisecond, over)
@@ -209,13 +208,13 @@
 	}
 }
 
-// In a day of many scenes laid over each other, right ones pass and a planted fault shows in its rule only,
-// whatever the order in which the lines stand.
+// In a day of many overlapping scenarios, correct ones pass and an injected fault breaks only its own rule, whatever the order of the
+// lines.
 func TestJudge_FindsInjectedFaults(t *testing.T) {
 	for seed := range uint64(600) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		w := newWriter()
-		planted := scenes[rng.IntN(len(scenes))]
+		planted := scenarios[rng.IntN(len(scenarios))]
 		faulty := seed%4 != 0
 		n := 10 + rng.IntN(30)
 		at := rng.IntN(n)
@@ -226,14 +225,14 @@
 				planted.play(w, when, 1+int64(rng.IntN(3)))
 				continue
 			}
-			scenes[rng.IntN(len(scenes))].play(w, when, -int64(rng.IntN(3)))
+			scenarios[rng.IntN(len(scenarios))].play(w, when, -int64(rng.IntN(3)))
 		}
 		events := w.log()
 		rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
-		// Lines of one time stand in the order of cause: a sort by time alone must not need more.
+		// Lines with the same time are in causal order, as in a log: the judge sorts by time alone.
 		for rule, r := range verdicts(t, causal(events)) {
 			if want := faulty && rule == planted.rule; (r.Verdict == Fail) != want {
-				t.Fatalf("seed %d, planted %q (%v): rule %d is %s: %s", seed, planted.name, faulty, rule, r.Verdict, r.Evidence)
+				t.Fatalf("seed %d, injected %q (%v): rule %d is %s: %s", seed, planted.name, faulty, rule, r.Verdict, r.Evidence)
 			}
 		}
 	}
@@ -257,7 +256,7 @@
 	return out
 }
 
-// A day that gave a rule no chance does not pass it.
+// A day without a situation in which a rule could have been broken does not pass the rule.
 func TestNotTried(t *testing.T) {
 	for rule, r := range verdicts(t, newWriter().log()) {
 		if r.Verdict != NotTried {
@@ -274,48 +273,48 @@
 		play func(w *writer)
 		want Verdict
 	}{
-		"no end at all": {func(w *writer) { w.taken(0, "n0", "safe", "", 0) }, Fail},
+		"no end at all": {func(w *writer) { w.accepted(0, "n0", "safe", "", 0) }, Fail},
 		"two ends": {func(w *writer) {
-			id := w.taken(0, "n0", "safe", "", 0)
+			id := w.accepted(0, "n0", "safe", "", 0)
 			w.notice(100*millisecond, "n0", id, "given_up")
 			w.notice(200*millisecond, "n0", id, "handed_back")
 		}, Fail},
 		"the same notice again": {func(w *writer) {
-			id := w.taken(0, "n0", "safe", "", 0)
+			id := w.accepted(0, "n0", "safe", "", 0)
 			w.notice(100*millisecond, "n0", id, "given_up")
 			w.notice(200*millisecond, "n0", id, "given_up")
 		}, Pass},
-		"not answered before its client's patience was out": {func(w *writer) {
-			id := w.handed(0, "n0", "safe", "", 0)
+		"not answered before its client's time-out": {func(w *writer) {
+			id := w.handIn(0, "n0", "safe", "", 0)
 			w.add(eventlog.Event{T: 400 * millisecond, Kind: eventlog.Answer, ID: id, Sender: "n0", Detail: "patience"})
 		}, NotTried},
 		"closed without an answer": {func(w *writer) {
-			id := w.handed(0, "n0", "safe", "", 0)
+			id := w.handIn(0, "n0", "safe", "", 0)
 			w.add(eventlog.Event{T: 10 * millisecond, Kind: eventlog.Answer, ID: id, Sender: "n0", Detail: "closed"})
 		}, Fail},
 		"closed by a kill": {func(w *writer) {
-			id := w.handed(0, "n0", "safe", "", 0)
+			id := w.handIn(0, "n0", "safe", "", 0)
 			process(w, eventlog.Killed, 5, 1, "")
 			w.add(eventlog.Event{T: 10 * millisecond, Kind: eventlog.Answer, ID: id, Sender: "n0", Detail: "closed"})
 		}, NotTried},
 		"lost with the machine": {func(w *writer) {
-			w.taken(0, "n0", "safe", "", 0)
+			w.accepted(0, "n0", "safe", "", 0)
 			process(w, eventlog.Killed, 500, 1, "lost")
 		}, NotTried},
 		"overdue before the machine was lost": {func(w *writer) {
-			w.taken(0, "n0", "safe", "", 0)
+			w.accepted(0, "n0", "safe", "", 0)
 			process(w, eventlog.Killed, 9000, 1, "lost")
 		}, Fail},
 		"a crash": {func(w *writer) { process(w, eventlog.Exit, 500, 1, "crash") }, Fail},
-		"due while its sender restarts, told in time after it": {func(w *writer) {
-			id := w.taken(0, "n0", "safe", "", 0)
+		"due while its sender restarts, notice in time after it": {func(w *writer) {
+			id := w.accepted(0, "n0", "safe", "", 0)
 			process(w, eventlog.Term, 8000, 1, "")
 			process(w, eventlog.Start, 12000, 2, "")
 			process(w, eventlog.Ready, 12100, 2, "")
 			w.notice((12100+1500+50)*millisecond, "n0", id, "given_up")
 		}, Pass},
-		"due while its sender restarts, told late after it": {func(w *writer) {
-			id := w.taken(0, "n0", "safe", "", 0)
+		"due while its sender restarts, notice late after it": {func(w *writer) {
+			id := w.accepted(0, "n0", "safe", "", 0)
 			process(w, eventlog.Term, 8000, 1, "")
 			process(w, eventlog.Start, 12000, 2, "")
 			process(w, eventlog.Ready, 12100, 2, "")
@@ -336,49 +335,49 @@
 		want Verdict
 	}{
 		"an unsafe message again after a reset": {func(w *writer) {
-			id := w.taken(0, "n0", "unsafe", "", 0)
+			id := w.accepted(0, "n0", "unsafe", "", 0)
 			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 0, eventlog.DetailReset)
 			w.call(90*millisecond, 150*millisecond, "n0", id, 0, 200, "")
 		}, Fail},
-		"an unsafe message again while a call is out": {func(w *writer) {
-			id := w.taken(0, "n0", "unsafe", "", 0)
+		"an unsafe message again while a call is in flight": {func(w *writer) {
+			id := w.accepted(0, "n0", "unsafe", "", 0)
 			w.call(5*millisecond, 0, "n0", id, 0, 0, "")
 			w.call(90*millisecond, 150*millisecond, "n0", id, 0, 200, "")
 		}, Fail},
-		"an unsafe message again after a spoilt 503": {func(w *writer) {
-			id := w.taken(0, "n0", "unsafe", "", 0)
+		"an unsafe message again after a corrupt 503": {func(w *writer) {
+			id := w.accepted(0, "n0", "unsafe", "", 0)
 			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 503, eventlog.DetailCorrupt)
 			w.call(90*millisecond, 150*millisecond, "n0", id, 0, 200, "")
 		}, Fail},
 		"an unsafe message again after refusals": {func(w *writer) {
-			id := w.taken(0, "n0", "unsafe", "", 0)
+			id := w.accepted(0, "n0", "unsafe", "", 0)
 			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 503, "")
 			w.call(60*millisecond, 70*millisecond, "n0", id, 0, 429, "")
 			w.call(90*millisecond, 150*millisecond, "n0", id, 0, 200, "")
 		}, NotTried},
 		"an unsafe message given up after a reset": {func(w *writer) {
-			id := w.taken(0, "n0", "unsafe", "", 0)
+			id := w.accepted(0, "n0", "unsafe", "", 0)
 			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 0, eventlog.DetailReset)
 			w.notice(60*millisecond, "n0", id, "given_up")
 		}, Pass},
 		"an unsafe message refused after a reset": {func(w *writer) {
-			id := w.handed(0, "n0", "unsafe", "", 0)
+			id := w.handIn(0, "n0", "unsafe", "", 0)
 			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 0, eventlog.DetailReset)
 			w.add(eventlog.Event{T: 60 * millisecond, Kind: eventlog.Answer, Sender: "n0", ID: id, Status: 503})
 		}, Fail},
-		"a safe message again and again": {func(w *writer) {
-			id := w.taken(0, "n0", "safe", "", 0)
+		"a safe message sent repeatedly": {func(w *writer) {
+			id := w.accepted(0, "n0", "safe", "", 0)
 			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 0, eventlog.DetailReset)
 			w.call(90*millisecond, 150*millisecond, "n0", id, 0, 200, "")
 			w.call(95*millisecond, 160*millisecond, "n0", id, 0, 200, "")
 		}, NotTried},
 		"a message that nobody handed in": {func(w *writer) { w.call(5*millisecond, 0, "n0", "other", 0, 0, "") }, Fail},
 		"a message at another receiver": {func(w *writer) {
-			w.call(90*millisecond, 95*millisecond, "n0", w.taken(0, "n0", "safe", "", 0), 1, 200, "")
+			w.call(90*millisecond, 95*millisecond, "n0", w.accepted(0, "n0", "safe", "", 0), 1, 200, "")
 			w.notice(100*millisecond, "n0", "id1", "given_up")
 		}, Fail},
-		"a hand-in whose client left counts for nothing": {func(w *writer) {
-			id := w.handed(0, "n0", "unsafe", "", 0)
+		"a hand-in whose client timed out is not judged": {func(w *writer) {
+			id := w.handIn(0, "n0", "unsafe", "", 0)
 			w.add(eventlog.Event{T: 400 * millisecond, Kind: eventlog.Answer, ID: id, Sender: "n0", Detail: "patience"})
 			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 0, eventlog.DetailReset)
 			w.call(90*millisecond, 150*millisecond, "n0", id, 0, 200, "")
@@ -392,19 +391,19 @@
 	}
 }
 
-// A return is judged by those who knew: two thirds of the load must have come from them.
+// Rule 4 is broken only if at least two thirds of the load came from senders that knew of the outage.
 func TestPushedByThoseWhoKnew(t *testing.T) {
 	for _, c := range []struct {
-		known, all int
-		connects   bool // the outage took no connections: those knew who held a message through it
-		want       Verdict
+		known, all    int
+		noConnections bool // no connections during the outage: a sender knows of it if it held a message through it
+		want          Verdict
 	}{
 		{40, 60, false, Fail}, {39, 60, false, Pass}, {0, 60, false, NotTried}, {60, 60, false, Fail}, {60, 60, true, Fail},
 	} {
 		w := newWriter()
 		w.add(eventlog.Event{T: 1000 * millisecond, Kind: eventlog.Outage, State: "on"})
-		id := w.taken(1100*millisecond, "n0", "safe", "", 0)
-		if !c.connects {
+		id := w.accepted(1100*millisecond, "n0", "safe", "", 0)
+		if !c.noConnections {
 			w.call(1200*millisecond, 1300*millisecond, "n0", id, 0, 503, "")
 		}
 		w.add(eventlog.Event{T: 5000 * millisecond, Kind: eventlog.Outage, State: "off", Capacity: 10})
@@ -414,28 +413,28 @@
 			if i < c.all-c.known {
 				sender = "n1"
 			}
-			id := w.taken(5500*millisecond, sender, "safe", "", 0)
+			id := w.accepted(5500*millisecond, sender, "safe", "", 0)
 			w.call(5600*millisecond+int64(i), 5700*millisecond, sender, id, 0, 200, "")
 		}
 		if r := verdicts(t, w.log())[4]; r.Verdict != c.want {
-			t.Errorf("%d of %d calls by those who knew: %s, want %s (%s)", c.known, c.all, r.Verdict, c.want, r.Evidence)
+			t.Errorf("%d of %d calls from senders that knew of the outage: %s, want %s (%s)", c.known, c.all, r.Verdict, c.want, r.Evidence)
 		}
 	}
 }
 
-// A new process of a sender does not know what the one before it saw.
+// A restarted sender is not expected to know of an outage or a wait that its previous process saw.
 func TestRestartForgetsAnOutageAndAWait(t *testing.T) {
 	w := newWriter()
 	w.add(eventlog.Event{T: 1000 * millisecond, Kind: eventlog.Outage, State: "on"})
-	id := w.taken(1100*millisecond, "n0", "safe", "", 0)
-	w.wait(1200*millisecond, 1300*millisecond, 20_000, "n0", id, 0)
+	id := w.accepted(1100*millisecond, "n0", "safe", "", 0)
+	w.rateLimited(1200*millisecond, 1300*millisecond, 20_000, "n0", id, 0)
 	w.notice(1400*millisecond, "n0", id, "given_up")
 	w.add(eventlog.Event{T: 4000 * millisecond, Kind: eventlog.Killed, Sender: "n0", Run: 1})
 	w.add(eventlog.Event{T: 4600 * millisecond, Kind: eventlog.Start, Sender: "n0", Run: 2})
 	w.add(eventlog.Event{T: 4700 * millisecond, Kind: eventlog.Ready, Sender: "n0", Run: 2})
 	w.add(eventlog.Event{T: 5000 * millisecond, Kind: eventlog.Outage, State: "off", Capacity: 1})
 	for range 60 {
-		id := w.taken(5500*millisecond, "n0", "safe", "", 0)
+		id := w.accepted(5500*millisecond, "n0", "safe", "", 0)
 		w.call(5600*millisecond, 5700*millisecond, "n0", id, 0, 200, "")
 	}
 	of := verdicts(t, w.log())
@@ -461,15 +460,15 @@
 			w.call(30*millisecond, 40*millisecond, "n0", b, 0, 200, "")
 			w.notice(35*millisecond, "n0", a, "given_up")
 		}, Pass},
-		"another try of the one whose turn it is": {func(w *writer, a, b string) {
+		"another attempt of the earlier one": {func(w *writer, a, b string) {
 			w.call(30*millisecond, 40*millisecond, "n0", a, 0, 0, eventlog.DetailReset)
 			w.call(50*millisecond, 60*millisecond, "n0", a, 0, 200, "")
 			w.call(900*millisecond, 950*millisecond, "n0", b, 0, 200, "")
 		}, Pass},
 	} {
 		w := newWriter()
-		a := w.taken(0, "n0", "ordered", "k", 0)
-		b := w.taken(10*millisecond, "n0", "ordered", "k", 0)
+		a := w.accepted(0, "n0", "ordered", "k", 0)
+		b := w.accepted(10*millisecond, "n0", "ordered", "k", 0)
 		c.play(w, a, b)
 		if r := verdicts(t, w.log())[5]; r.Verdict != c.want {
 			t.Errorf("%s: %s, want %s (%s)", name, r.Verdict, c.want, r.Evidence)
@@ -477,30 +476,30 @@
 	}
 }
 
-// Endpoints that serve again are no longer drained.
+// An endpoint that serves again is no longer draining.
 func TestJudge_DrainingThatStops(t *testing.T) {
 	w := newWriter()
-	told := func(at int64, state string) {
+	sendList := func(at int64, state string) {
 		w.add(eventlog.Event{T: at * millisecond, Kind: eventlog.ListSent, Sender: "n0", Run: 1, Endpoint: "r0-e0", State: state})
 	}
-	told(0, "DRAINING")
-	told(1000, "DELETED") // counts from the first
-	told(3000, "SERVING")
-	id := w.taken(3000*millisecond, "n0", "safe", "", 0)
+	sendList(0, "DRAINING")
+	sendList(1000, "DELETED") // the span still begins with DRAINING
+	sendList(3000, "SERVING")
+	id := w.accepted(3000*millisecond, "n0", "safe", "", 0)
 	w.call(3010*millisecond, 3100*millisecond, "n0", id, 0, 200, "")
 	if r := verdicts(t, w.log())[3]; r.Verdict != NotTried {
 		t.Errorf("%s: %s", r.Verdict, r.Evidence)
 	}
-	told(9000, "DRAINING")
-	id = w.taken(12_000*millisecond, "n0", "safe", "", 0)
+	sendList(9000, "DRAINING")
+	id = w.accepted(12_000*millisecond, "n0", "safe", "", 0)
 	w.call(12_010*millisecond, 12_100*millisecond, "n0", id, 0, 200, "")
 	if r := verdicts(t, w.log())[3]; r.Verdict != Fail {
 		t.Errorf("%s", r.Verdict)
 	}
 }
 
-// graced gives a day's limits another grace.
-func graced(events []eventlog.Event, ms int64) []eventlog.Event {
+// withGrace sets another grace in a day's figures.
+func withGrace(events []eventlog.Event, ms int64) []eventlog.Event {
 	for _, e := range events {
 		if e.Figures != nil {
 			e.Figures.Grace = ms
@@ -509,7 +508,7 @@
 	return events
 }
 
-// A late kit decides nothing, whatever the rules come to.
+// A day on which the kit was late or failed is inconclusive, whatever the verdicts on the rules.
 func TestInconclusive(t *testing.T) {
 	slip := func(maxUS, p99 int64) []eventlog.Event {
 		w := newWriter()
@@ -526,11 +525,11 @@
 		"late once":                       {slip(50_001, 100), ExitInconclusive, "50.0 ms late"},
 		"late at p99":                     {slip(20_000, 10_001), ExitInconclusive, "p99"},
 		"the kit failed":                  {append([]eventlog.Event{{Kind: eventlog.KitFailure, Detail: "no port"}}, newWriter().log()...), ExitInconclusive, "no port"},
-		"the kit failed as it cleared up": {append(newWriter().log(), eventlog.Event{Kind: eventlog.KitFailure, Detail: "no port"}), ExitPass, ""},
-		"broken off":                      {newWriter().events, ExitInconclusive, "ends before"},
-		"late for a day of more grace":    {graced(slip(300_001, 100), 300), ExitInconclusive, "300.0 ms late"},
-		"its p99":                         {graced(slip(200_000, 60_001), 300), ExitInconclusive, "p99"},
-		"in time for it":                  {graced(slip(300_000, 60_000), 300), ExitPass, ""},
+		"the kit failed during clean-up":  {append(newWriter().log(), eventlog.Event{Kind: eventlog.KitFailure, Detail: "no port"}), ExitPass, ""},
+		"log cut off":                     {newWriter().events, ExitInconclusive, "ends before"},
+		"late with a longer grace":        {withGrace(slip(300_001, 100), 300), ExitInconclusive, "300.0 ms late"},
+		"late at p99 with a longer grace": {withGrace(slip(200_000, 60_001), 300), ExitInconclusive, "p99"},
+		"in time with a longer grace":     {withGrace(slip(300_000, 60_000), 300), ExitPass, ""},
 	} {
 		r, err := Judge(c.events)
 		if err != nil {
@@ -541,16 +540,16 @@
 		}
 	}
 	w := newWriter()
-	w.taken(0, "n0", "safe", "", 0)
+	w.accepted(0, "n0", "safe", "", 0)
 	if r, _ := Judge(w.log()); r.Exit() != ExitFail {
 		t.Errorf("a broken rule ends with %d", r.Exit())
 	}
 	if _, err := Judge(nil); err == nil {
-		t.Error("a log without figures is judged")
+		t.Error("no error for a log without figures")
 	}
 }
 
-// again hands the event of a hand-in in once more, at a sender, and is answered so.
+// resubmit hands in the event of an earlier hand-in again at a sender, which answers with status.
 func (w *writer) resubmit(t int64, sender, first string, dest, status int) string {
 	w.msgs++
 	id := fmt.Sprintf("id%d", w.msgs)
@@ -559,8 +558,8 @@
 	return id
 }
 
-// An event that is handed in again counts as the first try: one message, that is delivered once or ended, and a second
-// message of it breaks rule 2.
+// An event that is handed in again is the same message as the first hand-in: it is delivered once or ends by a notice, and a second
+// delivery breaks rule 2.
 func TestJudge_RepeatedEvent(t *testing.T) {
 	for name, c := range map[string]struct {
 		play func(w *writer, first string)
@@ -584,10 +583,10 @@
 			w.call(120*millisecond, 160*millisecond, "n0", first, 0, 200, "")
 			w.call(220*millisecond, 260*millisecond, "n0", id, 0, 200, "")
 		}, 2},
-		"nobody hears": {func(w *writer, first string) { w.resubmit(100*millisecond, "n0", first, 0, 0) }, 0},
+		"no answer to either hand-in": {func(w *writer, first string) { w.resubmit(100*millisecond, "n0", first, 0, 0) }, 0},
 	} {
 		w := newWriter()
-		first := w.handed(10*millisecond, "n0", "unsafe", "", 0)
+		first := w.handIn(10*millisecond, "n0", "unsafe", "", 0)
 		w.add(eventlog.Event{T: 12 * millisecond, Kind: eventlog.Answer, Sender: "n0", ID: first, Detail: "lost"})
 		c.play(w, first)
 		for rule, r := range verdicts(t, w.log()) {
@@ -598,10 +597,11 @@
 	}
 }
 
-// A call that is not what was handed in breaks rule 2 and says why; of several messages in one call rule 4 counts one.
+// A call that differs from what was handed in breaks rule 2, and the evidence has the reason. Rule 4 counts a call with several messages
+// once.
 func TestCallsOfEvents(t *testing.T) {
 	w := newWriter()
-	id := w.taken(0, "n0", "safe", "", 0)
+	id := w.accepted(0, "n0", "safe", "", 0)
 	w.add(eventlog.Event{T: 10 * millisecond, Kind: eventlog.Call, Dest: 0, Endpoint: "r0-e0", ID: id, Detail: "unknown", State: "event x is not what its client sent"})
 	w.notice(20*millisecond, "n0", id, "given_up")
 	if r := verdicts(t, w.log())[2]; r.Verdict != Fail || !strings.Contains(r.Evidence, "not what its client sent") {
@@ -610,13 +610,13 @@
 	for _, together := range []bool{true, false} {
 		w := newWriter()
 		w.add(eventlog.Event{T: 0, Kind: eventlog.Outage, Dest: 0, State: "on"})
-		seen := w.taken(100*millisecond, "n0", "safe", "", 0)
+		seen := w.accepted(100*millisecond, "n0", "safe", "", 0)
 		w.call(200*millisecond, 300*millisecond, "n0", seen, 0, 503, "")
 		w.notice(400*millisecond, "n0", seen, "given_up")
 		w.add(eventlog.Event{T: 5000 * millisecond, Kind: eventlog.Outage, Dest: 0, State: "off", Capacity: 10})
 		first := int64(0)
-		for i := range 2 * bears(1000*millisecond, 10) {
-			id := w.taken(5900*millisecond, "n0", "safe", "", 0)
+		for i := range 2 * coldCapacity(1000*millisecond, 10) {
+			id := w.accepted(5900*millisecond, "n0", "safe", "", 0)
 			w.call(6000*millisecond, 6050*millisecond, "n0", id, 0, 200, "")
 			if call := &w.events[len(w.events)-2]; i%10 == 0 {
 				first = call.Call
--- a/internal/faulttest/judge/rules.go
+++ b/internal/faulttest/judge/rules.go
@@ -9,31 +9,31 @@
 	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
-// lost is rule 1: what a sender takes on gets one end, in time. A sender's folder that is lost takes its
-// messages with it, and while a sender is away no end is overdue.
-func lost(d *day) tally {
+// checkLoss is rule 1: each message that a sender accepts ends exactly once and in time. If a sender's state folder is lost, its
+// messages are lost with it. No message becomes overdue while its sender is down.
+func checkLoss(d *day) tally {
 	var t tally
-	for _, name := range d.names {
+	for _, name := range d.senderNames {
 		for _, p := range d.senders[name] {
 			if p.crash {
 				t.breaks("sender %s ended by itself at %s", name, at(p.end))
 			}
 		}
 	}
-	for _, h := range d.hands {
+	for _, h := range d.submissions {
 		if h.answered && h.answer.Status == 0 && h.answer.Detail == "closed" && !d.endedWithin(h.Sender, h.T, h.answer.T+ms(d.figures.Grace)) {
 			t.breaks("message %s (%s), handed to %s at %s: its connection ended at %s without an answer", h.Msg, h.ID, h.Sender, at(h.T), at(h.answer.T))
 		}
-		if !h.taken() {
+		if !h.accepted() {
 			continue
 		}
 		due, judged := d.due(h)
-		over, ended := h.over()
-		if lostAt, gone := d.lostAfter(h.Sender, h.T); gone && (!ended || over > lostAt) && lostAt < due {
+		over, ended := h.endedAt()
+		if lostAt, gone := d.stateLostAfter(h.Sender, h.T); gone && (!ended || over > lostAt) && lostAt < due {
 			continue
 		}
 		if (!judged || d.end < due) && !ended {
-			continue // the day was over before
+			continue // the day ended before the message was due
 		}
 		t.tried++
 		switch {
@@ -58,13 +58,13 @@
 	return t
 }
 
-// due is when a message counts as lost: its time and the graces, or a little after its sender is back from
-// a restart. judged is false if the sender never came back.
-func (d *day) due(h *hand) (due int64, judged bool) {
+// due returns when a message counts as lost: after its deadline and the graces or, if its sender is being restarted then, after the
+// ready grace of the next process. judged is false if the sender never became ready again.
+func (d *day) due(h *submission) (due int64, judged bool) {
 	due = h.T + ms(h.Deadline+d.figures.AnswerGrace+d.figures.Grace)
 	all := d.senders[h.Sender]
 	for i, p := range all {
-		gone := p.gone()
+		gone := p.endingSince()
 		if gone == 0 || due < gone || p.start > due {
 			continue
 		}
@@ -76,17 +76,17 @@
 	return due, true
 }
 
-// lostAfter is when a sender's folder was first lost after a time.
-func (d *day) lostAfter(sender string, t int64) (int64, bool) {
+// stateLostAfter returns when a sender's state folder was first lost at or after a time.
+func (d *day) stateLostAfter(sender string, t int64) (int64, bool) {
 	for _, p := range d.senders[sender] {
-		if p.lost && p.kill >= t {
+		if p.stateLost && p.kill >= t {
 			return p.kill, true
 		}
 	}
 	return 0, false
 }
 
-// endedWithin is whether a process of the sender was killed or ended in a span.
+// endedWithin reports whether a process of the sender was killed or ended in a time span.
 func (d *day) endedWithin(sender string, from, to int64) bool {
 	for _, p := range d.senders[sender] {
 		for _, t := range []int64{p.kill, p.end} {
@@ -98,9 +98,9 @@
 	return false
 }
 
-// twice is rule 2: what may have run is sent again only as its class allows, and one that may not be
-// repeated is handed back only if it surely never ran.
-func twice(d *day) tally {
+// checkRepeats is rule 2: a message that may have run is sent again only as its class allows, and a message that must not be repeated is
+// handed back only if it certainly never ran.
+func checkRepeats(d *day) tally {
 	var t tally
 	for _, e := range d.unknown {
 		if e.State != "" {
@@ -109,20 +109,20 @@
 		}
 		t.breaks("%s got a call at %s with the message %q, which nobody handed in for it", e.Endpoint, at(e.T), e.ID)
 	}
-	for _, h := range d.hands {
+	for _, h := range d.submissions {
 		class := d.figures.Classes[h.Class]
-		if class.Effect == "safe" || h.void() {
+		if class.Effect == "safe" || h.unanswered() {
 			continue
 		}
 		for _, c := range h.calls {
-			if !c.served() && !c.never() {
+			if !c.served() && !c.notExecuted() {
 				t.tried++
 				break
 			}
 		}
 		for i, c := range h.calls {
 			for _, before := range h.calls[:i] {
-				if !before.doubtAt(c.T) {
+				if !before.mayHaveRunAt(c.T) {
 					continue
 				}
 				if class.Effect == "unsafe" {
@@ -140,15 +140,15 @@
 		if class.Effect != "unsafe" {
 			continue
 		}
-		refused := h.notices
+		handBacks := h.notices
 		if h.answer.Status == 429 || h.answer.Status == 503 {
-			refused = append([]eventlog.Event{{T: h.answer.T, Outcome: "handed_back"}}, refused...)
+			handBacks = append([]eventlog.Event{{T: h.answer.T, Outcome: "handed_back"}}, handBacks...)
 		}
-		for _, n := range refused {
+		for _, n := range handBacks {
 			if n.Outcome != "handed_back" {
 				continue
 			}
-			if i := slices.IndexFunc(h.calls, func(c *call) bool { return c.doubtAt(n.T) }); i >= 0 {
+			if i := slices.IndexFunc(h.calls, func(c *call) bool { return c.mayHaveRunAt(n.T) }); i >= 0 {
 				t.breaks("message %s (%s, %s) was sent to %s at %s and may have run; it was handed back at %s", h.Msg, h.ID, h.Class,
 					h.calls[i].Endpoint, at(h.calls[i].T), at(n.T))
 				break
@@ -158,20 +158,20 @@
 	return t
 }
 
-// checkDraining is rule 3: nothing new to an endpoint once the sender has been told, after the grace. A send counts
-// from its first byte.
+// checkDraining is rule 3: after the grace, a sender starts no call to an endpoint that its list shows as draining or deleted. A call
+// starts with its first byte.
 func checkDraining(d *day) tally {
 	var t tally
-	type place struct{ sender, endpoint string }
-	// since is when a sender was told that an endpoint drains or is gone, until it is told that it serves.
+	type route struct{ sender, endpoint string }
+	// span lasts from the list that shows an endpoint as draining or deleted to the list that shows it as serving again.
 	type span struct {
 		dest     int
 		from, to int64
 	}
-	spans := map[place][]span{}
-	var places []place
+	spans := map[route][]span{}
+	var routes []route
 	for _, e := range d.listSent {
-		p := place{e.Sender, e.Endpoint}
+		p := route{e.Sender, e.Endpoint}
 		all := spans[p]
 		open := len(all) > 0 && all[len(all)-1].to == math.MaxInt64
 		switch {
@@ -179,35 +179,35 @@
 			all[len(all)-1].to = e.T
 		case e.State != "SERVING" && !open:
 			if all == nil {
-				places = append(places, p)
+				routes = append(routes, p)
 			}
 			spans[p] = append(all, span{e.Dest, e.T, math.MaxInt64})
 		}
 	}
 	grace := ms(d.figures.DrainGrace + d.figures.Grace)
-	calls, dests := map[place][]*call{}, map[place][]*call{}
-	key := func(sender string, dest int) place { return place{sender, fmt.Sprint(dest)} }
+	calls, dests := map[route][]*call{}, map[route][]*call{}
+	key := func(sender string, dest int) route { return route{sender, fmt.Sprint(dest)} }
 	for _, c := range d.calls {
-		p := place{c.Sender, c.Endpoint}
+		p := route{c.Sender, c.Endpoint}
 		calls[p] = append(calls[p], c)
 		dests[key(c.Sender, c.Dest)] = append(dests[key(c.Sender, c.Dest)], c)
 	}
-	took := map[place][]*hand{}
-	for _, h := range d.hands {
-		if h.taken() {
-			took[key(h.Sender, h.Dest)] = append(took[key(h.Sender, h.Dest)], h)
+	accepted := map[route][]*submission{}
+	for _, h := range d.submissions {
+		if h.accepted() {
+			accepted[key(h.Sender, h.Dest)] = append(accepted[key(h.Sender, h.Dest)], h)
 		}
 	}
-	for _, p := range places {
+	for _, p := range routes {
 		for _, s := range spans[p] {
 			in := func(at int64) bool { return at > s.from+grace && at < s.to }
 			if slices.ContainsFunc(dests[key(p.sender, s.dest)], func(c *call) bool { return in(c.First) }) ||
-				slices.ContainsFunc(took[key(p.sender, s.dest)], func(h *hand) bool { return in(h.answer.T) }) {
+				slices.ContainsFunc(accepted[key(p.sender, s.dest)], func(h *submission) bool { return in(h.answer.T) }) {
 				t.tried++
 			}
 			for _, c := range calls[p] {
 				if in(c.First) {
-					t.breaks("%s was told at %s that %s drains or is gone, and sent %s (%s) there at %s", p.sender, at(s.from), p.endpoint, c.hand.Msg, c.ID, at(c.First))
+					t.breaks("%s was told at %s that %s drains or is gone, and sent %s (%s) there at %s", p.sender, at(s.from), p.endpoint, c.submission.Msg, c.ID, at(c.First))
 				}
 			}
 		}
@@ -215,12 +215,12 @@
 	return t
 }
 
-// knows is how long a sender must have held a message for a receiver that takes no connections to count as
-// having seen a call fail there: connections that are refused or never come up leave no trace here.
-const knows = 2_000_000 // microseconds
+// minHoldTime is how long a sender must have held a message for a receiver during an outage to count as having seen a call fail there:
+// connections that are refused or never established leave no trace in the log.
+const minHoldTime = 2_000_000 // microseconds
 
-// pushed is rule 4: after an outage a receiver gets no more than it bears, as far as senders knew of it.
-func pushed(d *day) tally {
+// checkRecovery is rule 4: after an outage a receiver gets no more load than its slow start allows, as far as senders knew of the outage.
+func checkRecovery(d *day) tally {
 	var t tally
 	byDest := map[int][]*call{}
 	for _, c := range d.calls {
@@ -239,7 +239,7 @@
 				break
 			}
 		}
-		t.add(d.returned(e, began[e.Dest], until, byDest[e.Dest]))
+		t.add(d.judgeRecovery(e, began[e.Dest], until, byDest[e.Dest]))
 	}
 	return t
 }
@@ -252,40 +252,40 @@
 	t.broken += more.broken
 }
 
-// returned judges one return: an outage that began at on ended with the event off.
-func (d *day) returned(off eventlog.Event, on, until int64, calls []*call) tally {
+// judgeRecovery judges the recovery from one outage, which began at on and ended with the event off.
+func (d *day) judgeRecovery(off eventlog.Event, on, until int64, calls []*call) tally {
 	var t tally
-	type who struct {
+	type runKey struct {
 		sender string
 		run    int
 	}
-	knew := map[who]bool{}
+	sawFailure := map[runKey]bool{}
 	for _, c := range calls {
-		// A call that the sender gave up tells it as much as one that failed.
+		// A call that the sender gave up also counts as a failure that it saw.
 		if c.done && c.end.T >= on && c.end.T <= off.T && !(c.served() && c.end.Detail == "") {
-			knew[who{c.Sender, d.runAt(c.Sender, c.end.T)}] = true
+			sawFailure[runKey{c.Sender, d.runAt(c.Sender, c.end.T)}] = true
 		}
 	}
-	for _, h := range d.hands {
-		if h.Dest != off.Dest || !h.taken() {
+	for _, h := range d.submissions {
+		if h.Dest != off.Dest || !h.accepted() {
 			continue
 		}
 		to := off.T
-		if over, ok := h.over(); ok {
+		if over, ok := h.endedAt(); ok {
 			to = min(to, over)
 		}
-		if from := max(on, h.answer.T); to-from >= knows && d.runAt(h.Sender, from) == d.runAt(h.Sender, to) {
-			knew[who{h.Sender, d.runAt(h.Sender, from)}] = true
+		if from := max(on, h.answer.T); to-from >= minHoldTime && d.runAt(h.Sender, from) == d.runAt(h.Sender, to) {
+			sawFailure[runKey{h.Sender, d.runAt(h.Sender, from)}] = true
 		}
 	}
 	span := ms(d.figures.FallSpan)
 	var recent []*call
 	broken := false
 	for _, c := range calls {
-		if c.T <= off.T || c.T >= until || c.With != 0 { // a call with several messages is one
+		if c.T <= off.T || c.T >= until || c.With != 0 { // a call with several messages counts once
 			continue
 		}
-		if knew[who{c.Sender, c.run}] {
+		if sawFailure[runKey{c.Sender, c.run}] {
 			t.tried = 1
 		}
 		recent = append(recent, c)
@@ -297,16 +297,16 @@
 		if float64(len(recent)) <= budget+max(4, math.Sqrt(budget)) || broken {
 			continue
 		}
-		from := 0
+		informed := 0
 		for _, r := range recent {
-			if knew[who{r.Sender, r.run}] {
-				from++
+			if sawFailure[runKey{r.Sender, r.run}] {
+				informed++
 			}
 		}
-		if 3*from >= 2*len(recent) {
+		if 3*informed >= 2*len(recent) {
 			broken = true
 			t.breaks("receiver %s came back at %s; in the %.1f s before %s it got %d calls and bears %.1f, %d of them from senders that had seen calls fail there (last %s, %s, by %s)",
-				d.receiver(off.Dest), at(off.T), float64(d.figures.FallSpan)/1000, at(c.T), len(recent), budget+max(4, math.Sqrt(budget)), from, c.hand.Msg, c.ID, c.Sender)
+				d.receiver(off.Dest), at(off.T), float64(d.figures.FallSpan)/1000, at(c.T), len(recent), budget+max(4, math.Sqrt(budget)), informed, c.submission.Msg, c.ID, c.Sender)
 		}
 	}
 	return t
@@ -319,19 +319,19 @@
 	return fmt.Sprint(dest)
 }
 
-// order is rule 5: the messages of a key go singly and in the sequence in which their sender took them on.
-// What is surely known of that sequence is judged: one was answered before the other was handed in.
-func order(d *day) tally {
+// checkOrder is rule 5: the messages of an order key are sent one at a time and in the order in which their sender accepted them. The
+// order is judged only where it is certain: one message was answered before the other was handed in.
+func checkOrder(d *day) tally {
 	var t tally
 	type key struct {
 		sender string
 		run    int
 		order  string
 	}
-	groups := map[key][]*hand{}
+	groups := map[key][]*submission{}
 	var keys []key
-	for _, h := range d.hands {
-		if h.Order == "" || !h.taken() || !d.figures.Classes[h.Class].Ordered {
+	for _, h := range d.submissions {
+		if h.Order == "" || !h.accepted() || !d.figures.Classes[h.Class].Ordered {
 			continue
 		}
 		k := key{h.Sender, d.runAt(h.Sender, h.answer.T), h.Order}
@@ -342,24 +342,25 @@
 	}
 	for _, k := range keys {
 		g := groups[k]
-		slices.SortStableFunc(g, func(a, b *hand) int { return cmp.Compare(a.T, b.T) })
+		slices.SortStableFunc(g, func(a, b *submission) int { return cmp.Compare(a.T, b.T) })
 		for i, b := range g {
 			for _, a := range g[:i] {
-				d.inTurn(&t, a, b, a.answer.T < b.T)
+				d.judgePair(&t, a, b, a.answer.T < b.T)
 			}
 		}
 	}
 	return t
 }
 
-// inTurn judges two messages of a key; sure says that a was taken on before b.
-func (d *day) inTurn(t *tally, a, b *hand, sure bool) {
-	if over, ok := a.over(); sure && (!ok || over > b.answer.T) {
+// judgePair judges two messages of a key; sure means that a was certainly accepted before b.
+func (d *day) judgePair(t *tally, a, b *submission, sure bool) {
+	if over, ok := a.endedAt(); sure && (!ok || over > b.answer.T) {
 		t.tried++
 	}
 	for _, c := range b.calls {
 		for _, e := range a.calls {
-			// Singly: no call of one while a call of the other is out, and a rest after one that may still run.
+			// One at a time: no call of one message while a call of the other is in flight, nor within the rest time after a call that may
+			// still run.
 			if e.T <= c.T && (!e.done || e.end.T > c.T) {
 				t.breaks("messages %s and %s of the key %s were both out: the first at %s to %s, the second at %s to %s", a.Msg, b.Msg, a.Order, at(e.T), e.Endpoint, at(c.T), c.Endpoint)
 				return
@@ -368,8 +369,8 @@
 				t.breaks("messages %s and %s of the key %s were both out: the first at %s to %s, the second at %s to %s", b.Msg, a.Msg, a.Order, at(c.T), c.Endpoint, at(e.T), e.Endpoint)
 				return
 			}
-			// The rest begins when the sender ends the call, and what is seen here is its connection's end, a little
-			// later: the grace is taken off.
+			// The rest time begins when the sender ends the call. The log has the end of its connection, which is slightly later, so the
+			// grace is subtracted.
 			if e.T <= c.T && e.end.Detail != "" && !e.served() && c.T < e.end.T+ms(d.figures.OrderRest-d.figures.Grace) {
 				t.breaks("message %s of the key %s was sent at %s, %.3f s after a call of %s that may still run ended; it must rest for %.3f s", b.Msg, a.Order, at(c.T),
 					float64(c.T-e.end.T)/1e6, a.Msg, float64(d.figures.OrderRest)/1000)
@@ -380,43 +381,43 @@
 				return
 			}
 		}
-		// Never sent, or given up long after the later one went out.
-		if len(a.notices) > 0 && sure && a.notices[0].T > c.T+noticeLate {
+		// The earlier message ended by a notice long after the later one was sent.
+		if len(a.notices) > 0 && sure && a.notices[0].T > c.T+maxNoticeDelay {
 			t.breaks("message %s of the key %s was sent at %s; %s, taken on before it, was %s only at %s", b.Msg, a.Order, at(c.T), a.Msg, a.notices[0].Outcome, at(a.notices[0].T))
 			return
 		}
 	}
 }
 
-// noticeLate is how long a notice may be on its way; microseconds.
-const noticeLate = 1_000_000
+// maxNoticeDelay is how long a notice may take to arrive; microseconds.
+const maxNoticeDelay = 1_000_000
 
-// waits is rule 6: a sender that was told to wait sends nothing to that receiver until the wait is over.
-// Calls that come right after the answer was written are let through, and a restart ends a wait.
-func waits(d *day) tally {
+// checkWaits is rule 6: a sender that got a 429 with a wait sends nothing to that receiver until the wait is over. Calls that arrive
+// within WaitLetIn of the answer are allowed, and a restart of the sender ends a wait.
+func checkWaits(d *day) tally {
 	var t tally
-	type place struct {
+	type route struct {
 		sender string
 		run    int
 		dest   int
 	}
-	calls := map[place][]*call{}
+	calls := map[route][]*call{}
 	for _, c := range d.calls {
-		p := place{c.Sender, c.run, c.Dest}
+		p := route{c.Sender, c.run, c.Dest}
 		calls[p] = append(calls[p], c)
 	}
-	for _, told := range d.calls {
-		if !told.done || told.end.Status != 429 || told.end.WaitMS <= d.figures.WaitLetIn {
+	for _, limited := range d.calls {
+		if !limited.done || limited.end.Status != 429 || limited.end.WaitMS <= d.figures.WaitLetIn {
 			continue
 		}
-		from, to := told.end.T+ms(d.figures.WaitLetIn), told.end.T+ms(told.end.WaitMS)
-		run := d.runAt(told.Sender, told.end.T)
-		if d.runAt(told.Sender, to) == run {
-			t.tried++ // its message, at the least, was there to be sent
+		from, to := limited.end.T+ms(d.figures.WaitLetIn), limited.end.T+ms(limited.end.WaitMS)
+		run := d.runAt(limited.Sender, limited.end.T)
+		if d.runAt(limited.Sender, to) == run {
+			t.tried++ // at least the refused message could have been sent
 		}
-		for _, c := range calls[place{told.Sender, run, told.Dest}] {
+		for _, c := range calls[route{limited.Sender, run, limited.Dest}] {
 			if c.T > from && c.T < to {
-				t.breaks("%s told %s at %s to wait %d ms; message %s (%s) came at %s", d.receiver(told.Dest), told.Sender, at(told.end.T), told.end.WaitMS, c.hand.Msg, c.ID, at(c.T))
+				t.breaks("%s told %s at %s to wait %d ms; message %s (%s) came at %s", d.receiver(limited.Dest), limited.Sender, at(limited.end.T), limited.end.WaitMS, c.submission.Msg, c.ID, at(c.T))
 				break
 			}
 		}
--- a/internal/faulttest/links/links.go
+++ b/internal/faulttest/links/links.go
@@ -1,10 +1,10 @@
-// Package links is what lies between the processes of a fleet, and what goes wrong there: for each directed pair of senders a
-// proxy on loopback, through which the one reaches the other, and faults that a plan puts on it.
+// Package links simulates the network between the processes of a fleet and its faults: for each directed pair of senders a proxy on
+// loopback, through which one sender reaches the other, and faults that a plan sets on it.
 //
-// A condition belongs to a direction of travel, not to who dialled: what b answers on a connection from a travels from b to a.
-// So a cut of a to b alone lets b's words through, and none of a's. On a real network TCP would stall there both ways once
-// acknowledgements are missing; here the half that works goes on, which is the harder case for a protocol. What is cut is held,
-// not lost, as TCP would send it again: after the heal it comes late, and in order.
+// A condition belongs to the direction in which data travels, not to the side that dialled: what b answers on a connection from a
+// travels from b to a. So a cut of a to b alone lets b's data through and none of a's. On a real network TCP would stall in both
+// directions once acknowledgements are missing; here the direction that works continues, which is the harder case for a protocol. Data
+// on a cut direction is held back, not dropped, as TCP would send it again: after the heal it arrives late and in order.
 package links
 
 import (
@@ -19,27 +19,27 @@
 )
 
 const (
-	chunk   = 16 << 10 // bytes that are passed on at a time
-	waiting = 64       // chunks under way on one connection: beyond that its sender feels the delay
+	chunk            = 16 << 10 // bytes that are forwarded at a time
+	maxQueuedParcels = 64       // chunks in flight in one direction of a connection; beyond that reading stops, which slows down the sender
 )
 
-// Condition is how a direction is. The zero one is a sound link.
+// Condition is the state of one direction. The zero value is a healthy link.
 type Condition struct {
-	Blocked bool          // nothing passes, and nobody is told
-	Refuse  bool          // new connections are refused; the others go on
+	Blocked bool          // no data passes, and neither side gets an error
+	Refuse  bool          // new connections are refused; existing ones stay up
 	Delay   time.Duration // of each chunk
-	Jitter  time.Duration // up to so much more, drawn for each chunk; the order stays
-	Rate    int           // bytes a second at most; 0: any number
-	// Of datagrams: the shares that are lost, come twice, or are overtaken by those behind them.
+	Jitter  time.Duration // maximum of an additional delay, drawn for each chunk; the order is kept
+	Rate    int           // maximum bytes per second; 0: no limit
+	// Shares of datagrams that are lost, delivered twice, or overtaken by later ones.
 	Loss, Repeat, Reorder float64
 
-	Freeze int // over 0: so many bytes more pass on each connection, then nothing, in the middle of a frame as likely as not
+	Freeze int // if over 0, this many more bytes pass on each connection, then none; the cut may fall inside a frame
 }
 
-// healthy is whether nothing is wrong.
+// healthy reports whether the condition has no fault.
 func (c Condition) healthy() bool { return c == Condition{} }
 
-// String returns what is wrong, as event logs tell it; "heal" if nothing is.
+// String returns the faults as event logs show them; "heal" if there are none.
 func (c Condition) String() string {
 	if c.healthy() {
 		return "heal"
@@ -61,7 +61,7 @@
 	return text
 }
 
-// Net is all links of a fleet. One seed gives the same draws on each link, whatever the others do.
+// Net is the set of all links of a fleet. The same seed gives the same random draws on each link, whatever the other links do.
 type Net struct {
 	seed   uint64
 	record func(from, to, what string)
@@ -69,56 +69,56 @@
 	stop   context.CancelFunc
 	done   sync.WaitGroup
 
-	mu      sync.Mutex
-	ways    map[pair]*way
-	links   []*link
-	closers []func() // of links for datagrams
+	mu         sync.Mutex
+	directions map[pair]*direction
+	links      []*link
+	closers    []func() // of links for datagrams
 }
 
 type pair struct{ from, to string }
 
-// New makes a net without links. note is told of each fault, and of each heal, before it takes hold; it may be nil.
+// New returns a net without links. note is called with each fault and each heal before it takes effect; note may be nil.
 func New(seed uint64, note func(from, to, what string)) *Net {
 	if note == nil {
 		note = func(string, string, string) {}
 	}
-	n := &Net{seed: seed, record: note, ways: map[pair]*way{}}
+	n := &Net{seed: seed, record: note, directions: map[pair]*direction{}}
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	return n
 }
 
-// way is one direction between two names.
-type way struct {
-	mu      sync.Mutex
-	is      Condition
-	turn    int           // of the condition: a freeze counts its bytes from its begin
-	changed chan struct{} // closed with each change
+// direction is one direction between two names.
+type direction struct {
+	mu         sync.Mutex
+	condition  Condition
+	generation int           // number of changes of the condition; a freeze counts its bytes from the last one
+	changed    chan struct{} // closed with each change
 }
 
-func (w *way) now() (Condition, int, chan struct{}) {
+func (w *direction) current() (Condition, int, chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.is, w.turn, w.changed
+	return w.condition, w.generation, w.changed
 }
 
-func (n *Net) way(from, to string) *way {
+func (n *Net) direction(from, to string) *direction {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	w := n.ways[pair{from, to}]
+	w := n.directions[pair{from, to}]
 	if w == nil {
-		w = &way{changed: make(chan struct{})}
-		n.ways[pair{from, to}] = w
+		w = &direction{changed: make(chan struct{})}
+		n.directions[pair{from, to}] = w
 	}
 	return w
 }
 
-// Set puts a direction into a condition, in place of what it was in.
+// Set replaces the condition of a direction.
 func (n *Net) Set(from, to string, c Condition) {
 	n.record(from, to, c.String())
-	w := n.way(from, to)
+	w := n.direction(from, to)
 	w.mu.Lock()
-	w.is = c
-	w.turn++
+	w.condition = c
+	w.generation++
 	close(w.changed)
 	w.changed = make(chan struct{})
 	w.mu.Unlock()
@@ -132,13 +132,13 @@
 	}
 }
 
-// Both puts both directions between two names into a condition.
+// Both sets the condition of both directions between two names.
 func (n *Net) Both(a, b string, c Condition) {
 	n.Set(a, b, c)
 	n.Set(b, a, c)
 }
 
-// Reset breaks all connections that from has to the other.
+// Reset resets all connections that from has opened to the other.
 func (n *Net) Reset(from, to string) {
 	n.record(from, to, "reset")
 	n.mu.Lock()
@@ -150,23 +150,23 @@
 	}
 }
 
-// Heal makes all directions sound.
+// Heal ends the faults of all directions.
 func (n *Net) Heal() {
 	n.mu.Lock()
-	var ill []pair
-	for p, w := range n.ways {
-		if c, _, _ := w.now(); !c.healthy() {
-			ill = append(ill, p)
+	var unhealthy []pair
+	for p, w := range n.directions {
+		if c, _, _ := w.current(); !c.healthy() {
+			unhealthy = append(unhealthy, p)
 		}
 	}
 	n.mu.Unlock()
-	slices.SortFunc(ill, func(a, b pair) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to)) })
-	for _, p := range ill {
+	slices.SortFunc(unhealthy, func(a, b pair) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to)) })
+	for _, p := range unhealthy {
 		n.Set(p.from, p.to, Condition{})
 	}
 }
 
-// Link opens the way by which from reaches the other at target, and gives the address to dial in target's place.
+// Link opens a link by which from reaches the other at target, and returns the address to dial instead of target.
 func (n *Net) Link(from, to, target string) (string, error) {
 	first, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -202,7 +202,7 @@
 	n.done.Wait()
 }
 
-// link is one proxy.
+// link is the TCP proxy of a directed pair.
 type link struct {
 	pair
 	target, addr string
@@ -214,7 +214,7 @@
 	count    uint64
 }
 
-// listen opens or closes the door for new connections.
+// listen starts or stops accepting new connections.
 func (l *link) listen(open bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -226,12 +226,12 @@
 		l.listener = nil
 		return
 	}
-	again, err := net.Listen("tcp", l.addr)
-	if err != nil { // the port is the link's own: nothing else is given it while connections on it live; tell, don't hide
+	reopened, err := net.Listen("tcp", l.addr)
+	if err != nil { // the system assigns the port to nothing else while connections use it; record a failure all the same
 		l.net.record(l.from, l.to, "fault of the kit: "+err.Error())
 		return
 	}
-	l.accept(again)
+	l.accept(reopened)
 }
 
 func (l *link) serve(first net.Listener) {
@@ -257,17 +257,17 @@
 			l.net.done.Add(1)
 			go func() {
 				defer l.net.done.Done()
-				l.carry(c, n)
+				l.forward(c, n)
 			}()
 		}
 	}()
 }
 
-// reset breaks the connections that are up, so that both ends see it.
+// reset resets the open connections, so that both ends see a reset.
 func (l *link) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for c := range l.conns { // all of them before the first: the end of one ends the other
+	for c := range l.conns { // on all before the first is closed: closing one end makes forward close the other
 		c.(*net.TCPConn).SetLinger(0)
 	}
 	for c := range l.conns {
@@ -275,25 +275,26 @@
 	}
 }
 
-func (l *link) keep(c net.Conn, is bool) {
+func (l *link) track(c net.Conn, open bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if is {
+	if open {
 		l.conns[c] = struct{}{}
 	} else {
 		delete(l.conns, c)
 	}
 }
 
-// carry passes on what goes over one connection. It dials when the way there is open: a cut way swallows the attempt.
-func (l *link) carry(a net.Conn, n uint64) {
+// forward forwards the data of one connection. It dials only when the direction there is not blocked: a blocked direction leaves a
+// connection attempt without an answer.
+func (l *link) forward(a net.Conn, n uint64) {
 	defer a.Close()
-	l.keep(a, true)
-	defer l.keep(a, false)
-	forth, back := l.net.way(l.from, l.to), l.net.way(l.to, l.from)
+	l.track(a, true)
+	defer l.track(a, false)
+	forth, back := l.net.direction(l.from, l.to), l.net.direction(l.to, l.from)
 	ctx, stop := context.WithCancel(l.net.ctx)
 	defer stop()
-	if !forth.open(ctx) {
+	if !forth.waitUnblocked(ctx) {
 		return
 	}
 	var d net.Dialer
@@ -303,19 +304,19 @@
 		return
 	}
 	defer b.Close()
-	l.keep(b, true)
-	defer l.keep(b, false)
+	l.track(b, true)
+	defer l.track(b, false)
 	defer context.AfterFunc(ctx, func() { a.Close(); b.Close() })()
-	draw := func(dir uint64) *rand.Rand { return l.net.draws(l.from, l.to, n<<1|dir) }
+	newRand := func(dir uint64) *rand.Rand { return l.net.newRand(l.from, l.to, n<<1|dir) }
 	var both sync.WaitGroup
 	both.Add(2)
-	go func() { defer both.Done(); defer stop(); pump(ctx, a, b, forth, draw(0)) }()
-	go func() { defer both.Done(); defer stop(); pump(ctx, b, a, back, draw(1)) }()
+	go func() { defer both.Done(); defer stop(); pump(ctx, a, b, forth, newRand(0)) }()
+	go func() { defer both.Done(); defer stop(); pump(ctx, b, a, back, newRand(1)) }()
 	both.Wait()
 }
 
-// draws is a stream of a link's own.
-func (n *Net) draws(from, to string, stream uint64) *rand.Rand {
+// newRand returns the random source of one stream of a link.
+func (n *Net) newRand(from, to string, stream uint64) *rand.Rand {
 	h := n.seed
 	for _, r := range from + ">" + to {
 		h = (h ^ uint64(r)) * 1099511628211
@@ -323,10 +324,10 @@
 	return rand.New(rand.NewPCG(h, stream))
 }
 
-// open waits until the way is not cut.
-func (w *way) open(ctx context.Context) bool {
+// waitUnblocked waits until the direction is not blocked; false if ctx ended first.
+func (w *direction) waitUnblocked(ctx context.Context) bool {
 	for {
-		c, _, changed := w.now()
+		c, _, changed := w.current()
 		if !c.Blocked {
 			return true
 		}
@@ -343,24 +344,24 @@
 	due   time.Time
 }
 
-// pump passes bytes on, one way, as the condition lets it.
-func pump(ctx context.Context, from, to net.Conn, w *way, rng *rand.Rand) {
+// pump forwards bytes in one direction as its condition allows.
+func pump(ctx context.Context, from, to net.Conn, w *direction, rng *rand.Rand) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	parcels := make(chan parcel, waiting)
+	parcels := make(chan parcel, maxQueuedParcels)
 	go func() {
 		defer close(parcels)
 		readParcels(ctx, from, w, rng, parcels)
 	}()
-	passed, turn := 0, -1 // since the present condition began
+	passed, generation := 0, -1 // bytes passed since the condition last changed
 	for p := range parcels {
 		if !sleep(ctx, time.Until(p.due)) {
 			return
 		}
 		for len(p.bytes) > 0 {
-			c, t, changed := w.now()
-			if t != turn {
-				turn, passed = t, 0
+			c, t, changed := w.current()
+			if t != generation {
+				generation, passed = t, 0
 			}
 			n := len(p.bytes)
 			if c.Freeze > 0 {
@@ -388,15 +389,15 @@
 	}
 }
 
-// readParcels reads chunks and gives each the time at which it is due, in the order in which they came. It returns when there is
-// nothing more to read, or ctx ends.
-func readParcels(ctx context.Context, from net.Conn, w *way, rng *rand.Rand, parcels chan<- parcel) {
+// readParcels reads chunks and sets the time at which each is due; the order of arrival is kept. It returns when there is nothing more
+// to read, or ctx ends.
+func readParcels(ctx context.Context, from net.Conn, w *direction, rng *rand.Rand, parcels chan<- parcel) {
 	var last time.Time
 	for {
 		b := make([]byte, chunk)
 		n, err := from.Read(b)
 		if n > 0 {
-			c, _, _ := w.now()
+			c, _, _ := w.current()
 			due := time.Now().Add(c.Delay)
 			if c.Jitter > 0 {
 				due = due.Add(time.Duration(rng.Int64N(int64(c.Jitter))))
--- a/internal/faulttest/links/links_test.go
+++ b/internal/faulttest/links/links_test.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	patience = 20 * time.Second
-	noData   = 100 * time.Millisecond // a word that has not come by then is held up; what is cut never comes, however long
+	timeout       = 20 * time.Second
+	silenceWindow = 100 * time.Millisecond // data that has not arrived by then counts as blocked; blocked data never arrives, however long the wait
 )
 
-// echo answers each byte with itself, at an address.
+// echo starts a server that returns each byte, and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,27 +35,27 @@
 	return l.Addr().String()
 }
 
-type notes struct {
+type recorder struct {
 	sync.Mutex
 	all []string
 }
 
-func (n *notes) add(from, to, what string) {
+func (n *recorder) record(from, to, what string) {
 	n.Lock()
 	defer n.Unlock()
 	n.all = append(n.all, from+">"+to+" "+what)
 }
 
-func linked(t *testing.T) (*Net, string, *notes) {
+func linked(t *testing.T) (*Net, string, *recorder) {
 	t.Helper()
-	var told notes
-	n := New(1, told.add)
+	var recorded recorder
+	n := New(1, recorded.record)
 	t.Cleanup(n.Close)
 	addr, err := n.Link("a", "b", echo(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return n, addr, &told
+	return n, addr, &recorded
 }
 
 func dial(t *testing.T, addr string) net.Conn {
@@ -68,38 +68,38 @@
 	return c
 }
 
-func say(t *testing.T, c net.Conn, text string) {
+func send(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func hear(t *testing.T, c net.Conn, want string) {
+func expect(t *testing.T, c net.Conn, want string) {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(timeout))
 	b := make([]byte, len(want))
 	if n, err := io.ReadFull(c, b); err != nil || string(b) != want {
-		t.Fatalf("%q came, %q was wanted: %v", b[:n], want, err)
+		t.Fatalf("got %q, want %q: %v", b[:n], want, err)
 	}
 }
 
-// quiet is that no byte comes while a condition lasts.
-func quiet(t *testing.T, c net.Conn) {
+// expectNothing checks that no byte arrives within silenceWindow.
+func expectNothing(t *testing.T, c net.Conn) {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(noData))
+	c.SetReadDeadline(time.Now().Add(silenceWindow))
 	var b [1]byte
 	if n, err := c.Read(b[:]); n > 0 || errors.Is(err, io.EOF) {
-		t.Fatalf("%d bytes came, %v", n, err)
+		t.Fatalf("got %d bytes (%v), want none", n, err)
 	}
 }
 
-// What is cut is held either way, and comes whole and in order when the way is healed.
+// Data on a blocked direction is held back, and arrives completely and in order after the heal.
 func TestNet_BlockedAndHealed(t *testing.T) {
 	for name, c := range map[string]struct {
 		from, to string
 		is       Condition
-		first    string // of "hello" comes all the same
+		first    string // the part of "hello" that arrives despite the condition
 	}{
 		"silent, there":             {"a", "b", Condition{Blocked: true}, ""},
 		"silent, back":              {"b", "a", Condition{Blocked: true}, ""},
@@ -110,49 +110,50 @@
 			t.Parallel()
 			n, addr, _ := linked(t)
 			conn := dial(t, addr)
-			say(t, conn, "x")
-			hear(t, conn, "x")
+			send(t, conn, "x")
+			expect(t, conn, "x")
 			n.Set(c.from, c.to, c.is)
-			say(t, conn, "hello")
-			hear(t, conn, c.first)
-			quiet(t, conn)
+			send(t, conn, "hello")
+			expect(t, conn, c.first)
+			expectNothing(t, conn)
 			n.Heal()
-			hear(t, conn, "hello"[len(c.first):])
+			expect(t, conn, "hello"[len(c.first):])
 		})
 	}
 }
 
-// A cut way swallows attempts to connect, a refusing one turns them away; what is up stays so. Both end with the heal.
+// A blocked direction leaves connection attempts without an answer, and a refusing one refuses them; existing connections stay up. A
+// heal ends both.
 func TestNewConnections(t *testing.T) {
-	n, addr, told := linked(t)
-	old := dial(t, addr)
-	say(t, old, "x")
-	hear(t, old, "x")
+	n, addr, recorded := linked(t)
+	existing := dial(t, addr)
+	send(t, existing, "x")
+	expect(t, existing, "x")
 	n.Set("a", "b", Condition{Refuse: true})
 	if c, err := net.Dial("tcp", addr); err == nil {
 		c.Close()
-		t.Fatal("a connection came up")
+		t.Fatal("a connection was accepted")
 	}
-	say(t, old, "still")
-	hear(t, old, "still")
+	send(t, existing, "still")
+	expect(t, existing, "still")
 	n.Set("a", "b", Condition{Blocked: true})
-	fresh := dial(t, addr) // by the kernel, as far as the proxy
-	say(t, fresh, "late")
-	quiet(t, fresh)
+	pending := dial(t, addr) // the kernel accepts it for the proxy, which has not dialled the target yet
+	send(t, pending, "late")
+	expectNothing(t, pending)
 	n.Heal()
-	hear(t, fresh, "late")
+	expect(t, pending, "late")
 	n.Reset("a", "b")
-	old.SetReadDeadline(time.Now().Add(patience))
-	if _, err := old.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
+	existing.SetReadDeadline(time.Now().Add(timeout))
+	if _, err := existing.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("after a reset: %v", err)
 	}
 	want := []string{"a>b refuse", "a>b cut", "a>b heal", "a>b reset"}
-	if !slices.Equal(told.all, want) {
-		t.Errorf("told %q", told.all)
+	if !slices.Equal(recorded.all, want) {
+		t.Errorf("recorded %q", recorded.all)
 	}
 }
 
-// Delay and trickle keep the order and lose nothing; neither is quicker than it says.
+// A delay and a rate limit keep the order and lose nothing, and take at least the time that they are set to.
 func TestSlow(t *testing.T) {
 	for name, c := range map[string]struct {
 		is    Condition
@@ -168,21 +169,21 @@
 			conn := dial(t, addr)
 			from := time.Now()
 			for _, w := range []string{"one", "two", "three"} {
-				say(t, conn, w)
+				send(t, conn, w)
 			}
-			hear(t, conn, "onetwothree")
+			expect(t, conn, "onetwothree")
 			if got := time.Since(from); got < c.least {
-				t.Errorf("it came after %v", got)
+				t.Errorf("the data already arrived after %v", got)
 			}
 		})
 	}
 }
 
-// Datagrams under each condition: how many of a hundred come, how often, and in order or not.
+// Tests under each condition how many datagrams arrive of a hundred, repeated ones included, and whether they arrive in order.
 func TestDatagrams(t *testing.T) {
 	for name, c := range map[string]struct {
 		is          Condition
-		least, most int // that come, of 100
+		least, most int // datagrams that arrive, of 100 sent
 		ordered     bool
 	}{
 		"sound":   {Condition{}, 100, 100, true},
@@ -216,12 +217,12 @@
 				time.Sleep(100 * time.Microsecond)
 			}
 			n.Set("a", "b", Condition{})
-			time.Sleep(4 * reorderTime) // what was overtaken has come
+			time.Sleep(4 * reorderDelay) // the delayed datagrams have arrived
 			conn.Write([]byte{200})
 			var got []byte
 			for {
 				b := make([]byte, 1)
-				at.SetReadDeadline(time.Now().Add(patience))
+				at.SetReadDeadline(time.Now().Add(timeout))
 				_, from, err := at.ReadFromUDP(b)
 				if err != nil {
 					t.Fatal(err)
@@ -233,9 +234,9 @@
 				got = append(got, b[0])
 			}
 			if len(got) < c.least || len(got) > c.most || slices.IsSorted(got) != c.ordered {
-				t.Errorf("%d came, in order %v", len(got), slices.IsSorted(got))
+				t.Errorf("%d datagrams arrived, in order %v", len(got), slices.IsSorted(got))
 			}
-			hear(t, conn, string([]byte{201})) // and an answer comes back
+			expect(t, conn, string([]byte{201})) // an answer reaches the sender
 		})
 	}
 }
--- a/internal/faulttest/links/udp.go
+++ b/internal/faulttest/links/udp.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Datagrams go over a link of their own. What is cut is lost, not held, as nobody sends it again; Loss, Repeat and Reorder
-// strike each by itself.
+// Datagrams go over a link of their own. A blocked direction drops them instead of holding them back, as nothing retransmits them. Loss,
+// Repeat and Reorder are drawn for each datagram.
 
 const (
 	maxDatagram  = 64 << 10
-	reorderTime  = 5 * time.Millisecond // one that is overtaken comes so much later
-	bindAttempts = 20                   // ports, until one is free for TCP and UDP
-	maxFlows     = 1024                 // sockets of senders that are told apart at once; further ones are not carried
+	reorderDelay = 5 * time.Millisecond // additional delay of a datagram that is overtaken
+	bindAttempts = 20                   // ports tried until one is free for both TCP and UDP
+	maxFlows     = 1024                 // source addresses with a socket each; datagrams from further ones are dropped
 )
 
-// LinkBoth opens the ways for connections and for datagrams at one address, as membership wants it.
+// LinkBoth opens links for connections and for datagrams at the same address, as membership requires.
 func (n *Net) LinkBoth(from, to, target string) (string, error) {
 	for try := 0; ; try++ {
 		in, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -26,7 +26,7 @@
 			return "", fmt.Errorf("link %s to %s: %w", from, to, err)
 		}
 		tcp, err := net.Listen("tcp", in.LocalAddr().String())
-		if err != nil { // another has the port for TCP
+		if err != nil { // the port is in use for TCP
 			in.Close()
 			if try < bindAttempts {
 				continue
@@ -41,8 +41,8 @@
 	}
 }
 
-// LinkUDP opens the way by which from's datagrams reach the other at target, and gives the address to send to in target's place.
-// What the other answers goes back the way it came.
+// LinkUDP opens a link by which from's datagrams reach the other at target, and returns the address to send to instead of target.
+// Answers go back to the address that the datagram came from.
 func (n *Net) LinkUDP(from, to, target string) (string, error) {
 	in, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -57,14 +57,14 @@
 		in.Close()
 		return "", fmt.Errorf("link %s to %s: %w", from, to, err)
 	}
-	l := &udpLink{net: n, in: in, to: dest, forth: n.way(from, to), back: n.way(to, from), flows: map[string]*net.UDPConn{}, rng: n.draws(from, to, 0)}
+	l := &udpLink{net: n, in: in, to: dest, forth: n.direction(from, to), back: n.direction(to, from), flows: map[string]*net.UDPConn{}, rng: n.newRand(from, to, 0)}
 	n.mu.Lock()
 	n.closers = append(n.closers, l.close)
 	n.mu.Unlock()
 	n.done.Add(1)
 	go func() {
 		defer n.done.Done()
-		l.carry()
+		l.forward()
 	}()
 	return in.LocalAddr().String(), nil
 }
@@ -73,26 +73,26 @@
 	net         *Net
 	in          *net.UDPConn
 	to          *net.UDPAddr
-	forth, back *way
+	forth, back *direction
 
-	mu    sync.Mutex
-	rng   *rand.Rand
-	flows map[string]*net.UDPConn // by where it came from
-	over  bool
+	mu     sync.Mutex
+	rng    *rand.Rand
+	flows  map[string]*net.UDPConn // by source address
+	closed bool
 }
 
 func (l *udpLink) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.over = true
+	l.closed = true
 	l.in.Close()
 	for _, f := range l.flows {
 		f.Close()
 	}
 }
 
-// carry passes on what comes, and what is answered.
-func (l *udpLink) carry() {
+// forward forwards the datagrams of all flows; each flow forwards its answers.
+func (l *udpLink) forward() {
 	b := make([]byte, maxDatagram)
 	for {
 		n, from, err := l.in.ReadFromUDP(b)
@@ -109,7 +109,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := from.String()
-	if f := l.flows[key]; f != nil || l.over || len(l.flows) >= maxFlows {
+	if f := l.flows[key]; f != nil || l.closed || len(l.flows) >= maxFlows {
 		return f
 	}
 	out, err := net.DialUDP("udp", nil, l.to)
@@ -123,8 +123,8 @@
 		b := make([]byte, maxDatagram)
 		for {
 			n, err := out.Read(b)
-			if err != nil { // nobody listens there: the next datagram may find somebody
-				if l.ended() {
+			if err != nil { // nothing listens at the target; it may listen by the next datagram
+				if l.isClosed() {
 					return
 				}
 				time.Sleep(time.Millisecond)
@@ -136,17 +136,17 @@
 	return out
 }
 
-func (l *udpLink) ended() bool {
+func (l *udpLink) isClosed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.over
+	return l.closed
 }
 
-// pass does to one datagram what the way's condition says.
-func (l *udpLink) pass(w *way, d []byte, send func([]byte)) {
-	c, _, _ := w.now()
+// pass applies the direction's condition to one datagram.
+func (l *udpLink) pass(w *direction, d []byte, send func([]byte)) {
+	c, _, _ := w.current()
 	l.mu.Lock()
-	lost, again, late := l.rng.Float64() < c.Loss, l.rng.Float64() < c.Repeat, l.rng.Float64() < c.Reorder
+	lost, repeated, reordered := l.rng.Float64() < c.Loss, l.rng.Float64() < c.Repeat, l.rng.Float64() < c.Reorder
 	jitter := time.Duration(0)
 	if c.Jitter > 0 {
 		jitter = time.Duration(l.rng.Int64N(int64(c.Jitter)))
@@ -156,11 +156,11 @@
 		return
 	}
 	delay := c.Delay + jitter
-	if late {
-		delay += reorderTime
+	if reordered {
+		delay += reorderDelay
 	}
 	deliver := func() { send(d) }
-	for range 1 + btoi(again) {
+	for range 1 + btoi(repeated) {
 		if delay == 0 {
 			deliver()
 		} else {
--- a/internal/faulttest/receiver/connection.go
+++ b/internal/faulttest/receiver/connection.go
@@ -19,10 +19,10 @@
 // conn is a connection from a sender.
 type conn struct {
 	*net.TCPConn
-	r       *bufio.Reader
-	e       *Endpoint
-	crowded bool
-	lastEnd time.Duration // of its last answer; 0 before the first
+	r         *bufio.Reader
+	e         *Endpoint
+	overLimit bool
+	lastEnd   time.Duration // when its last answer was written; 0 before the first
 }
 
 func (c *conn) reset() {
@@ -39,7 +39,7 @@
 		c.Close()
 	}()
 	for {
-		// The first byte of a request, or the end of the connection; also looked for while a call is served.
+		// Wait for the first byte of a request or the end of the connection, as request does while it serves a call.
 		begun := make(chan error, 1)
 		go func() {
 			_, err := c.r.Peek(1)
@@ -48,7 +48,7 @@
 		c.SetReadDeadline(time.Now().Add(s.spec.IdleClose))
 		if err := <-begun; err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) && s.unresponsive() {
-				continue // a machine that is gone closes nothing
+				continue // an unreachable machine closes no connection
 			}
 			return
 		}
@@ -61,7 +61,7 @@
 	}
 }
 
-// request serves the one whose first byte has come. another says that one more has begun.
+// request serves the request whose first byte has arrived. another reports that the next request has begun.
 func (c *conn) request() (another, ok bool) {
 	s := c.e.s
 	first := s.log.Now()
@@ -85,11 +85,11 @@
 	}()
 	outcome, pipelined, ok, nextErr := c.await(waiting, next)
 	if !ok {
-		s.ended(waiting.done, func(d *eventlog.Event) { d.Detail = eventlog.DetailClosedBySender })
+		s.logDone(waiting.done, func(d *eventlog.Event) { d.Detail = eventlog.DetailClosedBySender })
 		return false, false
 	}
 	if outcome.Dropped {
-		s.ended(waiting.done, func(d *eventlog.Event) { d.Detail = eventlog.DetailReset })
+		s.logDone(waiting.done, func(d *eventlog.Event) { d.Detail = eventlog.DetailReset })
 		c.reset()
 		return false, false
 	}
@@ -109,28 +109,28 @@
 	return nextErr == nil, nextErr == nil
 }
 
-// reuseAfter is how long a connection must have been idle to be closed by the fault close_idle.
-const reuseAfter = 30 * time.Millisecond
+// minIdleTime is how long a connection must have been idle for the fault close_idle to close it.
+const minIdleTime = 30 * time.Millisecond
 
-// closesNow draws whether a request that begins on an idle connection meets its end.
+// closesNow draws whether the fault close_idle closes an idle connection as a request begins on it.
 func (c *conn) closesNow(first time.Duration) bool {
 	s := c.e.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	condition := s.model.Condition()
-	return c.lastEnd > 0 && first-c.lastEnd > reuseAfter && s.rng.Float64() < condition.Closes &&
+	return c.lastEnd > 0 && first-c.lastEnd > minIdleTime && s.rng.Float64() < condition.Closes &&
 		!condition.Unreachable && !condition.Shut && !condition.Hung
 }
 
-// incoming is a request that was read: the messages that it carries.
+// incoming holds the messages of a request that was read.
 type incoming struct {
-	first   time.Duration // when its first byte came
+	first   time.Duration // when the request's first byte arrived
 	ids     []string
-	senders []string // whose the messages are
-	within  bool     // each is within its attempts
+	senders []string // the sender of each message
+	within  bool     // each message is within its allowed attempts
 }
 
-// read reads a request. One that is no call with messages that were handed in is answered 400; ok is false then.
+// read reads a request. If it is not a call with messages that were handed in, read answers 400 and ok is false.
 func (c *conn) read(first time.Duration) (in incoming, ok bool) {
 	s := c.e.s
 	c.SetReadDeadline(time.Now().Add(readTimeout))
@@ -162,14 +162,14 @@
 	return in, true
 }
 
-// arrived is a call that waits for its outcome, with the events that its end will be logged by, one for each message.
+// arrived is a call that waits for its outcome. done holds the events that log the end of the call, one for each message.
 type arrived struct {
 	call   *call
 	number int64
 	done   []eventlog.Event
 }
 
-// arrive logs the messages of a call and hands it to the model; ok is false if the endpoint is gone.
+// arrive logs the messages of a call and passes the call to the model; ok is false if the endpoint was removed.
 func (c *conn) arrive(in incoming) (waiting arrived, ok bool) {
 	e, s := c.e, c.e.s
 	count := int64(len(in.ids))
@@ -177,7 +177,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.log.Now()
-	for i, id := range in.ids { // one call with several messages has one fate
+	for i, id := range in.ids { // all messages of a call share its outcome
 		at := eventlog.Event{Kind: eventlog.Call, Dest: s.dest, Endpoint: e.ID, Sender: in.senders[i], ID: id, Call: waiting.number + int64(i), First: in.first.Microseconds()}
 		waiting.done[i] = eventlog.Event{Kind: eventlog.Done, Call: at.Call, ID: id, Dest: s.dest}
 		if i > 0 {
@@ -185,14 +185,14 @@
 		}
 		s.log.At(now, at)
 	}
-	if s.closed || e.gone {
+	if s.closed || e.removed {
 		return waiting, false
 	}
 	s.waiting[waiting.number] = waiting.call
 	switch {
 	case !in.within:
 		s.deliver([]Outcome{{Call: waiting.number, Status: http.StatusGatewayTimeout}})
-	case c.crowded:
+	case c.overLimit:
 		s.deliver([]Outcome{{Call: waiting.number, Status: http.StatusServiceUnavailable}})
 	default:
 		out, change := s.model.Arrive(now, e.number, waiting.number)
@@ -206,8 +206,8 @@
 	return waiting, true
 }
 
-// await waits for a call's outcome. A further request that begins meanwhile is pipelined; ok is false if the sender has closed
-// the connection instead. The call itself may run on then: the model keeps it.
+// await waits for a call's outcome. pipelined reports that another request began meanwhile; ok is false if the sender has closed the
+// connection instead. The model may still run the call then.
 func (c *conn) await(waiting arrived, next <-chan error) (outcome Outcome, pipelined, ok bool, nextErr error) {
 	s := c.e.s
 	select {
@@ -226,25 +226,25 @@
 
 var reasons = map[int]string{200: "OK", 202: "Accepted", 204: "No Content", 429: "Too Many Requests", 500: "Internal Server Error", 503: "Service Unavailable", 504: "Gateway Timeout"}
 
-// answer writes an outcome; false if the connection ends with it.
+// answer writes the answer for an outcome and reports whether the connection stays in use.
 func (c *conn) answer(done []eventlog.Event, o Outcome) bool {
 	s := c.e.s
 	wait := int64((o.Wait + time.Millisecond - 1) / time.Millisecond)
 	if o.Status == 200 && o.Exit == fault.Broken {
-		s.ended(done, func(d *eventlog.Event) { d.Detail = eventlog.DetailReset })
+		s.logDone(done, func(d *eventlog.Event) { d.Detail = eventlog.DetailReset })
 		c.reset()
 		return false
 	}
 	if o.Status == 200 && o.Exit == fault.Corrupt {
-		return c.spoil(done)
+		return c.writeCorrupt(done)
 	}
 	status := s.status(o.Status)
 	head := fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Length: 0\r\n", status, reasons[status])
-	if status == 204 { // it has no body, and says so by being one (RFC 9110, section 8.6)
+	if status == 204 { // a 204 has no body and must not have a Content-Length (RFC 9110, section 8.6)
 		head = "HTTP/1.1 204 No Content\r\n"
 	}
 	switch {
-	case o.Wait > 0 && s.spec.Format != encoding.Plain && s.spec.Format != "": // a web hook's word for it
+	case o.Wait > 0 && s.spec.Format != encoding.Plain && s.spec.Format != "": // web hooks use Retry-After
 		head += "Retry-After: " + strconv.FormatFloat(float64(wait)/1000, 'f', 3, 64) + "\r\n"
 	case o.Wait > 0:
 		head += "X-RateLimit-Wait-Ms: " + strconv.FormatInt(wait, 10) + "\r\n"
@@ -254,21 +254,21 @@
 		head += fmt.Sprintf("X-Load: x0=%.3f,x1=%.2f\r\n", left, limit)
 	}
 	s.mu.Unlock()
-	if c.crowded {
+	if c.overLimit {
 		head += "Connection: close\r\n"
 	}
-	s.ended(done, func(d *eventlog.Event) { d.Status, d.WaitMS = o.Status, wait })
+	s.logDone(done, func(d *eventlog.Event) { d.Status, d.WaitMS = o.Status, wait })
 	if _, err := io.WriteString(c, head+"\r\n"); err != nil {
 		return false
 	}
 	if o.Status == 200 {
-		s.delivered(done)
+		s.markDelivered(done)
 	}
-	return !c.crowded
+	return !c.overLimit
 }
 
-// spoil writes an answer that can't be read. The call has run; the connection stays open and is of no use.
-func (c *conn) spoil(done []eventlog.Event) bool {
+// writeCorrupt writes an answer that can't be read. The call has run; the connection stays open but serves no further requests.
+func (c *conn) writeCorrupt(done []eventlog.Event) bool {
 	s := c.e.s
 	s.mu.Lock()
 	which := s.rng.IntN(4)
@@ -277,18 +277,18 @@
 	switch which {
 	case 0:
 		text = "\x00\x17}{noise\xff\xfe\x01 of no meaning\r\n\r\n"
-	case 1: // half a head, then nothing
+	case 1: // an incomplete header, then nothing
 		text = "HTTP/1.1 503 Service Unavailable\r\nContent-Len"
-	case 2: // true, and far too long
+	case 2: // a valid header for a body that is far too long
 		status = 200
 		text = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"
 	case 3:
 		text = "HTTP/1.1 two hundred\r\nContent-Length: minus one\r\n\r\n"
 	}
-	s.ended(done, func(d *eventlog.Event) { d.Detail, d.Status = eventlog.DetailCorrupt, status })
+	s.logDone(done, func(d *eventlog.Event) { d.Detail, d.Status = eventlog.DetailCorrupt, status })
 	_, err := io.WriteString(c, text)
 	if status == 200 {
-		s.delivered(done)
+		s.markDelivered(done)
 	}
 	c.SetWriteDeadline(time.Now().Add(time.Second))
 	for sent, block := 0, make([]byte, 4096); which == 2 && err == nil && sent < maxCorruptAnswer; sent += len(block) {
--- a/internal/faulttest/receiver/endpoint.go
+++ b/internal/faulttest/receiver/endpoint.go
@@ -17,13 +17,13 @@
 	number   int
 	s        *Server
 
-	// Under the Server's lock.
-	listener *net.TCPListener
-	conns    map[*conn]bool
-	mode     string        // open, vanished, shut
-	resume   chan struct{} // closed when a vanished endpoint takes connections again
-	plugs    []net.Conn
-	gone     bool
+	// Guarded by Server.mu.
+	listener     *net.TCPListener
+	conns        map[*conn]bool
+	mode         string        // open, vanished, shut
+	resume       chan struct{} // closed when the endpoint leaves the mode vanished
+	backlogConns []net.Conn
+	removed      bool
 }
 
 func listen(addr string) (*net.TCPListener, error) {
@@ -34,18 +34,18 @@
 	return l.(*net.TCPListener), nil
 }
 
-// to changes how the endpoint's address answers connections. The lock is held.
-func (e *Endpoint) to(mode string) {
+// setMode changes how the endpoint's address answers connections. The caller holds Server.mu.
+func (e *Endpoint) setMode(mode string) {
 	if e.mode == mode {
 		return
 	}
-	was := e.mode
+	previous := e.mode
 	e.mode = mode
-	if was == "vanished" {
-		for _, p := range e.plugs {
+	if previous == "vanished" {
+		for _, p := range e.backlogConns {
 			p.Close()
 		}
-		e.plugs = nil
+		e.backlogConns = nil
 		if mode == "open" && e.listener != nil {
 			e.backlog(backlog)
 			e.listener.SetDeadline(time.Time{})
@@ -55,13 +55,13 @@
 	}
 	switch mode {
 	case "vanished":
-		if e.listener == nil { // it was shut: the address has to be there to be silent
+		if e.listener == nil { // after shut: the address must listen again, or it would refuse connections instead of ignoring them
 			e.relisten()
 		}
 		if e.listener != nil {
-			e.listener.SetDeadline(time.Unix(1, 0)) // the accepting goroutine waits for resume
+			e.listener.SetDeadline(time.Unix(1, 0)) // AcceptTCP returns, and its goroutine waits for resume
 			e.backlog(0)
-			e.plug()
+			e.fillBacklog()
 		}
 	case "shut":
 		if e.listener != nil {
@@ -85,27 +85,27 @@
 	go e.accept(l)
 }
 
-// backlog sets how many connections may wait to be accepted. On Linux listen may be called again for that;
-// with 0 one may, and while it waits the kernel drops every further SYN.
+// backlog sets how many connections may wait to be accepted. On Linux listen may be called again for that. With 0 one connection may
+// wait, and while it waits the kernel drops every further SYN.
 func (e *Endpoint) backlog(n int) {
 	raw, err := e.listener.SyscallConn()
 	if err == nil {
-		var bad error
-		err = raw.Control(func(fd uintptr) { bad = syscall.Listen(int(fd), n) })
-		err = errors.Join(err, bad)
+		var listenErr error
+		err = raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), n) })
+		err = errors.Join(err, listenErr)
 	}
 	if err != nil {
 		e.s.log.Add(eventlog.Event{Kind: eventlog.KitFailure, Detail: "receiver " + e.ID + ": backlog: " + err.Error()})
 	}
 }
 
-// plug fills the backlog with connections of our own, until one does not come up: no other will then. A SYN
-// that is being answered meanwhile may still come up, as on a machine that goes at that moment.
-func (e *Endpoint) plug() {
+// fillBacklog opens connections to the endpoint until one times out; after that no other connection is established. A SYN that the
+// kernel answers meanwhile may still succeed, as on a machine that fails at that moment.
+func (e *Endpoint) fillBacklog() {
 	addr := e.Addr
 	go func() {
-		for range maxPlugs {
-			c, err := net.DialTimeout("tcp", addr, plugTime)
+		for range maxBacklogConns {
+			c, err := net.DialTimeout("tcp", addr, backlogDialTimeout)
 			if err != nil {
 				return
 			}
@@ -115,14 +115,14 @@
 				c.Close()
 				return
 			}
-			e.plugs = append(e.plugs, c)
+			e.backlogConns = append(e.backlogConns, c)
 			e.s.mu.Unlock()
 		}
-		e.s.log.Add(eventlog.Event{Kind: eventlog.KitFailure, Detail: "receiver " + e.ID + ": connections still come up though it has vanished"})
+		e.s.log.Add(eventlog.Event{Kind: eventlog.KitFailure, Detail: "receiver " + e.ID + ": connections are still established although the endpoint has vanished"})
 	}()
 }
 
-// reset breaks all connections of the endpoint. The lock is held.
+// reset resets all connections of the endpoint. The caller holds Server.mu.
 func (e *Endpoint) reset() {
 	for c := range e.conns {
 		c.reset()
@@ -149,14 +149,14 @@
 		}
 		k := &conn{TCPConn: c, r: bufio.NewReader(c), e: e}
 		e.s.mu.Lock()
-		if e.gone || e.s.closed || e.mode == "shut" {
+		if e.removed || e.s.closed || e.mode == "shut" {
 			e.s.mu.Unlock()
 			c.SetLinger(0)
 			c.Close()
 			continue
 		}
 		e.conns[k] = true
-		k.crowded = e.s.spec.MaxConnections > 0 && len(e.conns) > e.s.spec.MaxConnections
+		k.overLimit = e.s.spec.MaxConnections > 0 && len(e.conns) > e.s.spec.MaxConnections
 		e.s.mu.Unlock()
 		go k.serve()
 	}
--- a/internal/faulttest/receiver/model.go
+++ b/internal/faulttest/receiver/model.go
@@ -1,5 +1,5 @@
-// Package receiver stands in for the receivers of messages. Model decides, free of I/O and clocks, what
-// becomes of each call; Server puts sockets round it.
+// Package receiver simulates the receivers of messages. Model decides the outcome of each call without I/O or a clock; Server
+// connects it to sockets.
 package receiver
 
 import (
@@ -13,32 +13,32 @@
 	"saffronyard.example/saffronyard/internal/faulttest/fault"
 )
 
-// Spec is a receiver as drawn. Rates are calls a second, from all senders together.
+// Spec holds the parameters of a receiver. Rates are calls per second from all senders together.
 type Spec struct {
 	Slots   int           // calls that each endpoint serves at once
-	Queue   int           // and that wait there
-	Service time.Duration // mean time of a call when warm
-	Spread  float64       // its coefficient of variation
-	Times   string        // exp, lognormal or fixed
+	Queue   int           // calls that may wait at each endpoint
+	Service time.Duration // mean service time at full speed
+	Spread  float64       // coefficient of variation of the service time
+	Times   string        // distribution of the service time: exp, lognormal or fixed
 
-	Capacity  float64       // what it can serve when warm
+	Capacity  float64       // calls per second that the receiver can serve at full speed
 	LimitKind string        // none, rate or window
 	Limit     float64       // 0 if none
-	Window    time.Duration // of a limit that counts in fixed spans
-	TellsWait time.Duration // over 0: above the limit the answer is 429 with a wait
+	Window    time.Duration // length of the fixed windows, for the kind window
+	TellsWait time.Duration // if over 0, calls above the limit get 429 with a wait, otherwise 503
 
-	MaxConnections int           // connections of an endpoint, idle ones counted; 0: any number
+	MaxConnections int           // open connections per endpoint, including idle ones; 0: no limit
 	IdleClose      time.Duration // an idle connection is closed after this
-	Reports        bool          // answers hold x0 and x1
-	ReportEach     time.Duration // refreshed so often
-	ReportLate     time.Duration // and shown so much later
+	Reports        bool          // answers report x0 and x1
+	ReportEach     time.Duration // interval between load reports
+	ReportLate     time.Duration // delay until a load report is shown
 
-	Format encoding.Format // of calls; "" for the platform's
+	Format encoding.Format // format of the calls; "" for the platform's
 
-	SlowStartCapacity float64       // share of its capacity right after an outage
-	SlowStart         time.Duration // warm after this
-	FallMultiple      float64       // more than this multiple of its present capacity
-	FallSpan          time.Duration // for this long knocks it over while it is cold
+	SlowStartCapacity float64       // share of Capacity right after an outage
+	SlowStart         time.Duration // time from the end of an outage to full capacity
+	FallMultiple      float64       // in slow start, a load above this multiple of the current capacity
+	FallSpan          time.Duration // for this long makes the receiver collapse
 }
 
 // Outcome is how a call ends at the receiver.
@@ -46,82 +46,82 @@
 	Call    int64
 	Status  int           // 200, 429, 500 or 503
 	Wait    time.Duration // with 429
-	Exit    fault.Exit    // how the answer goes out
-	Dropped bool          // no answer: its connection is gone or about to be reset
+	Exit    fault.Exit    // whether the answer is sent intact, broken off or corrupt
+	Dropped bool          // no answer: the connection is lost or about to be reset
 }
 
-// Change is what a step did to the receiver as a whole.
+// Change describes how a step changed the state of the receiver.
 type Change struct {
-	OutageBegan, OutageEnded, Fell bool
-	Reset                          bool // connections are to be reset: the machine was gone, or has shut
+	OutageBegan, OutageEnded, Collapsed bool
+	Reset                               bool // connections must be reset: the machine was unreachable or has shut down
 }
 
 type job struct {
-	call     int64
-	endpoint int
-	left     time.Duration // of service at speed 1
+	call      int64
+	endpoint  int
+	remaining time.Duration // service time left at full speed
 }
 
 type endpoint struct {
 	serving []job
 	queue   []job
-	gone    bool
+	removed bool
 }
 
-// Model is a receiver: its endpoints' slots and queues, its limit, its warmth and the troubles that run. The
-// time passed in never goes back.
+// Model is the state of a receiver: its endpoints' slots and queues, its limit, its slow start and the active faults. The times
+// passed to its methods must never decrease.
 type Model struct {
 	spec Spec
 	rng  *rand.Rand
 	now  time.Duration
 
-	on         map[int]fault.Fault // by number
+	active     map[int]fault.Fault // active faults by number
 	cond       fault.Condition
 	endpoints  []endpoint
-	unanswered []job // in silence: taken, not begun
+	unanswered []job // arrived while the receiver hangs; their service has not begun
 
-	out     bool          // an outage is on
-	warming bool          // since back
-	back    time.Duration // when the last outage ended
-	fell    bool
-	recent  []time.Duration // calls since back, within the span
+	inOutage       bool
+	warming        bool          // slow start has begun since the last outage
+	slowStartBegan time.Duration // when the last slow start began
+	collapsed      bool
+	recent         []time.Duration // arrivals in slow start within the last FallSpan
 
-	tokens  float64 // of a rate
-	filled  time.Duration
-	span    int64 // which window
-	inSpan  int
-	shown   report
-	coming  []report
-	nextRep time.Duration
+	tokens     float64 // of a rate limit
+	refilledAt time.Duration
+	window     int64 // number of the current window
+	inWindow   int
+	shown      report
+	pending    []report
+	nextReport time.Duration
 }
 
 type report struct {
-	at   time.Duration // from when on it is shown
+	at   time.Duration // when it is first shown
 	left float64
 }
 
-// NewModel makes a receiver with so many endpoints.
+// NewModel returns a receiver with the given number of endpoints.
 func NewModel(spec Spec, endpoints int, seed uint64) *Model {
-	m := &Model{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x7265686561727365)), on: map[int]fault.Fault{},
+	m := &Model{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x7265686561727365)), active: map[int]fault.Fault{},
 		cond: fault.Combine(nil), endpoints: make([]endpoint, endpoints), shown: report{left: 1}}
 	m.tokens = m.burst()
 	return m
 }
 
-// AddEndpoint adds one and returns its number.
+// AddEndpoint adds an endpoint and returns its number.
 func (m *Model) AddEndpoint() int {
 	m.endpoints = append(m.endpoints, endpoint{})
 	return len(m.endpoints) - 1
 }
 
-// Remove takes an endpoint away; what it had is dropped.
+// Remove removes an endpoint and drops its calls.
 func (m *Model) Remove(now time.Duration, e int) []Outcome {
 	out := m.Advance(now)
 	ep := &m.endpoints[e]
 	for _, j := range append(ep.serving, ep.queue...) {
 		out = append(out, Outcome{Call: j.call, Dropped: true})
 	}
-	*ep = endpoint{gone: true}
+	*ep = endpoint{removed: true}
 	m.unanswered = slices.DeleteFunc(m.unanswered, func(j job) bool {
 		if j.endpoint == e {
 			out = append(out, Outcome{Call: j.call, Dropped: true})
@@ -131,80 +131,80 @@
 	return out
 }
 
-// Condition is what the troubles that run now come to.
+// Condition returns the combined effect of the active faults. A collapsed receiver counts as shut.
 func (m *Model) Condition() fault.Condition {
 	c := m.cond
-	c.Shut = c.Shut || m.fell
+	c.Shut = c.Shut || m.collapsed
 	return c
 }
 
-// Warmth is the share of its capacity that the receiver has at a time, were it not out.
+// Warmth returns the share of the full capacity that slow start allows at a time. It does not take outages into account.
 func (m *Model) Warmth(now time.Duration) float64 {
 	if !m.warming || m.spec.SlowStart <= 0 {
 		return 1
 	}
-	part := float64(now-m.back) / float64(m.spec.SlowStart)
+	part := float64(now-m.slowStartBegan) / float64(m.spec.SlowStart)
 	return min(1, m.spec.SlowStartCapacity+(1-m.spec.SlowStartCapacity)*part)
 }
 
-// Begin lets a trouble run from now on, under a number of its own.
+// Begin starts a fault under a number of its own.
 func (m *Model) Begin(now time.Duration, number int, t fault.Fault) ([]Outcome, Change) {
 	out := m.Advance(now)
 	var c Change
 	if t.Kind == fault.SlowStart {
-		if !m.out { // within an outage its end does the same
-			m.cool(now)
+		if !m.inOutage { // the end of an outage starts a slow start anyway
+			m.beginSlowStart(now)
 		}
 		return out, c
 	}
-	m.on[number] = t
+	m.active[number] = t
 	more, c := m.recombine(now)
 	return append(out, more...), c
 }
 
-// End ends a trouble.
+// End ends the fault that began under the number.
 func (m *Model) End(now time.Duration, number int) ([]Outcome, Change) {
 	out := m.Advance(now)
-	delete(m.on, number)
+	delete(m.active, number)
 	more, c := m.recombine(now)
 	return append(out, more...), c
 }
 
-func (m *Model) cool(now time.Duration) {
-	m.warming, m.back, m.recent = true, now, nil
+func (m *Model) beginSlowStart(now time.Duration) {
+	m.warming, m.slowStartBegan, m.recent = true, now, nil
 }
 
-// recombine takes in what the troubles now come to.
+// recombine applies the combined effect of the active faults after one began or ended.
 func (m *Model) recombine(now time.Duration) ([]Outcome, Change) {
-	was := m.cond
-	var on []fault.Fault
-	for _, n := range sortedKeys(m.on) {
-		on = append(on, m.on[n])
+	previous := m.cond
+	var active []fault.Fault
+	for _, n := range sortedKeys(m.active) {
+		active = append(active, m.active[n])
 	}
-	m.cond = fault.Combine(on)
+	m.cond = fault.Combine(active)
 	var out []Outcome
 	c := Change{}
 	switch {
 	case m.cond.Unreachable:
-	case was.Unreachable, m.cond.Shut && !was.Shut:
-		// Back from nowhere its connections mean nothing to it; shutting, it breaks them itself.
+	case previous.Unreachable, m.cond.Shut && !previous.Shut:
+		// A machine that was unreachable has lost the state of its connections; one that shuts down resets them itself.
 		out, c.Reset = m.dropAll(), true
-	case was.Hung && !m.cond.Hung:
-		held := m.unanswered
+	case previous.Hung && !m.cond.Hung:
+		resumed := m.unanswered
 		m.unanswered = nil
-		for _, j := range held {
+		for _, j := range resumed {
 			if o, full := m.enqueue(j); full {
 				out = append(out, o)
 			}
 		}
 	}
-	switch is := m.cond.Outage(); {
-	case m.fell: // nothing changes that any more
-	case is && !m.out:
-		m.out, m.warming, c.OutageBegan = true, false, true
-	case !is && m.out:
-		m.out, c.OutageEnded = false, true
-		m.cool(now)
+	switch outage := m.cond.Outage(); {
+	case m.collapsed: // a collapse is permanent
+	case outage && !m.inOutage:
+		m.inOutage, m.warming, c.OutageBegan = true, false, true
+	case !outage && m.inOutage:
+		m.inOutage, c.OutageEnded = false, true
+		m.beginSlowStart(now)
 	}
 	m.start()
 	return out, c
@@ -235,19 +235,19 @@
 	return out
 }
 
-// Arrive takes in a call whose last byte has come. Its outcome comes with this or a later step.
+// Arrive accepts a call whose last byte has arrived. This or a later step returns its outcome.
 func (m *Model) Arrive(now time.Duration, e int, call int64) ([]Outcome, Change) {
 	out := m.Advance(now)
 	var c Change
-	if m.endpoints[e].gone {
+	if m.endpoints[e].removed {
 		return append(out, Outcome{Call: call, Status: 503}), c
 	}
-	if m.weigh(now) {
-		m.fell, c.Fell, c.Reset = true, true, true
+	if m.overloads(now) {
+		m.collapsed, c.Collapsed, c.Reset = true, true, true
 		out = append(out, m.dropAll()...)
 		return append(out, Outcome{Call: call, Dropped: true}), c
 	}
-	if m.fell {
+	if m.collapsed {
 		return append(out, Outcome{Call: call, Dropped: true}), c
 	}
 	switch m.cond.Enter(m.rng.Float64()) {
@@ -275,9 +275,9 @@
 	return out, c
 }
 
-// weigh counts a call against what a cold receiver bears, and says whether this one knocks it over.
-func (m *Model) weigh(now time.Duration) bool {
-	if !m.warming || m.out || m.fell || m.Warmth(now) >= 1 {
+// overloads counts a call against the load limit of slow start and reports whether this call makes the receiver collapse.
+func (m *Model) overloads(now time.Duration) bool {
+	if !m.warming || m.inOutage || m.collapsed || m.Warmth(now) >= 1 {
 		return false
 	}
 	m.recent = append(m.recent, now)
@@ -288,25 +288,25 @@
 	return float64(len(m.recent)) > budget+max(4, math.Sqrt(budget))
 }
 
-// burst is what a rate lets through at once after a pause.
+// burst returns how many calls a rate limit admits at once after a pause.
 func (m *Model) burst() float64 { return max(2, m.spec.Limit/2) }
 
-// refill brings the limit's count up to a time.
+// refill brings the state of the limit up to a time.
 func (m *Model) refill(now time.Duration) {
 	switch m.spec.LimitKind {
 	case "rate":
-		m.tokens = min(m.burst(), m.tokens+m.spec.Limit*(now-m.filled).Seconds())
-		m.filled = now
+		m.tokens = min(m.burst(), m.tokens+m.spec.Limit*(now-m.refilledAt).Seconds())
+		m.refilledAt = now
 	case "window":
-		if span := int64(now / m.spec.Window); span != m.span {
-			m.span, m.inSpan = span, 0
+		if window := int64(now / m.spec.Window); window != m.window {
+			m.window, m.inWindow = window, 0
 		}
 	}
 }
 
 func (m *Model) perWindow() int { return max(1, int(m.spec.Limit*m.spec.Window.Seconds())) }
 
-// admit takes a call within the limit, or says how long there will be no room. Refused calls don't count.
+// admit counts a call against the limit, or returns how long the limit admits none. Refused calls don't count.
 func (m *Model) admit(now time.Duration) (time.Duration, bool) {
 	m.refill(now)
 	switch m.spec.LimitKind {
@@ -316,53 +316,53 @@
 		}
 		m.tokens--
 	case "window":
-		if m.inSpan >= m.perWindow() {
-			return time.Duration(m.span+1)*m.spec.Window - now, false
+		if m.inWindow >= m.perWindow() {
+			return time.Duration(m.window+1)*m.spec.Window - now, false
 		}
-		m.inSpan++
+		m.inWindow++
 	}
 	return 0, true
 }
 
-// left is the share of the limit that is left.
+// left returns the unused share of the limit.
 func (m *Model) left(now time.Duration) float64 {
 	m.refill(now)
 	switch m.spec.LimitKind {
 	case "rate":
 		return m.tokens / m.burst()
 	case "window":
-		return 1 - float64(m.inSpan)/float64(m.perWindow())
+		return 1 - float64(m.inWindow)/float64(m.perWindow())
 	}
 	return 0
 }
 
-// Report is what an answer at a time tells: the share of the limit left as it was some time ago, and the limit.
+// Report returns the load report of an answer at a time: the unused share of the limit as it was some time ago, and the limit.
 func (m *Model) Report(now time.Duration) (left, limit float64, ok bool) {
 	if !m.spec.Reports || m.spec.ReportEach <= 0 {
 		return 0, 0, false
 	}
 	m.publish(now)
-	for len(m.coming) > 0 && m.coming[0].at <= now {
-		m.shown, m.coming = m.coming[0], m.coming[1:]
+	for len(m.pending) > 0 && m.pending[0].at <= now {
+		m.shown, m.pending = m.pending[0], m.pending[1:]
 	}
 	return m.shown.left, m.spec.Limit, true
 }
 
-// publish takes the reports due up to a time; nothing has come in since the last step.
+// publish takes the load reports due up to a time. No call may have arrived since the last step.
 func (m *Model) publish(now time.Duration) {
 	if !m.spec.Reports || m.spec.ReportEach <= 0 {
 		return
 	}
-	if behind := now - m.nextRep; behind > 100*m.spec.ReportEach {
-		m.nextRep += (behind/m.spec.ReportEach - 10) * m.spec.ReportEach // long quiet: those before say nothing new
+	if behind := now - m.nextReport; behind > 100*m.spec.ReportEach {
+		m.nextReport += (behind/m.spec.ReportEach - 10) * m.spec.ReportEach // after a long idle time, earlier reports would all be the same
 	}
-	for m.nextRep <= now {
-		m.coming = append(m.coming, report{m.nextRep + m.spec.ReportLate, m.left(max(m.nextRep, m.filled))})
-		m.nextRep += m.spec.ReportEach
+	for m.nextReport <= now {
+		m.pending = append(m.pending, report{m.nextReport + m.spec.ReportLate, m.left(max(m.nextReport, m.refilledAt))})
+		m.nextReport += m.spec.ReportEach
 	}
 }
 
-// service draws how long a call takes when warm.
+// service draws the service time of a call at full speed.
 func (m *Model) service() time.Duration {
 	mean := float64(m.spec.Service)
 	switch m.spec.Times {
@@ -375,7 +375,7 @@
 	return time.Duration(mean * math.Exp(math.Sqrt(s2)*m.rng.NormFloat64()-s2/2))
 }
 
-// enqueue puts a call in a queue, or turns it away if that is full.
+// enqueue adds a call to its endpoint's queue, or returns its refusal and true if the queue is full.
 func (m *Model) enqueue(j job) (Outcome, bool) {
 	e := &m.endpoints[j.endpoint]
 	if len(e.serving) >= m.spec.Slots && len(e.queue) >= m.spec.Queue {
@@ -386,7 +386,7 @@
 	return Outcome{}, false
 }
 
-// start begins what has a free slot.
+// start moves queued calls into free slots.
 func (m *Model) start() {
 	for i := range m.endpoints {
 		e := &m.endpoints[i]
@@ -396,18 +396,18 @@
 	}
 }
 
-// speed is how fast service goes at a time.
+// speed returns the speed of service at a time; 1 is full speed.
 func (m *Model) speed(now time.Duration) float64 {
-	if m.cond.Unreachable || m.cond.Hung || m.fell {
+	if m.cond.Unreachable || m.cond.Hung || m.collapsed {
 		return 0
 	}
 	return m.Warmth(now) / m.cond.Slow
 }
 
-// slice bounds a step while warmth changes: within it the speed counts as even.
+// slice bounds a step of Advance in slow start; within a step the speed is taken as constant.
 const slice = 20 * time.Millisecond
 
-// Advance counts service down to a time and returns what ended.
+// Advance serves calls up to a time and returns the outcomes of those that ended.
 func (m *Model) Advance(now time.Duration) []Outcome {
 	var out []Outcome
 	for m.now < now {
@@ -424,7 +424,7 @@
 			for i := range m.endpoints {
 				e := &m.endpoints[i]
 				for j := range e.serving {
-					e.serving[j].left -= done
+					e.serving[j].remaining -= done
 				}
 			}
 		}
@@ -433,7 +433,7 @@
 		for i := range m.endpoints {
 			e := &m.endpoints[i]
 			e.serving = slices.DeleteFunc(e.serving, func(j job) bool {
-				if v > 0 && j.left <= 0 {
+				if v > 0 && j.remaining <= 0 {
 					out = append(out, Outcome{Call: j.call, Status: 200, Exit: m.cond.Leave(m.rng.Float64(), m.rng.Float64())})
 					ended = true
 					return true
@@ -457,13 +457,13 @@
 	least, ok := time.Duration(math.MaxInt64), false
 	for _, e := range m.endpoints {
 		for _, j := range e.serving {
-			least, ok = min(least, j.left), true
+			least, ok = min(least, j.remaining), true
 		}
 	}
 	return max(0, least), ok
 }
 
-// Next is when Advance has something to tell, if nothing else happens.
+// Next returns when to call Advance next if nothing else happens; false if no call is being served.
 func (m *Model) Next() (time.Duration, bool) {
 	v := m.speed(m.now)
 	left, ok := m.shortest()
@@ -472,7 +472,7 @@
 	}
 	d := time.Duration(math.Ceil(float64(left) / v))
 	if m.warming && m.Warmth(m.now) < 1 {
-		d = min(d, slice) // it gets faster meanwhile
+		d = min(d, slice) // the speed rises meanwhile
 	}
 	return m.now + max(d, time.Microsecond), true
 }
--- a/internal/faulttest/receiver/model_test.go
+++ b/internal/faulttest/receiver/model_test.go
@@ -25,8 +25,8 @@
 	return out[0]
 }
 
-// answerLine says what a call that arrives at a time meets: its outcome soon after, or silence.
-func answerLine(m *Model, now time.Duration, call int64) string {
+// observedOutcome returns the outcome of a call that arrives at a time: its answer within 1450 ms, or why there is none.
+func observedOutcome(m *Model, now time.Duration, call int64) string {
 	if c := m.Condition(); c.Shut && !c.Unreachable {
 		return "shut"
 	}
@@ -56,24 +56,24 @@
 	return "hang"
 }
 
-// sample is each trouble in its strongest form.
+// sample returns a fault of the given kind at full strength.
 func sample(k fault.Kind) fault.Fault {
 	return fault.Fault{Kind: k, Fraction: 1, Factor: 3, Wait: 100 * time.Millisecond}
 }
 
-// alone is what a call meets in one trouble. Slow ones, drains, cold ones and closed idle connections are
-// served by the model.
-var alone = map[fault.Kind]string{fault.Vanish: "vanish", fault.Shut: "shut", fault.Hang: "hang", fault.CloseIdle: "served",
+// outcomeAlone is the outcome of a call under a single fault. With a slow receiver, a drain, a slow start or closed idle connections
+// the model serves the call.
+var outcomeAlone = map[fault.Kind]string{fault.Vanish: "vanish", fault.Shut: "shut", fault.Hang: "hang", fault.CloseIdle: "served",
 	fault.Wait: "wait", fault.Refuse: "refuse", fault.Fail: "fail", fault.Slow: "served", fault.Reset: "reset",
 	fault.Spoil: "spoil", fault.Drain: "served", fault.SlowStart: "served"}
 
-// layers is the order of the table in docs/design/rehearsal.md: the first that is on decides.
-var layers = []fault.Kind{fault.Vanish, fault.Shut, fault.Hang, fault.Wait, fault.Refuse, fault.Fail, fault.Reset, fault.Spoil}
+// precedence is the order of the table in docs/design/rehearsal.md: the first active fault decides.
+var precedence = []fault.Kind{fault.Vanish, fault.Shut, fault.Hang, fault.Wait, fault.Refuse, fault.Fail, fault.Reset, fault.Spoil}
 
-func wins(a, b fault.Kind) string {
-	for _, k := range layers {
+func winningOutcome(a, b fault.Kind) string {
+	for _, k := range precedence {
 		if k == a || k == b {
-			return alone[k]
+			return outcomeAlone[k]
 		}
 	}
 	return "served"
@@ -83,14 +83,13 @@
 	switch k {
 	case fault.Vanish, fault.Shut, fault.Hang, fault.Refuse, fault.Fail, fault.Reset, fault.Spoil:
 		return true
-	default: // the others do not matter here
+	default: // the other faults are no outage
 	}
 	return false
 }
 
-// Every pair of troubles: a from 1 to 5 s, b from 3 to 7 s, in both orders. While both run the stated one
-// wins; when a ends b goes on as if alone; the outage is one, from its first begin to its last end, and
-// leaves the receiver cold once, at its end.
+// Tests every pair of faults in both orders: a runs from 1 to 5 s, b from 3 to 7 s. While both run, precedence decides; once a has
+// ended, b acts as if alone. Both make a single outage, from the first begin to the last end, and a single slow start at its end.
 func TestModel_EachPairOfFaults(t *testing.T) {
 	for _, a := range fault.All() {
 		for _, b := range fault.All() {
@@ -107,20 +106,20 @@
 				}
 				expect := func(at time.Duration, call int64, want string) {
 					t.Helper()
-					if got := answerLine(m, at, call); got != want {
-						t.Errorf("at %v a call meets %s, want %s", at, got, want)
+					if got := observedOutcome(m, at, call); got != want {
+						t.Errorf("at %v the outcome of a call is %s, want %s", at, got, want)
 					}
 				}
 				expect(0, 1, "served")
 				count(m.Begin(1*sec, 1, sample(a)))
-				expect(1500*time.Millisecond, 2, alone[a])
+				expect(1500*time.Millisecond, 2, outcomeAlone[a])
 				count(m.Begin(3*sec, 2, sample(b)))
-				expect(3500*time.Millisecond, 3, wins(a, b))
+				expect(3500*time.Millisecond, 3, winningOutcome(a, b))
 				count(m.End(5*sec, 1))
-				expect(5500*time.Millisecond, 4, alone[b])
+				expect(5500*time.Millisecond, 4, outcomeAlone[b])
 				count(m.End(7*sec, 2))
-				if len(m.on) != 0 || m.Condition() != fault.Combine(nil) {
-					t.Errorf("after both ends %+v is on", m.Condition())
+				if len(m.active) != 0 || m.Condition() != fault.Combine(nil) {
+					t.Errorf("after both faults ended the condition is %+v", m.Condition())
 				}
 				outages, from := 0, time.Duration(-1)
 				switch {
@@ -140,21 +139,21 @@
 				if began != outages || ended != outages {
 					t.Errorf("%d outages began and %d ended, want %d", began, ended, outages)
 				}
-				if m.warming != (from >= 0) || (m.warming && m.back != from) {
-					t.Errorf("cold %v since %v, want since %v", m.warming, m.back, from)
+				if m.warming != (from >= 0) || (m.warming && m.slowStartBegan != from) {
+					t.Errorf("slow start %v since %v, want since %v", m.warming, m.slowStartBegan, from)
 				}
-				// A minute on all is as ever: what was held in silence has been served, or its connection is gone.
+				// At 60 s the receiver serves normally again: calls that arrived in a hang have been served or dropped.
 				m.Advance(30 * sec)
 				expect(60*sec, 5, "served")
 				if len(m.unanswered) != 0 {
-					t.Errorf("%d calls are held yet", len(m.unanswered))
+					t.Errorf("%d calls are still unanswered", len(m.unanswered))
 				}
 			})
 		}
 	}
 }
 
-// Shares of the same trouble join, factors multiply, the longest wait is told.
+// Fractions of the same fault combine as independent events, factors multiply, and the longest wait is used.
 func TestModel_SameFaultTwice(t *testing.T) {
 	c := fault.Combine([]fault.Fault{{Kind: fault.Fail, Fraction: 0.5}, {Kind: fault.Fail, Fraction: 0.5}, {Kind: fault.Slow, Factor: 2},
 		{Kind: fault.Slow, Factor: 3}, {Kind: fault.Wait, Wait: sec}, {Kind: fault.Wait, Wait: 3 * sec}})
@@ -163,7 +162,7 @@
 	}
 }
 
-// Fail, reset and spoil are an outage when together they spoil half of the calls.
+// Fail, reset and spoil are an outage if together they affect at least half of the calls.
 func TestOutageByShares(t *testing.T) {
 	for _, c := range []struct {
 		fail, reset, spoil float64
@@ -176,29 +175,29 @@
 	}
 }
 
-// A hang strikes calls that are in service, too; they go on when it ends, at the speed of a cold receiver.
+// A hang also stops calls that are in service; they continue when it ends, at the speed of a slow start.
 func TestHangStopsWhatIsInService(t *testing.T) {
 	m := NewModel(plain(), 1, 1)
 	m.Arrive(0, 0, 1)
 	m.Begin(50*time.Millisecond, 1, sample(fault.Hang))
 	m.Arrive(100*time.Millisecond, 0, 2)
 	if out := m.Advance(10 * sec); len(out) != 0 {
-		t.Fatalf("answered in a hang: %+v", out)
+		t.Fatalf("calls answered during a hang: %+v", out)
 	}
 	m.End(10*sec, 1)
-	// 50 and 100 ms of work at 20% speed, a little faster by and by.
+	// 50 and 100 ms of service are left at 20% speed, which rises slowly.
 	if o := only(t, m.Advance(10*sec+260*time.Millisecond)); o.Call != 1 || o.Status != 200 {
 		t.Errorf("%+v", o)
 	}
 	if out := m.Advance(10*sec + 400*time.Millisecond); len(out) != 0 {
-		t.Errorf("too fast for a cold receiver: %+v", out)
+		t.Errorf("served too fast for a slow start: %+v", out)
 	}
 	if o := only(t, m.Advance(10*sec+510*time.Millisecond)); o.Call != 2 {
 		t.Errorf("%+v", o)
 	}
 }
 
-// After a vanish the calls from before are gone with their connections.
+// When a vanished receiver returns, earlier calls are dropped with their connections.
 func TestVanishDropsOnReturn(t *testing.T) {
 	m := NewModel(plain(), 1, 1)
 	m.Arrive(0, 0, 1)
@@ -210,30 +209,30 @@
 	}
 }
 
-// A cold receiver falls at one call over what it bears, and stays down whatever ends.
-func TestFallsOver(t *testing.T) {
+// A receiver in slow start collapses at one call over its load limit, and stays down whatever fault ends later.
+func TestModel_CollapsesAboveLoadLimit(t *testing.T) {
 	for _, over := range []int{0, 1} {
 		m := NewModel(plain(), 1, 1)
 		m.Begin(0, 1, sample(fault.Refuse))
 		m.End(5*sec, 1)
-		// Right after its return it bears 2 x 0.2 x 100 x 3 s = 120 and a slack of 10.95.
+		// Right after the outage the load limit is 2 x 0.2 x 100/s x 3 s = 120 calls plus a slack of 10.95.
 		fell := false
 		for i := range 130 + over {
 			_, c := m.Arrive(5*sec, 0, int64(i))
-			fell = fell || c.Fell
+			fell = fell || c.Collapsed
 		}
 		if fell != (over > 0) {
-			t.Errorf("%d calls over: fell %v", over, fell)
+			t.Errorf("%d calls over the limit: collapsed %v", over, fell)
 		}
 		m.Begin(6*sec, 2, sample(fault.Refuse))
 		m.End(7*sec, 2)
 		if m.Condition().Shut != (over > 0) {
-			t.Errorf("%d calls over: shut %v", over, m.Condition().Shut)
+			t.Errorf("%d calls over the limit: shut %v", over, m.Condition().Shut)
 		}
 	}
 }
 
-// The same number of calls does no harm to a warm receiver, nor to one that is out.
+// The same number of calls must not make a receiver collapse at full capacity or during an outage.
 func TestModel_CollapsesOnlyDuringSlowStart(t *testing.T) {
 	m := NewModel(plain(), 1, 1)
 	for i := range 500 {
@@ -248,15 +247,15 @@
 	for i := range 500 {
 		m.Arrive(14*sec, 0, int64(2000+i))
 	}
-	if m.fell {
-		t.Error("it fell")
+	if m.collapsed {
+		t.Error("the receiver collapsed")
 	}
 }
 
 func TestWarmth(t *testing.T) {
 	m := NewModel(plain(), 1, 1)
 	if m.Warmth(0) != 1 {
-		t.Error("cold without an outage")
+		t.Error("slow start without an outage")
 	}
 	m.Begin(0, 1, fault.Fault{Kind: fault.SlowStart})
 	for at, want := range map[time.Duration]float64{0: 0.2, 5 * sec: 0.6, 10 * sec: 1, time.Hour: 1} {
@@ -306,7 +305,7 @@
 	}
 }
 
-// Reports are refreshed now and then and tell what was some time ago.
+// Load reports are taken at intervals and shown with a delay.
 func TestReportsAreLate(t *testing.T) {
 	s := plain()
 	s.LimitKind, s.Limit, s.Window, s.Reports = "window", 10, 10*sec, true
@@ -325,7 +324,7 @@
 		m.Arrive(20*time.Millisecond, 0, int64(i))
 	}
 	if l := left(450 * time.Millisecond); l != 1 {
-		t.Errorf("the report of 400 ms shows before 500 ms: %v", l)
+		t.Errorf("the report taken at 400 ms is shown before 500 ms: %v", l)
 	}
 	if l := left(510 * time.Millisecond); l != 0.5 {
 		t.Errorf("at 510 ms %v is left, want 0.5", l)
@@ -335,7 +334,7 @@
 	}
 }
 
-// A full queue turns calls away; another endpoint's is its own.
+// A full queue refuses calls; each endpoint has a queue of its own.
 func TestQueue(t *testing.T) {
 	m := NewModel(plain(), 2, 1)
 	for i := range 15 {
@@ -354,8 +353,7 @@
 	}
 }
 
-// Whatever happens, each call comes to one end at most, and to one in the end; nothing panics, no time goes
-// back, and the same seed gives the same outcomes.
+// Under random faults each call ends exactly once, nothing panics, time never goes back, and the same seed gives the same outcomes.
 func TestModel_EachCallFinishesOnce(t *testing.T) {
 	for seed := range uint64(400) {
 		play := func() (ends map[int64]Outcome, calls int64) {
@@ -431,7 +429,7 @@
 	}
 }
 
-// Next never tells a time at which nothing has come nearer.
+// Advancing to the times that Next returns must reach the end of the call: each step must make progress.
 func TestNextMakesProgress(t *testing.T) {
 	m := NewModel(plain(), 1, 1)
 	m.Begin(0, 1, fault.Fault{Kind: fault.SlowStart})
@@ -445,10 +443,10 @@
 			return
 		}
 		if i > 1000 {
-			t.Fatal("a thousand steps and no end")
+			t.Fatal("the call has not ended after a thousand steps")
 		}
 	}
-	t.Error("nothing is due, and the call is not over")
+	t.Error("Next reports nothing due, but the call has not ended")
 }
 
 func BenchmarkModel(b *testing.B) {
--- a/internal/faulttest/receiver/server.go
+++ b/internal/faulttest/receiver/server.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	maxBody          = 256 << 10              // an event is longer in JSON than by itself
-	readTimeout      = 5 * time.Second        // a request comes whole within this
-	plugTime         = 100 * time.Millisecond // a connection to a full backlog has not come up within this
-	maxPlugs         = 8
-	backlog          = 1024
-	maxCorruptAnswer = 1 << 20 // bytes of an answer that keeps coming
+	maxBody            = 256 << 10              // bytes; an event in JSON is longer than its body alone
+	readTimeout        = 5 * time.Second        // for a complete request
+	backlogDialTimeout = 100 * time.Millisecond // after this a connection counts as blocked by a full backlog
+	maxBacklogConns    = 8
+	backlog            = 1024
+	maxCorruptAnswer   = 1 << 20 // bytes sent of the body of a corrupt answer that is too long
 )
 
-// Registry knows what was handed in.
+// Registry records the messages that were handed in.
 type Registry interface {
-	// Called says whose a message is and whether the call is within its attempts; ok is false for an id that
-	// nobody handed in.
+	// Called records a call and returns its message's sender and whether the call is within the allowed attempts; ok is false for
+	// an id that no client handed in.
 	Called(id string, dest int) (sender string, within, ok bool)
-	// Delivered says that a message's 200 is written.
+	// Delivered records that the 200 for a message has been written.
 	Delivered(id string)
 }
 
@@ -51,7 +51,7 @@
 
 type call struct {
 	conn *conn
-	end  chan Outcome // room for one
+	end  chan Outcome // buffers one outcome
 }
 
 // Config is what NewServer needs. All fields are required.
@@ -59,11 +59,11 @@
 	Destination int
 	Name        string
 	Spec        Spec
-	Endpoints   int // at the start
+	Endpoints   int // number at the start
 	Seed        uint64
 	Log         *eventlog.Log
 	Registry    Registry
-	CallNumbers *atomic.Int64 // deals out call numbers to all receivers of a day
+	CallNumbers *atomic.Int64 // the last call number; shared by all receivers of a day
 	Host        func() string // returns a loopback address that nothing else listens on
 }
 
@@ -71,7 +71,7 @@
 func NewServer(c Config) (*Server, error) {
 	s := &Server{dest: c.Destination, name: c.Name, spec: c.Spec, log: c.Log, registry: c.Registry, numbers: c.CallNumbers, host: c.Host,
 		model: NewModel(c.Spec, 0, c.Seed), rng: rand.New(rand.NewPCG(c.Seed, 2)), waiting: map[int64]*call{}}
-	s.timer = time.AfterFunc(time.Hour, s.due)
+	s.timer = time.AfterFunc(time.Hour, s.onTimer)
 	for range c.Endpoints {
 		if _, err := s.Add(); err != nil {
 			s.Close()
@@ -81,7 +81,7 @@
 	return s, nil
 }
 
-// Add starts one more endpoint. Troubles that run strike it too.
+// Add starts one more endpoint. Active faults apply to it too.
 func (s *Server) Add() (*Endpoint, error) {
 	l, err := listen(s.host() + ":0")
 	if err != nil {
@@ -98,38 +98,38 @@
 	return e, nil
 }
 
-// Endpoints are those that were not removed.
+// Endpoints returns the endpoints that have not been removed.
 func (s *Server) Endpoints() []*Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []*Endpoint
 	for _, e := range s.endpoints {
-		if !e.gone {
+		if !e.removed {
 			all = append(all, e)
 		}
 	}
 	return all
 }
 
-// Remove ends an endpoint: its connections are closed and new ones refused.
+// Remove removes an endpoint: its connections are reset and new ones are refused.
 func (s *Server) Remove(e *Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e.gone {
+	if e.removed {
 		return
 	}
-	e.gone = true
+	e.removed = true
 	s.deliver(s.model.Remove(s.log.Now(), e.number))
-	e.to("shut")
+	e.setMode("shut")
 	e.reset()
 }
 
-// Begin and End let a trouble run and end.
+// Begin starts a fault under a number of its own.
 func (s *Server) Begin(number int, t fault.Fault) {
 	s.change(t.Kind.String(), "on", func(now time.Duration) ([]Outcome, Change) { return s.model.Begin(now, number, t) })
 }
 
-// End ends the trouble that began under the number.
+// End ends the fault that began under the number.
 func (s *Server) End(number int, t fault.Fault) {
 	s.change(t.Kind.String(), "off", func(now time.Duration) ([]Outcome, Change) { return s.model.End(now, number) })
 }
@@ -142,10 +142,10 @@
 	}
 	now := s.log.Now()
 	s.log.At(now, eventlog.Event{Kind: eventlog.FaultChanged, Dest: s.dest, Detail: what, State: state})
-	wasCold := s.model.back
+	previousStart := s.model.slowStartBegan
 	out, c := step(now)
-	if what == fault.SlowStart.String() && s.model.back != wasCold {
-		// An outage of no length: the judge counts from its end.
+	if what == fault.SlowStart.String() && s.model.slowStartBegan != previousStart {
+		// The log gets an outage of zero length: the judge measures slow start from the end of an outage.
 		s.log.At(now, eventlog.Event{Kind: eventlog.Outage, Dest: s.dest, State: "on"})
 		s.log.At(now, eventlog.Event{Kind: eventlog.Outage, Dest: s.dest, State: "off", Capacity: s.spec.Capacity})
 	}
@@ -162,16 +162,16 @@
 	if c.OutageEnded {
 		s.log.At(now, eventlog.Event{Kind: eventlog.Outage, Dest: s.dest, State: "off", Capacity: s.spec.Capacity})
 	}
-	if c.Fell {
+	if c.Collapsed {
 		s.log.At(now, eventlog.Event{Kind: eventlog.Fell, Dest: s.dest})
 	}
 }
 
-// apply brings the sockets in line with the troubles that run.
+// apply brings the sockets in line with the active faults.
 func (s *Server) apply(c Change) {
 	cond := s.model.Condition()
 	for _, e := range s.endpoints {
-		if e.gone {
+		if e.removed {
 			continue
 		}
 		if c.Reset {
@@ -179,17 +179,17 @@
 		}
 		switch {
 		case cond.Unreachable:
-			e.to("vanished")
+			e.setMode("vanished")
 		case cond.Shut:
-			e.to("shut")
+			e.setMode("shut")
 		default:
-			e.to("open")
+			e.setMode("open")
 		}
 	}
 }
 
-// due is the timer's: something has ended by now.
-func (s *Server) due() {
+// onTimer advances the model when the next outcome is due.
+func (s *Server) onTimer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -205,7 +205,7 @@
 	}
 }
 
-// deliver passes outcomes on to those who wait for them.
+// deliver passes outcomes to the connections that wait for them.
 func (s *Server) deliver(out []Outcome) {
 	for _, o := range out {
 		if c := s.waiting[o.Call]; c != nil {
@@ -215,14 +215,14 @@
 	}
 }
 
-// Close ends the receiver.
+// Close stops the receiver: its connections are reset and new ones are refused.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
 	s.timer.Stop()
 	for _, e := range s.endpoints {
-		e.to("shut")
+		e.setMode("shut")
 		e.reset()
 	}
 }
@@ -233,22 +233,22 @@
 	return s.model.Condition().Unreachable && !s.closed
 }
 
-// ended writes down how a call ended for each of its messages.
-func (s *Server) ended(done []eventlog.Event, how func(*eventlog.Event)) {
+// logDone logs how a call ended, once for each of its messages.
+func (s *Server) logDone(done []eventlog.Event, how func(*eventlog.Event)) {
 	for i := range done {
 		how(&done[i])
 		s.log.Add(done[i])
 	}
 }
 
-// delivered books the messages of a call of which the 200 is written.
-func (s *Server) delivered(done []eventlog.Event) {
+// markDelivered records the messages of a call whose 200 has been written.
+func (s *Server) markDelivered(done []eventlog.Event) {
 	for _, d := range done {
 		s.registry.Delivered(d.ID)
 	}
 }
 
-// status is the word of a receiver of a form for an outcome: web hooks have several for delivered.
+// status returns the status code that the receiver's format uses for an outcome: web hooks have several codes for success.
 func (s *Server) status(status int) int {
 	switch {
 	case status == 200 && s.spec.Format == encoding.Binary:
--- a/internal/faulttest/receiver/server_test.go
+++ b/internal/faulttest/receiver/server_test.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	wait  = 20 * time.Second       // for what should come
-	quiet = 250 * time.Millisecond // nothing comes within this where nothing should
+	timeout       = 20 * time.Second       // for events that should happen
+	silenceWindow = 250 * time.Millisecond // no data may arrive within this where none should
 )
 
-// registry knows every id that begins with m.
+// registry accepts every id that begins with m; calls of ids that begin with m-over exceed their attempts.
 type registry struct {
 	mu        sync.Mutex
 	delivered map[string]int
@@ -46,7 +46,7 @@
 	t.Helper()
 	spec := plain()
 	spec.Service = time.Millisecond
-	spec.IdleClose = wait
+	spec.IdleClose = timeout
 	if edit != nil {
 		edit(&spec)
 	}
@@ -79,12 +79,12 @@
 
 func dial(t *testing.T, e *Endpoint) *client {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", e.Addr, wait)
+	c, err := net.DialTimeout("tcp", e.Addr, timeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(wait))
+	c.SetDeadline(time.Now().Add(timeout))
 	return &client{c, bufio.NewReader(c)}
 }
 
@@ -95,7 +95,7 @@
 	}
 }
 
-// answer is the next answer's status, or what became of the connection.
+// answer returns the next answer's status and wait, or how the connection ended.
 func (c *client) answer() string {
 	resp, err := http.ReadResponse(c.r, nil)
 	switch {
@@ -115,25 +115,25 @@
 func (c *client) expect(t *testing.T, want string) {
 	t.Helper()
 	if want == "silence" {
-		c.SetReadDeadline(time.Now().Add(quiet))
-		defer c.SetReadDeadline(time.Now().Add(wait))
+		c.SetReadDeadline(time.Now().Add(silenceWindow))
+		defer c.SetReadDeadline(time.Now().Add(timeout))
 	}
 	if got := c.answer(); got != want {
 		t.Fatalf("%s, want %s", got, want)
 	}
 }
 
-// logged waits until an event of the kind that fits is in the log.
+// logged waits until the log has an event for which fits returns true.
 func logged(t *testing.T, log *eventlog.Log, fits func(eventlog.Event) bool) eventlog.Event {
 	t.Helper()
-	for end := time.Now().Add(wait); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		for _, e := range log.Events() {
 			if fits(e) {
 				return e
 			}
 		}
 	}
-	t.Fatal("not in the log")
+	t.Fatal("no matching event in the log")
 	panic("unreachable")
 }
 
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestTurnsAwayWhatNobodyHandedIn(t *testing.T) {
+func TestServer_RejectsUnknownMessage(t *testing.T) {
 	t.Parallel()
 	_, e, log, _ := start(t, nil)
 	c := dial(t, e)
@@ -180,14 +180,14 @@
 		c.send(t, "m1")
 		c.expect(t, want)
 		if want == "silence" {
-			s.End(1, sample(kind)) // it is served late
+			s.End(1, sample(kind)) // the call is served after the hang
 			c.expect(t, "200")
 		}
 	}
 }
 
-// A machine that is gone: the open connection is silent, a new one never comes up, and when it is back the
-// old one is reset, whatever was asked on it, and new ones come up.
+// While a machine is unreachable, an open connection gets no answer and no new connection is established. When it returns, old
+// connections are reset, with or without a pending request, and new ones are accepted.
 func TestVanish(t *testing.T) {
 	t.Parallel()
 	s, e, log, _ := start(t, nil)
@@ -200,18 +200,18 @@
 	s.Begin(1, sample(fault.Vanish))
 	open.send(t, "m2")
 	open.expect(t, "silence")
-	// The backlog is plugged by the time that one of our own does not come up.
+	// The backlog is full once a connection of this test times out.
 	waitFor(t, func() bool {
-		c, err := net.DialTimeout("tcp", e.Addr, plugTime)
+		c, err := net.DialTimeout("tcp", e.Addr, backlogDialTimeout)
 		if err == nil {
 			c.Close()
 		}
 		return timedOut(err)
 	})
 	for range 3 {
-		if c, err := net.DialTimeout("tcp", e.Addr, quiet); err == nil {
+		if c, err := net.DialTimeout("tcp", e.Addr, silenceWindow); err == nil {
 			c.Close()
-			t.Fatal("a connection came up")
+			t.Fatal("a connection was established")
 		}
 	}
 	s.End(1, sample(fault.Vanish))
@@ -226,8 +226,8 @@
 	}
 }
 
-// timedOut is whether a connection did not come up in time. The error is one of two of package net's: the wait for it
-// ends by the context's time or by the socket's, and only the latter is os.ErrDeadlineExceeded.
+// timedOut reports whether a connection attempt timed out. Package net returns one of two errors: the attempt ends by the context's
+// deadline or by the socket's, and only the latter is os.ErrDeadlineExceeded.
 func timedOut(err error) bool {
 	var e net.Error
 	return errors.As(err, &e) && e.Timeout()
@@ -235,16 +235,16 @@
 
 func waitFor(t *testing.T, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(wait); !ok(); {
+	for end := time.Now().Add(timeout); !ok(); {
 		if time.Now().After(end) {
-			t.Fatal("it does not come to that")
+			t.Fatal("the condition was not met in time")
 		}
 	}
 }
 
 func refused(t *testing.T, e *Endpoint) {
 	t.Helper()
-	if c, err := net.DialTimeout("tcp", e.Addr, wait); !errors.Is(err, syscall.ECONNREFUSED) {
+	if c, err := net.DialTimeout("tcp", e.Addr, timeout); !errors.Is(err, syscall.ECONNREFUSED) {
 		if err == nil {
 			c.Close()
 		}
@@ -254,7 +254,7 @@
 
 func TestShut(t *testing.T) {
 	t.Parallel()
-	s, e, _, _ := start(t, func(sp *Spec) { sp.Service = wait })
+	s, e, _, _ := start(t, func(sp *Spec) { sp.Service = timeout })
 	c := dial(t, e)
 	c.send(t, "m0")
 	logged(t, s.log, func(ev eventlog.Event) bool { return ev.Kind == eventlog.Call })
@@ -265,8 +265,8 @@
 	dial(t, e)
 }
 
-// A shut that goes on when the machine is back: connections are refused from that moment; and a machine
-// that vanishes while it is shut refuses nothing any more.
+// If a shut outlasts a vanish, connections are refused from the machine's return on. A machine that vanishes while it is shut no
+// longer refuses connections.
 func TestVanishAndShut(t *testing.T) {
 	t.Parallel()
 	s, e, _, _ := start(t, nil)
@@ -274,7 +274,7 @@
 	refused(t, e)
 	s.Begin(2, sample(fault.Vanish))
 	waitFor(t, func() bool {
-		c, err := net.DialTimeout("tcp", e.Addr, plugTime)
+		c, err := net.DialTimeout("tcp", e.Addr, backlogDialTimeout)
 		if err == nil {
 			c.Close()
 		}
@@ -288,7 +288,7 @@
 	c.expect(t, "200")
 }
 
-// An endpoint that joins while its receiver is out is struck too.
+// Active faults also apply to an endpoint that is added during an outage.
 func TestServer_NewEndpointDuringFault(t *testing.T) {
 	t.Parallel()
 	s, _, _, _ := start(t, nil)
@@ -307,7 +307,7 @@
 	refused(t, e)
 }
 
-// The worst moment: an idle connection is closed as a request begins on it; a fresh one serves.
+// The fault closes an idle connection just as a request begins on it; a new connection is served.
 func TestCloseIdle(t *testing.T) {
 	t.Parallel()
 	s, e, log, _ := start(t, nil)
@@ -316,7 +316,7 @@
 	c.expect(t, "200")
 	s.Begin(1, sample(fault.CloseIdle))
 	waitFor(t, func() bool { return log.Now() > 100*time.Millisecond })
-	time.Sleep(50 * time.Millisecond) // idle it must be
+	time.Sleep(50 * time.Millisecond) // the connection must be idle for longer than minIdleTime
 	c.send(t, "m1")
 	c.expect(t, "reset")
 	c = dial(t, e)
@@ -324,7 +324,7 @@
 	c.expect(t, "200")
 	for _, ev := range log.Events() {
 		if ev.ID == "m1" {
-			t.Errorf("it was not read, and is in the log: %+v", ev)
+			t.Errorf("the request was not read, but is in the log: %+v", ev)
 		}
 	}
 }
@@ -338,7 +338,7 @@
 	c.expect(t, "closed")
 }
 
-// Spoilt answers of each kind come, and the connection stays open behind them.
+// Corrupt answers of each kind are sent, and the connection stays open after them.
 func TestSpoil(t *testing.T) {
 	t.Parallel()
 	s, e, log, b := start(t, nil)
@@ -355,7 +355,7 @@
 		c.Close()
 	}
 	if len(heads) != 4 {
-		t.Errorf("kinds of spoilt answers: %v", heads)
+		t.Errorf("kinds of corrupt answers: %v", heads)
 	}
 	true200 := 0
 	for _, ev := range log.Events() {
@@ -366,11 +366,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if true200 == 0 || true200 != len(b.delivered) {
-		t.Errorf("%d answers with a true first line, %d delivered", true200, len(b.delivered))
+		t.Errorf("%d corrupt answers with a valid status line 200, %d messages delivered", true200, len(b.delivered))
 	}
 }
 
-// Over its number of connections an endpoint turns calls away and ends the connection.
+// Above its connection limit an endpoint refuses calls and closes the connection.
 func TestConnectionCap(t *testing.T) {
 	t.Parallel()
 	_, e, _, _ := start(t, func(s *Spec) { s.MaxConnections = 2 })
@@ -394,7 +394,7 @@
 	})
 }
 
-// A sender that leaves is noted; its call runs on and holds its slot.
+// A sender that closes its connection is logged; its call keeps running and keeps its slot.
 func TestServer_SenderDisconnects(t *testing.T) {
 	t.Parallel()
 	_, e, log, b := start(t, func(s *Spec) { s.Service = 100 * time.Millisecond })
@@ -409,11 +409,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.delivered) != 0 {
-		t.Error("delivered to nobody")
+		t.Error("a message counts as delivered although no answer was sent")
 	}
 }
 
-// Damaged and endless requests end their connection and nothing else.
+// Malformed requests end their own connection and nothing else.
 func TestBadRequests(t *testing.T) {
 	t.Parallel()
 	_, e, _, _ := start(t, nil)
