--- a/internal/faulttest/cost/beside.go
+++ b/internal/faulttest/cost/beside.go
@@ -16,24 +16,24 @@
 	"time"
 )
 
-// Beside measures two cases side by side, under one load each at the same time, so that what the machine does meanwhile strikes
-// both. What a message costs the second is set against the first slice by slice; single runs in turns spread by half here, slices
-// of one run by some hundredths.
+// Beside measures two cases at the same time, each under a load of its own, so that other activity of the machine affects both. It
+// returns, for each slice, the CPU time per message of the second case divided by that of the first. Alternating single runs vary by
+// half on the same machine, slices of one run by a few hundredths.
 func Beside(ctx context.Context, command []string, folder string, one, other Case, slice time.Duration) (ratios []float64, err error) {
 	var benches [2]*bench
 	var loads [2]*load
 	for i, c := range []Case{one, other} {
-		below := filepath.Join(folder, fmt.Sprintf("beside-%d", i))
-		with, err := features(command, below, c)
+		caseFolder := filepath.Join(folder, fmt.Sprintf("beside-%d", i))
+		caseCommand, err := features(command, caseFolder, c)
 		if err != nil {
 			return nil, err
 		}
-		if benches[i], err = start(with, below, c); err != nil {
+		if benches[i], err = start(caseCommand, caseFolder, c); err != nil {
 			return nil, err
 		}
 		defer benches[i].close()
 		if c.Limits > 0 {
-			if err := benches[i].limit(ctx, c.Limits); err != nil {
+			if err := benches[i].setLimits(ctx, c.Limits); err != nil {
 				return nil, fmt.Errorf("cost: limits: %w", err)
 			}
 		}
@@ -41,34 +41,36 @@
 		defer loads[i].stop()
 	}
 	sleep(ctx, one.Warm)
-	type mark struct {
+	type sample struct {
 		cpu time.Duration
 		n   int64
 	}
-	look := func() (m [2]mark, err error) {
+	takeSample := func() (m [2]sample, err error) {
 		for i, b := range benches {
-			if m[i].cpu, err = exactly(b.sender.PID()); err != nil {
+			if m[i].cpu, err = threadCPUTime(b.sender.PID()); err != nil {
 				return m, err
 			}
-			m[i].n = b.good.n.Load()
+			m[i].n = b.responsive.delivered.Load()
 		}
 		return m, nil
 	}
-	was, err := look()
+	previous, err := takeSample()
 	if err != nil {
 		return nil, err
 	}
 	for end := time.Now().Add(one.For); time.Now().Before(end) && ctx.Err() == nil; {
 		sleep(ctx, slice)
-		is, err := look()
+		current, err := takeSample()
 		if err != nil {
 			return nil, err
 		}
-		each := func(i int) float64 { return float64(is[i].cpu-was[i].cpu) / float64(is[i].n-was[i].n) }
-		if is[0].n > was[0].n && is[1].n > was[1].n {
-			ratios = append(ratios, each(1)/each(0))
+		cpuPerMessage := func(i int) float64 {
+			return float64(current[i].cpu-previous[i].cpu) / float64(current[i].n-previous[i].n)
 		}
-		was = is
+		if current[0].n > previous[0].n && current[1].n > previous[1].n {
+			ratios = append(ratios, cpuPerMessage(1)/cpuPerMessage(0))
+		}
+		previous = current
 	}
 	if len(ratios) == 0 {
 		return nil, errNothingDelivered
@@ -76,13 +78,14 @@
 	return ratios, errors.Join(loads[0].stop(), loads[1].stop())
 }
 
-// limit has so many destinations limited by the fleet, each by itself and higher than is ever sent, and waits until units are held.
-func (b *bench) limit(ctx context.Context, n int) error {
+// setLimits proposes a fleet limit for each of the first n destinations, higher than any load, and waits until the sender holds units of
+// the limits.
+func (b *bench) setLimits(ctx context.Context, n int) error {
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		var d net.Dialer
 		return d.DialContext(ctx, "unix", filepath.Join(b.sender.State(), "sender.sock"))
 	}}}
-	ask := func(method, path, body string) (string, error) {
+	call := func(method, path, body string) (string, error) {
 		req, err := http.NewRequestWithContext(ctx, method, "http://sender"+path, strings.NewReader(body))
 		if err != nil {
 			return "", err
@@ -106,18 +109,18 @@
 	var err error
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
 		var text string
-		if text, err = ask(http.MethodGet, "/fleet", ""); err != nil || !strings.Contains(text, `"acts":true`) {
+		if text, err = call(http.MethodGet, "/fleet", ""); err != nil || !strings.Contains(text, `"acts":true`) {
 			continue
 		}
-		if _, err = ask(http.MethodPost, "/policy/propose?base=0&wait=20s", document); err == nil {
-			sleep(ctx, 8*time.Second) // a new authority waits for what an earlier one may have lent
+		if _, err = call(http.MethodPost, "/policy/propose?base=0&wait=20s", document); err == nil {
+			sleep(ctx, 8*time.Second) // a new authority first waits until units that an earlier one may have lent have expired
 			return nil
 		}
 	}
 	return errors.Join(err, ctx.Err(), errNoDocument)
 }
 
-// Middle is the median of some figures, and the bounds within which it lies nineteen times of twenty, by their order alone.
+// Middle returns the median of some figures and the bounds of its 95% confidence interval, from order statistics alone.
 func Middle(all []float64) (least, middle, most float64) {
 	s := slices.Sorted(slices.Values(all))
 	n := float64(len(s))
@@ -126,19 +129,19 @@
 	return at(math.Floor(n/2 - half)), s[len(s)/2], at(math.Ceil(n/2 + half))
 }
 
-// exactly is the CPU time that a process's threads have used, to the nanosecond; those of threads that have ended are missing, and a
-// Go program ends none while it serves.
-func exactly(pid int) (sum time.Duration, err error) {
+// threadCPUTime returns the CPU time that a process's threads have used, in nanoseconds. Threads that have ended are missing; a Go program
+// ends none while it serves.
+func threadCPUTime(pid int) (sum time.Duration, err error) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err == nil && len(tasks) == 0 {
 		err = &noTimesError{pid: pid}
 	}
 	for _, t := range tasks {
-		raw, bad := os.ReadFile(t)
+		raw, readErr := os.ReadFile(t)
 		first, _, _ := strings.Cut(string(raw), " ")
-		ns, worse := strconv.ParseInt(first, 10, 64)
-		if bad != nil || worse != nil {
-			return 0, errors.Join(bad, worse)
+		ns, parseErr := strconv.ParseInt(first, 10, 64)
+		if readErr != nil || parseErr != nil {
+			return 0, errors.Join(readErr, parseErr)
 		}
 		sum += time.Duration(ns)
 	}
--- a/internal/faulttest/cost/cost.go
+++ b/internal/faulttest/cost/cost.go
@@ -1,6 +1,6 @@
-// Package cost measures what a message costs the sender's process: CPU for each delivered, messages a second,
-// the client's waiting, and memory, with so many destinations listed, busy, and so many messages held for a
-// receiver that hangs. A plain reverse proxy in the same run is the measure.
+// Package cost measures what a message costs the sender's process: CPU time per delivered message, messages per second, client latency
+// and memory, for a number of listed and busy destinations and a backlog for a receiver that hangs. A plain reverse proxy in the same
+// run is the baseline.
 package cost
 
 import (
@@ -22,53 +22,53 @@
 	"saffronyard.example/saffronyard/internal/faulttest/traffic"
 )
 
-// Case is one measurement.
+// Case holds the parameters of one measurement.
 type Case struct {
 	Listed, Busy int
 	Backlog      int // messages for a receiver that hangs
 	Clients      int // each hands in its next message as soon as the last one is answered
 	Body         int // bytes
 	For          time.Duration
-	Warm         time.Duration   // before the measurement
+	Warm         time.Duration   // load before the measurement begins
 	Churn        int             // endpoints that are replaced each second
-	Memory       int             // MB that the sender is told it has
-	Format       encoding.Format // in which messages come in and leave; "" for the platform's
-	Fleet        bool            // the sender is one of a fleet that agrees, of itself alone
-	Limits       int             // of the first destinations, each its own, that hold nothing back; with Fleet
+	Memory       int             // MB; the sender's configured memory limit
+	Format       encoding.Format // of hand-ins and calls; "" for the platform's
+	Fleet        bool            // the sender runs as a fleet with itself as the only voter
+	Limits       int             // number of destinations with a fleet limit each, too high to delay calls; needs Fleet
 }
 
-// Result is what a case came to.
+// Result holds the measurements of a case.
 type Result struct {
 	Case
-	CPU      time.Duration // for each message delivered
-	Rate     float64       // delivered a second
+	CPU      time.Duration // per delivered message
+	Rate     float64       // delivered messages per second
 	P50, P99 time.Duration // from writing the hand-in to its answer
 	Refused  int
-	Memory   int64 // bytes: the most that the process held
-	In, Out  int   // bytes of a hand-in, and of a call as the receiver read them
-	First    int64 // bytes: the most seen in the first half, looked at ten times a second
-	Second   int64 // and in the second half
+	Memory   int64 // bytes; peak resident memory of the process
+	In, Out  int   // bytes of a hand-in, and of a call as the receiver reads it
+	First    int64 // bytes; peak resident memory in the first half, sampled ten times per second
+	Second   int64 // bytes; the same for the second half
 }
 
-// bench is one sender's process with what it talks to.
+// bench is a sender process with its discovery and its receivers.
 type bench struct {
-	folder  string
-	log     *eventlog.Log
-	disc    *platform.Platform
-	sender  *fleet.Sender
-	good    *instant
-	bad     *instant
-	targets int
+	folder     string
+	log        *eventlog.Log
+	discovery  *platform.Platform
+	sender     *fleet.Sender
+	responsive *instantReceiver
+	hanging    *instantReceiver
+	targets    int
 }
 
 func (b *bench) close() {
 	if b.sender != nil {
 		b.sender.Close()
 	}
-	if b.disc != nil {
-		b.disc.Close()
+	if b.discovery != nil {
+		b.discovery.Close()
 	}
-	for _, i := range []*instant{b.good, b.bad} {
+	for _, i := range []*instantReceiver{b.responsive, b.hanging} {
 		if i != nil {
 			i.l.Close()
 		}
@@ -76,14 +76,14 @@
 }
 
 func (b *bench) target(cell, generation int) platform.Target {
-	addr := b.good.l.Addr().String()
+	addr := b.responsive.l.Addr().String()
 	if cell == b.targets {
-		addr = b.bad.l.Addr().String()
+		addr = b.hanging.l.Addr().String()
 	}
 	return platform.Target{ID: fmt.Sprintf("s-%d-%d", cell, generation), Addr: addr, Zone: "a", Kind: "plain", Cell: cell, State: platform.Serving, Weight: 1}
 }
 
-// start starts a sender with so many destinations, and one more that hangs.
+// start starts a sender with c.Listed destinations and one more that hangs.
 func start(command []string, folder string, c Case) (*bench, error) {
 	b := &bench{folder: folder, log: eventlog.New(nil, nil), targets: c.Listed}
 	b.log.Restart()
@@ -92,17 +92,17 @@
 		return nil, fmt.Errorf("cost: %w", err)
 	}
 	var err error
-	if b.good, err = newInstant(false); err != nil {
+	if b.responsive, err = newInstantReceiver(false); err != nil {
 		return fail(err)
 	}
-	if b.bad, err = newInstant(true); err != nil {
+	if b.hanging, err = newInstantReceiver(true); err != nil {
 		return fail(err)
 	}
-	b.disc = platform.New(b.log, func() string { return "127.0.0.1" }, func(string, string, string, time.Duration) {})
+	b.discovery = platform.New(b.log, func() string { return "127.0.0.1" }, func(string, string, string, time.Duration) {})
 	for i := range c.Listed + 1 {
-		b.disc.Set(b.target(i, 0))
+		b.discovery.Set(b.target(i, 0))
 	}
-	if _, err := b.disc.Open("n0"); err != nil {
+	if _, err := b.discovery.Open("n0"); err != nil {
 		return fail(err)
 	}
 	listen, err := fleet.FreeAddr("127.0.0.1")
@@ -110,7 +110,7 @@
 		return fail(err)
 	}
 	b.sender, err = fleet.New(fleet.Config{Name: "n0", Listen: listen, Folder: folder, Command: command, Log: b.log, Configure: func(run int, fresh bool) (map[string]any, error) {
-		return map[string]any{"discovery": b.disc.Addr("n0"), "seed": "5", "known": b.disc.Started("n0", run, fresh),
+		return map[string]any{"discovery": b.discovery.Addr("n0"), "seed": "5", "known": b.discovery.Started("n0", run, fresh),
 			"limits": map[string]any{"cores": 1.0, "memory_mb": c.Memory, "sockets": 16384, "disk_mb": 1024},
 			"settings": map[string]any{"balancers": 1, "discovery": "on_request", "step": 5.0, "zone": 0, "zones": []any{"a"}, "models": []any{"plain"},
 				"familyInfo": map[string]any{"callsOut": 256, "fades": "halving", "routesApart": []any{false}, "perCall": []any{1}},
@@ -130,7 +130,7 @@
 	return b, nil
 }
 
-// features writes the operators' file for a form, and gives the command that heeds it.
+// features writes the operators' file that a case needs, if any, and returns the command that uses it.
 func features(command []string, folder string, c Case) ([]string, error) {
 	if c.Fleet {
 		address, err := fleet.FreeAddr("127.0.0.1")
@@ -148,7 +148,7 @@
 	return withFile(command, folder, text)
 }
 
-// withFile has a command heed an operators' file.
+// withFile writes an operators' file and returns the command that uses it.
 func withFile(command []string, folder, text string) ([]string, error) {
 	path := filepath.Join(folder, "features.toml")
 	err := os.MkdirAll(folder, 0o755)
@@ -161,7 +161,7 @@
 	return append(slices.Clone(command), "-features", path), nil
 }
 
-// usage is the CPU time that a process has used, and its memory now and at the most.
+// usage returns the CPU time that a process has used, and its current and its peak resident memory in bytes.
 func usage(pid int) (cpu time.Duration, now, most int64, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -206,7 +206,7 @@
 		return Result{}, err
 	}
 	defer b.close()
-	if err := b.hold(c); err != nil {
+	if err := b.fillBacklog(c); err != nil {
 		return Result{}, err
 	}
 	if c.Churn > 0 {
@@ -214,10 +214,10 @@
 		defer close(stop)
 		go b.churn(c, stop)
 	}
-	return measure(ctx, c, b.sender.Listen, b.sender.PID(), b.good, c.request(), http.StatusAccepted)
+	return measure(ctx, c, b.sender.Listen, b.sender.PID(), b.responsive, c.request(), http.StatusAccepted)
 }
 
-// request makes the hand-ins of a case.
+// request returns a function that makes the n-th hand-in of a case.
 func (c Case) request() func(n int64) []byte {
 	body := bytes.Repeat([]byte("x"), c.Body)
 	return func(n int64) []byte {
@@ -232,8 +232,8 @@
 	}
 }
 
-// hold hands in what is to be held for the receiver that hangs.
-func (b *bench) hold(c Case) error {
+// fillBacklog hands in the backlog of messages for the receiver that hangs.
+func (b *bench) fillBacklog(c Case) error {
 	conn, err := dial(b.sender.Listen)
 	if err != nil {
 		return err
@@ -242,9 +242,9 @@
 	for n := range c.Backlog {
 		text := traffic.Submission{ID: "held-" + strconv.Itoa(n), Class: "safe", Tenant: "acme", Deadline: 20 * time.Minute, Dest: b.targets, Body: make([]byte, c.Body)}.Request()
 		for try := 0; ; try++ {
-			status, err := conn.ask(text)
+			status, err := conn.roundTrip(text)
 			if err != nil {
-				return fmt.Errorf("cost: holding: %w", err)
+				return fmt.Errorf("cost: fill backlog: %w", err)
 			}
 			if status == 202 {
 				break
@@ -258,7 +258,7 @@
 	return nil
 }
 
-// churn replaces endpoints by new ones, the quiet destinations' too.
+// churn replaces endpoints by new ones, including those of idle destinations.
 func (b *bench) churn(c Case, stop <-chan struct{}) {
 	t := time.NewTicker(time.Second / time.Duration(c.Churn))
 	defer t.Stop()
@@ -271,14 +271,14 @@
 		}
 		old := b.target(i, generation[i])
 		generation[i]++
-		b.disc.Set(b.target(i, generation[i]))
+		b.discovery.Set(b.target(i, generation[i]))
 		old.State = platform.Deleted
-		b.disc.Set(old)
+		b.discovery.Set(old)
 	}
 }
 
-// measure loads a server and reads what its process used.
-func measure(ctx context.Context, c Case, addr string, pid int, receiver *instant, request func(int64) []byte, want int) (Result, error) {
+// measure puts load on a server and measures its process.
+func measure(ctx context.Context, c Case, addr string, pid int, receiver *instantReceiver, request func(int64) []byte, want int) (Result, error) {
 	res := Result{Case: c}
 	l := newLoad(ctx, c.Clients, addr, request, want)
 	defer l.stop()
@@ -289,20 +289,20 @@
 	if err != nil {
 		return res, err
 	}
-	began, n, read := time.Now(), receiver.n.Load(), receiver.bytes.Load()
+	began, n, read := time.Now(), receiver.delivered.Load(), receiver.bytes.Load()
 	for end := began.Add(c.For); time.Now().Before(end) && ctx.Err() == nil; {
 		sleep(ctx, min(100*time.Millisecond, time.Until(end)))
-		_, held, _, err := usage(pid)
+		_, rss, _, err := usage(pid)
 		if err != nil {
 			return res, err
 		}
 		if half := &res.First; time.Until(end) > c.For/2 {
-			*half = max(*half, held)
+			*half = max(*half, rss)
 		} else {
-			res.Second = max(res.Second, held)
+			res.Second = max(res.Second, rss)
 		}
 	}
-	delivered, took := receiver.n.Load()-n, time.Since(began)
+	delivered, took := receiver.delivered.Load()-n, time.Since(began)
 	res.Out = int((receiver.bytes.Load() - read) / max(1, delivered))
 	res.In = len(request(l.number.Add(1)))
 	after, _, most, err := usage(pid)
@@ -323,7 +323,7 @@
 	return res, nil
 }
 
-// Folder is a new one for a case below a folder.
-func Folder(below string, c Case) string {
-	return filepath.Join(below, fmt.Sprintf("%d-%d-%d%s-%v", c.Listed, c.Busy, c.Backlog, c.Format, c.Fleet))
+// Folder returns the path of the folder for a case below parent.
+func Folder(parent string, c Case) string {
+	return filepath.Join(parent, fmt.Sprintf("%d-%d-%d%s-%v", c.Listed, c.Busy, c.Backlog, c.Format, c.Fleet))
 }
--- a/internal/faulttest/cost/errors.go
+++ b/internal/faulttest/cost/errors.go
@@ -6,26 +6,28 @@
 )
 
 var (
-	errShortStat        = errors.New("a stat file that is too short")
+	errShortStat        = errors.New("the process's stat file has too few fields")
 	errNothingDelivered = errors.New("cost: nothing was delivered")
-	errNoDocument       = errors.New("the sender takes no document")
+	errNoDocument       = errors.New("the sender accepted no limits document")
 )
 
-// answerError is an answer to a message of the backlog that is not 202.
+// answerError reports an answer other than 202 to a message of the backlog.
 type answerError struct{ message, status int }
 
 // Error implements error.
 func (e *answerError) Error() string {
-	return fmt.Sprintf("cost: holding: message %d is answered %d", e.message, e.status)
+	return fmt.Sprintf("cost: fill backlog: message %d was answered with status %d", e.message, e.status)
 }
 
-// noTimesError is a process whose processor time cannot be read.
+// noTimesError reports a process whose CPU time can't be read.
 type noTimesError struct{ pid int }
 
 // Error implements error.
-func (e *noTimesError) Error() string { return fmt.Sprintf("cost: process %d tells no times", e.pid) }
+func (e *noTimesError) Error() string {
+	return fmt.Sprintf("cost: no CPU times found for process %d", e.pid)
+}
 
-// refusalError is a sender's refusal of a document, in its own words.
+// refusalError reports that the sender refused a request; text is the body of its answer.
 type refusalError struct{ text string }
 
 // Error implements error.
--- a/internal/faulttest/cost/instant.go
+++ b/internal/faulttest/cost/instant.go
@@ -9,22 +9,22 @@
 	"sync/atomic"
 )
 
-// instant answers every call at once, and counts; hung ones are never answered.
-type instant struct {
-	l     net.Listener
-	n     atomic.Int64
-	bytes atomic.Int64
-	hang  bool
+// instantReceiver answers every call at once and counts the messages; with hang set it never answers.
+type instantReceiver struct {
+	l         net.Listener
+	delivered atomic.Int64
+	bytes     atomic.Int64
+	hang      bool
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-func newInstant(hang bool) (*instant, error) {
+func newInstantReceiver(hang bool) (*instantReceiver, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	i := &instant{l: l, hang: hang}
+	i := &instantReceiver{l: l, hang: hang}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -37,8 +37,8 @@
 	return i, nil
 }
 
-// serve reads requests by their Content-Length, without the cost of a whole parser.
-func (i *instant) serve(c net.Conn) {
+// serve reads requests by their Content-Length, without the cost of a full parser.
+func (i *instantReceiver) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReaderSize(c, 8<<10)
 	for {
@@ -71,10 +71,10 @@
 			io.Copy(io.Discard, r)
 			return
 		}
-		if _, err := io.WriteString(c, ok); err != nil {
+		if _, err := io.WriteString(c, okResponse); err != nil {
 			return
 		}
-		i.n.Add(messages)
+		i.delivered.Add(messages)
 		i.bytes.Add(int64(read + length))
 	}
 }
--- a/internal/faulttest/cost/load.go
+++ b/internal/faulttest/cost/load.go
@@ -26,7 +26,7 @@
 	return &client{c, bufio.NewReader(c)}, nil
 }
 
-func (c *client) ask(text []byte) (int, error) {
+func (c *client) roundTrip(text []byte) (int, error) {
 	c.SetDeadline(time.Now().Add(30 * time.Second))
 	if _, err := c.Write(text); err != nil {
 		return 0, err
@@ -39,12 +39,12 @@
 	return resp.StatusCode, err
 }
 
-// load is closed-loop clients at a server.
+// load is a number of closed-loop clients of a server.
 type load struct {
 	number, refused atomic.Int64
 	counting        atomic.Bool
 	mu              sync.Mutex
-	waits           []time.Duration // of those that ended while counting
+	waits           []time.Duration // latencies of the requests that ended while counting
 	wg              sync.WaitGroup
 	errs            chan error
 	cancel          context.CancelFunc
@@ -63,12 +63,12 @@
 				return
 			}
 			defer func() { conn.Close() }()
-			var mine []time.Duration
+			var waits []time.Duration
 			for ctx.Err() == nil {
 				text := request(l.number.Add(1))
 				began := time.Now()
-				status, err := conn.ask(text)
-				if err != nil { // the server may end a connection after an answer
+				status, err := conn.roundTrip(text)
+				if err != nil { // the server may close a connection after an answer
 					conn.Close()
 					if conn, err = dial(addr); err != nil {
 						l.errs <- err
@@ -80,30 +80,30 @@
 					l.refused.Add(1)
 					time.Sleep(5 * time.Millisecond)
 				} else if l.counting.Load() {
-					mine = append(mine, time.Since(began))
+					waits = append(waits, time.Since(began))
 				}
 			}
 			l.mu.Lock()
-			l.waits = append(l.waits, mine...)
+			l.waits = append(l.waits, waits...)
 			l.mu.Unlock()
 		}()
 	}
 	return l
 }
 
-// stop ends the clients; the error is the first that one of them met.
+// stop stops the clients and returns the first error of any client.
 func (l *load) stop() error {
 	l.cancel()
 	l.wg.Wait()
 	select {
 	case err := <-l.errs:
-		return fmt.Errorf("cost: a client: %w", err)
+		return fmt.Errorf("cost: client: %w", err)
 	default:
 		return nil
 	}
 }
 
-// sleep ends early with the context.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/faulttest/cost/proxy.go
+++ b/internal/faulttest/cost/proxy.go
@@ -21,7 +21,7 @@
 
 // Proxy measures a plain reverse proxy, started by command with the receiver's address in its environment.
 func Proxy(ctx context.Context, command []string, c Case) (Result, error) {
-	good, err := newInstant(false)
+	good, err := newInstantReceiver(false)
 	if err != nil {
 		return Result{}, err
 	}
@@ -56,7 +56,7 @@
 	}, 200)
 }
 
-// RunProxy is the proxy's process: httputil.ReverseProxy on one core, without a journal.
+// RunProxy runs the proxy in its own process: httputil.ReverseProxy on one core, without a journal.
 func RunProxy(ctx context.Context) error {
 	runtime.GOMAXPROCS(1)
 	to := &url.URL{Scheme: "http", Host: os.Getenv("PROXY_TO")}
--- a/internal/faulttest/fleet/errors.go
+++ b/internal/faulttest/fleet/errors.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// errNoFreePort means that each port that was tried had been given to another sender before.
-var errNoFreePort = errors.New("each port tried was given before")
+// errNoFreePort means that each port that was tried had already been assigned to another process.
+var errNoFreePort = errors.New("every port tried is already assigned")
 
 // ProcessError reports a sender process that is not in the state that a step of the day needs.
 type ProcessError struct {
--- a/internal/faulttest/fleet/fault.go
+++ b/internal/faulttest/fleet/fault.go
@@ -11,14 +11,14 @@
 	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
-// Suspend stops the process where it stands: its sockets stay open, and it knows nothing of the time that goes by. It returns
-// when all of its threads stand still.
+// Suspend stops the process: its sockets stay open, and it does not notice that time passes. Suspend returns when all of its threads are
+// stopped.
 func (s *Sender) Suspend() {
 	s.signal(syscall.SIGSTOP, eventlog.Event{Kind: eventlog.Paused, State: "on"})
 	s.waitStopped()
 }
 
-// waitStopped waits until each thread of the process is stopped: the signal alone takes a moment.
+// waitStopped waits until each thread of the process is stopped: the signal takes effect with a delay.
 func (s *Sender) waitStopped() {
 	pid := s.PID()
 	for end := time.Now().Add(2 * time.Second); pid != 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -26,7 +26,7 @@
 		running := 0
 		for _, path := range threads {
 			raw, _ := os.ReadFile(path)
-			// pid (name) state ...: proc_pid_stat(5); the name may hold anything.
+			// pid (name) state ...: proc_pid_stat(5); the name may contain any character.
 			if i := strings.LastIndexByte(string(raw), ')'); i < 0 || !strings.HasPrefix(string(raw[i+1:]), " T") {
 				running++
 			}
@@ -37,16 +37,16 @@
 	}
 }
 
-// Resume lets a paused process go on.
+// Resume continues a suspended process.
 func (s *Sender) Resume() {
 	s.signal(syscall.SIGCONT, eventlog.Event{Kind: eventlog.Paused, State: "off"})
 }
 
-// snapshotPath is where a copy of the lasting folder is.
+// snapshotPath returns the path of the copy of the state folder.
 func (s *Sender) snapshotPath() string { return filepath.Join(s.folder, s.Name, "kept") }
 
-// SaveSnapshot takes a copy of the lasting folder as it is, for Old. The process stands still meanwhile, so that the copy is of one
-// moment, as a snapshot of the disk would be.
+// SaveSnapshot copies the state folder for RestoreSnapshot. The process is stopped meanwhile, so that the copy shows a single point in
+// time, as a snapshot of the disk would.
 func (s *Sender) SaveSnapshot() error {
 	s.log.Add(eventlog.Event{Kind: eventlog.Folder, Sender: s.Name, Detail: "kept"})
 	if pid := s.PID(); pid != 0 {
@@ -57,19 +57,19 @@
 	return s.copyFolder(s.state(), s.snapshotPath())
 }
 
-// RestoreSnapshot puts the copy that Keep took in place of the folder; no process may run.
+// RestoreSnapshot replaces the state folder by the copy that SaveSnapshot took; no process may run.
 func (s *Sender) RestoreSnapshot() error {
 	if s.Running() {
-		return &ProcessError{Sender: s.Name, Problem: "runs: its folder can't be put back"}
+		return &ProcessError{Sender: s.Name, Problem: "runs: its state folder can't be restored"}
 	}
 	if _, err := os.Stat(s.snapshotPath()); err != nil {
-		return fmt.Errorf("sender %s: no copy of its folder was kept: %w", s.Name, err)
+		return fmt.Errorf("sender %s: no copy of its state folder: %w", s.Name, err)
 	}
 	s.log.Add(eventlog.Event{Kind: eventlog.Folder, Sender: s.Name, Detail: "old"})
 	return s.copyFolder(s.snapshotPath(), s.state())
 }
 
-// copyFolder makes to the same as from; sockets are left out.
+// copyFolder replaces to by a copy of from; sockets are left out.
 func (s *Sender) copyFolder(from, to string) error {
 	err := os.RemoveAll(to)
 	if err == nil {
@@ -95,7 +95,7 @@
 		})
 	}
 	if err != nil {
-		return fmt.Errorf("sender %s: its folder is copied: %w", s.Name, err)
+		return fmt.Errorf("sender %s: copy state folder: %w", s.Name, err)
 	}
 	return nil
 }
--- a/internal/faulttest/fleet/fleet.go
+++ b/internal/faulttest/fleet/fleet.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	// TermTime is from SIGTERM to SIGKILL.
+	// TermTime is the time from SIGTERM to SIGKILL.
 	TermTime = 3700 * time.Millisecond
-	// DownTime is from the end of a process to the next one's start.
+	// DownTime is the time from the end of a process to the start of the next one.
 	DownTime = 600 * time.Millisecond
 
-	frontNotices = 300 * time.Millisecond // after SIGTERM clients come for so long
+	acceptAfterTerm = 300 * time.Millisecond // clients still open connections for this long after SIGTERM
 
-	readyTime = 30 * time.Second // a sender is ready within this of its start
-	readyLook = 10 * time.Millisecond
+	readyTimeout      = 30 * time.Second // a sender must be ready within this after its start
+	readyPollInterval = 10 * time.Millisecond
 )
 
 // Sender is one sender machine: its address, its folder and its processes, one after another.
@@ -39,37 +39,37 @@
 	log          *eventlog.Log
 	configure    func(run int, fresh bool) (map[string]any, error)
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	run    int
-	asked  bool // its end was asked for
-	ready  bool
-	termed time.Time     // SIGTERM to the present process
-	ended  chan struct{} // of the present process
-	closed bool
-	cpu    time.Duration
-	memory int64 // most, bytes
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	run          int
+	endRequested bool // the kit has terminated or killed the present process
+	ready        bool
+	termSentAt   time.Time     // when SIGTERM was last sent
+	ended        chan struct{} // closed when the present process ends
+	closed       bool
+	cpu          time.Duration
+	memory       int64 // peak, bytes
 }
 
 // Config is what New needs. All fields are required.
 type Config struct {
 	Name    string
 	Listen  string   // address on which the sender serves clients
-	Folder  string   // below it the sender's files go
+	Folder  string   // the sender's files are created below it
 	Command []string // the sender's program and its arguments
 	Log     *eventlog.Log
 	// Configure returns the configuration of the next process, without the sender's name, address and folder.
 	Configure func(run int, fresh bool) (map[string]any, error)
 }
 
-// New makes a sender's machine.
+// New returns a sender machine with an empty state folder.
 func New(c Config) (*Sender, error) {
 	s := &Sender{Name: c.Name, Listen: c.Listen, folder: c.Folder, command: c.Command, log: c.Log, configure: c.Configure}
-	return s, s.empty()
+	return s, s.resetState()
 }
 
-// empty makes the lasting folder anew.
-func (s *Sender) empty() error {
+// resetState replaces the state folder by an empty one.
+func (s *Sender) resetState() error {
 	if err := os.RemoveAll(s.state()); err != nil {
 		return fmt.Errorf("sender %s: %w", s.Name, err)
 	}
@@ -79,15 +79,15 @@
 	return nil
 }
 
-// State is the folder that outlasts its processes.
+// State returns the path of the state folder, which persists across processes.
 func (s *Sender) State() string { return s.state() }
 
 func (s *Sender) state() string { return filepath.Join(s.folder, s.Name, "state") }
 
-// Log is the file with what the sender's processes wrote.
+// Log returns the path of the file with the output of the sender's processes.
 func (s *Sender) Log() string { return filepath.Join(s.folder, s.Name, "sender.log") }
 
-// Configure writes the configuration's file as a whole: a reader finds the old one or the new one.
+// Configure replaces the configuration file atomically: a reader sees either the old file or the new one.
 func (s *Sender) Configure(config map[string]any) (string, error) {
 	config["name"], config["listen"], config["state"] = s.Name, s.Listen, s.state()
 	raw, err := json.MarshalIndent(config, "", " ")
@@ -137,7 +137,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.cmd == cmd && !s.asked {
+	if s.cmd == cmd && !s.endRequested {
 		s.ready = true
 		s.log.Add(eventlog.Event{Kind: eventlog.Ready, Sender: s.Name, Run: run})
 	}
@@ -156,12 +156,12 @@
 	discovery, _ := config["discovery"].(string)
 	cmd.Env = []string{"TMPDIR=" + tmp, "HOME=" + tmp, "PATH=" + os.Getenv("PATH"), "EDGE_NAME=" + s.Name, "EDGE_LISTEN=" + s.Listen,
 		"EDGE_DISCOVERY=" + discovery, "EDGE_STATE=" + s.state(), "EDGE_CONFIG=" + path}
-	// A kit that is killed takes its senders with it; ^C reaches the kit alone, which then ends them.
+	// If the kit is killed, its senders are killed with it. ^C reaches the kit alone, which then ends its senders.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	return cmd, nil
 }
 
-// launch starts a process and returns what is closed at its end; nil if the sender was closed meanwhile.
+// launch starts a process and returns a channel that is closed at its end; nil if the sender was closed meanwhile.
 func (s *Sender) launch(cmd *exec.Cmd, run int, fresh bool) (chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,14 +176,14 @@
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("sender %s: %w", s.Name, err)
 	}
-	s.cmd, s.asked, s.ready, s.ended = cmd, false, false, make(chan struct{})
+	s.cmd, s.endRequested, s.ready, s.ended = cmd, false, false, make(chan struct{})
 	go s.wait(cmd, run, s.ended)
 	return s.ended, nil
 }
 
-// awaitReady asks the process whether it is ready until it is, has ended, or the time for it is over.
+// awaitReady polls the process until it is ready, it has ended, or readyTimeout is over.
 func (s *Sender) awaitReady(ended <-chan struct{}) error {
-	limit := time.Now().Add(readyTime)
+	limit := time.Now().Add(readyTimeout)
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	for {
 		resp, err := client.Get("http://" + s.Listen + "/-/ready")
@@ -197,10 +197,10 @@
 		select {
 		case <-ended:
 			return &ProcessError{Sender: s.Name, Problem: "ended before it was ready; its log is " + s.Log()}
-		case <-time.After(readyLook):
+		case <-time.After(readyPollInterval):
 		}
 		if time.Now().After(limit) {
-			return &ProcessError{Sender: s.Name, Problem: fmt.Sprintf("is not ready after %v; its log is %s", readyTime, s.Log())}
+			return &ProcessError{Sender: s.Name, Problem: fmt.Sprintf("is not ready after %v; its log is %s", readyTimeout, s.Log())}
 		}
 	}
 }
@@ -210,7 +210,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := eventlog.Event{Kind: eventlog.Exit, Sender: s.Name, Run: run, Status: cmd.ProcessState.ExitCode()}
-	if !s.asked {
+	if !s.endRequested {
 		e.Detail = "crash"
 	}
 	s.log.Add(e)
@@ -235,9 +235,9 @@
 		e.Sender, e.Run = s.Name, s.run
 		s.log.Add(e)
 	default:
-		s.asked, s.ready = true, false
+		s.endRequested, s.ready = true, false
 		if sig == syscall.SIGTERM {
-			s.termed = time.Now()
+			s.termSentAt = time.Now()
 		}
 		e.Sender, e.Run = s.Name, s.run
 		s.log.Add(e)
@@ -246,7 +246,7 @@
 	return s.ended
 }
 
-// Kill ends the process with SIGKILL; lost takes its folder too.
+// Kill ends the process with SIGKILL; lost also empties its state folder.
 func (s *Sender) Kill(lost bool) error {
 	e := eventlog.Event{Kind: eventlog.Killed}
 	if lost {
@@ -258,12 +258,12 @@
 	}
 	<-ended
 	if lost {
-		return s.empty()
+		return s.resetState()
 	}
 	return nil
 }
 
-// Term ends the process with SIGTERM, and with SIGKILL if it has not left by TermTime.
+// Term ends the process with SIGTERM, and with SIGKILL if it has not ended after TermTime.
 func (s *Sender) Term() {
 	ended := s.signal(syscall.SIGTERM, eventlog.Event{Kind: eventlog.Term})
 	if ended == nil {
@@ -288,24 +288,24 @@
 	return nil
 }
 
-// Ready is whether clients may use it: it runs, and its end has not been asked for.
+// Ready reports whether clients may use the sender: it has become ready and has not been terminated or killed since.
 func (s *Sender) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ready
 }
 
-// Accepts is whether clients still open connections to it: until a little after SIGTERM they do.
+// Accepts reports whether clients still open connections to the sender: until acceptAfterTerm after SIGTERM they do.
 func (s *Sender) Accepts() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ready || (s.cmd != nil && time.Since(s.termed) < frontNotices)
+	return s.ready || (s.cmd != nil && time.Since(s.termSentAt) < acceptAfterTerm)
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the sender listens.
 func (s *Sender) Addr() string { return s.Listen }
 
-// PID is the present process; 0 if there is none.
+// PID returns the id of the present process; 0 if there is none.
 func (s *Sender) PID() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -315,14 +315,14 @@
 	return s.cmd.Process.Pid
 }
 
-// Running is whether there is a process at all.
+// Running reports whether there is a process, ready or not.
 func (s *Sender) Running() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cmd != nil
 }
 
-// Used is the CPU time of the processes that have ended and the most memory that one of them held.
+// Used returns the CPU time of the processes that have ended, and the peak memory in bytes of any one of them.
 func (s *Sender) Used() (time.Duration, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -337,23 +337,23 @@
 	s.Kill(false)
 }
 
-// Ports that FreeAddr gives: below those that the system gives to callers and to listeners that name none, so that nobody is
-// given one between the look and the start of the process it is meant for.
+// Ports that FreeAddr returns: they lie below the system's ephemeral ports, so that the system assigns none of them between the check and
+// the start of the process that the port is meant for.
 const (
 	firstFreePort   = 10_000
 	freePortCount   = 20_000
 	maxPortAttempts = 100
 )
 
-// givenPorts are the ports that FreeAddr has given in this process: none is given twice.
-var givenPorts sync.Map
+// assignedPorts are the ports that FreeAddr has tried in this process: none is returned twice.
+var assignedPorts sync.Map
 
-// FreeAddr is an address at a host that nothing listens on, for a process that is started next.
+// FreeAddr returns an address at a host on which nothing listens, for a process that is started next.
 func FreeAddr(host string) (string, error) {
 	err := errNoFreePort
 	for range maxPortAttempts {
 		port := firstFreePort + rand.N(freePortCount)
-		if _, given := givenPorts.LoadOrStore(port, true); given {
+		if _, assigned := assignedPorts.LoadOrStore(port, true); assigned {
 			continue
 		}
 		var listener net.Listener
--- a/internal/faulttest/fleet/fleet_test.go
+++ b/internal/faulttest/fleet/fleet_test.go
@@ -15,7 +15,7 @@
 	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
-// The tests' own program stands in for a sender, in the way that its name says.
+// The test binary itself also acts as the sender process; the sender's name selects its behaviour.
 func TestMain(m *testing.M) {
 	if how := os.Getenv("EDGE_NAME"); strings.HasPrefix(how, "as-") {
 		play(how)
@@ -90,7 +90,7 @@
 	return len(raw)
 }
 
-// Its folder outlasts a kill and a restart, and not the machine.
+// The state folder survives a kill and a restart, but not the loss of the machine.
 func TestKillAndLose(t *testing.T) {
 	t.Parallel()
 	s, log := start(t, "sender")
@@ -100,19 +100,19 @@
 		}
 	}
 	if n := starts(t, s); n != 2 || !s.Ready() || !s.Accepts() {
-		t.Errorf("%d starts on this folder, ready %v", n, s.Ready())
+		t.Errorf("%d starts recorded in the state folder, ready %v", n, s.Ready())
 	}
 	if err := s.Kill(true); err != nil {
 		t.Fatal(err)
 	}
 	if s.Ready() || s.Running() || s.Accepts() {
-		t.Error("it runs though it was killed")
+		t.Error("the sender runs although it was killed")
 	}
 	if err := s.Start(true); err != nil {
 		t.Fatal(err)
 	}
 	if n := starts(t, s); n != 1 {
-		t.Errorf("%d starts on an empty folder", n)
+		t.Errorf("%d starts recorded since the state folder was emptied", n)
 	}
 	if got := kinds(log); got != "start new, ready, kill, exit, start, ready, kill lost, exit, start new, ready" {
 		t.Error(got)
@@ -122,7 +122,7 @@
 	}
 }
 
-// A process that leaves by itself has crashed; one that was asked to has not.
+// A process that ends by itself counts as crashed; one that the kit ends does not.
 func TestCrash(t *testing.T) {
 	t.Parallel()
 	s, log := start(t, "crash")
@@ -146,7 +146,7 @@
 	}
 }
 
-// One that does not leave at SIGTERM is killed at its time.
+// A process that ignores SIGTERM is killed after TermTime.
 func TestTermThenKill(t *testing.T) {
 	t.Parallel()
 	s, log := start(t, "stubborn")
@@ -163,12 +163,12 @@
 	}
 }
 
-// The configuration is there as a whole by the time that SIGHUP comes.
+// The new configuration is completely written before SIGHUP arrives.
 func TestReload(t *testing.T) {
 	t.Parallel()
 	s, _ := start(t, "sender")
 	if err := s.Reload(map[string]any{}); err == nil {
-		t.Error("a sender that does not run reads its configuration")
+		t.Error("no error for the reload of a sender that does not run")
 	}
 	if err := s.Start(true); err != nil {
 		t.Fatal(err)
@@ -186,11 +186,11 @@
 		}
 	}
 	if !s.Ready() {
-		t.Error("it is no longer ready")
+		t.Error("the sender is no longer ready")
 	}
 }
 
-// What was closed is not started again.
+// A closed sender is not started again.
 func TestClosed(t *testing.T) {
 	t.Parallel()
 	s, log := start(t, "sender")
@@ -200,13 +200,13 @@
 	}
 }
 
-// A copy of the folder is of the moment in which it was kept, and what came after is gone when it is put back; a paused
-// process is there, and says nothing until it goes on.
+// A snapshot has the state folder as it was when taken, and restoring it removes later changes. A suspended process keeps running but
+// does not answer until it is resumed.
 func TestSender_SuspendAndOldFolder(t *testing.T) {
 	t.Parallel()
 	s, log := start(t, "sender")
 	if err := s.RestoreSnapshot(); err == nil || !strings.Contains(err.Error(), "no copy") {
-		t.Errorf("without a copy: %v", err)
+		t.Errorf("restored without a copy: %v", err)
 	}
 	for _, step := range []func() error{func() error { return s.Start(true) }, s.SaveSnapshot, func() error { return s.Kill(false) }, func() error { return s.Start(false) }} {
 		if err := step(); err != nil {
@@ -214,16 +214,16 @@
 		}
 	}
 	if n := starts(t, s); n != 2 {
-		t.Errorf("%d starts on the folder", n)
+		t.Errorf("%d starts recorded in the state folder", n)
 	}
 	if err := s.RestoreSnapshot(); err == nil || !strings.Contains(err.Error(), "runs") {
-		t.Errorf("under a process: %v", err)
+		t.Errorf("restored while a process runs: %v", err)
 	}
 	s.Suspend()
 	client := http.Client{Timeout: 200 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 	if resp, err := client.Get("http://" + s.Listen); err == nil {
 		resp.Body.Close()
-		t.Error("it answers while it is paused")
+		t.Error("the sender answers while it is suspended")
 	}
 	s.Resume()
 	client.Timeout = 20 * time.Second
@@ -237,15 +237,15 @@
 			t.Fatal(err)
 		}
 	}
-	if n := starts(t, s); n != 2 { // the copy's, and this one
-		t.Errorf("%d starts on the old folder", n)
+	if n := starts(t, s); n != 2 { // the one in the copy, and this one
+		t.Errorf("%d starts recorded in the restored folder", n)
 	}
 	if got := kinds(log); got != "start new, ready, folder kept, kill, exit, start, ready, pause, pause, kill, exit, folder old, start, ready" {
 		t.Error(got)
 	}
 }
 
-// Addresses that are given lie below the ports of callers, are free, and differ.
+// FreeAddr returns addresses that lie below the ephemeral ports, are free, and differ.
 func TestFreeAddr(t *testing.T) {
 	seen := map[string]bool{}
 	for range 200 {
@@ -256,7 +256,7 @@
 		_, text, _ := net.SplitHostPort(addr)
 		port, _ := strconv.Atoi(text)
 		if seen[addr] || port < firstFreePort || port >= firstFreePort+freePortCount {
-			t.Errorf("%s is given, after %d others", addr, len(seen))
+			t.Errorf("%s is returned, after %d others", addr, len(seen))
 		}
 		seen[addr] = true
 		l, err := net.Listen("tcp", addr)
@@ -266,6 +266,6 @@
 		l.Close()
 	}
 	if _, err := FreeAddr("192.0.2.1"); err == nil {
-		t.Error("an address of another machine is given")
+		t.Error("no error for an address of another machine")
 	}
 }
--- a/internal/faulttest/mutant/dispatch.go
+++ b/internal/faulttest/mutant/dispatch.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// dispatch sends what may be sent now.
+// dispatch sends the messages that may be sent now and gives up those that have no time left.
 func (s *Sender) dispatch(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	for _, d := range s.dests {
 		for _, m := range slices.Clone(d.queue) {
-			if !m.out && now.After(m.deadline.Add(-margin)) {
+			if !m.inFlight && now.After(m.deadline.Add(-deadlineMargin)) {
 				s.giveUp(m)
 			}
 		}
@@ -31,10 +31,10 @@
 			if !s.hasCapacity(d, now) {
 				break
 			}
-			if m.out || m.over || now.Before(m.notBefore) || !s.turn(m, now) {
+			if m.inFlight || m.ended || now.Before(m.notBefore) || !s.isNext(m, now) {
 				continue
 			}
-			if !s.lawful(m, now) { // also one that an earlier process had sent
+			if !s.maySend(m, now) { // also if an earlier process sent the message
 				s.giveUp(m)
 				continue
 			}
@@ -45,33 +45,33 @@
 			if s.write(record{Op: "send", ID: m.ID, At: now.UnixMicro()}) != nil {
 				break
 			}
-			m.out, m.attempts = true, m.attempts+1
-			d.out++
-			d.nextProbe = now.Add(probeEach)
+			m.inFlight, m.attempts = true, m.attempts+1
+			d.inFlight++
+			d.nextProbe = now.Add(probeInterval)
 			go s.call(ctx, m, d, addr, now)
 		}
 	}
 }
 
-// hasCapacity is whether one more call may go to a receiver now.
+// hasCapacity reports whether one more call may go to a receiver now.
 func (s *Sender) hasCapacity(d *dest, now time.Time) bool {
 	switch {
-	case d.isOut:
-		return d.out == 0 && now.After(d.nextProbe)
+	case d.inOutage:
+		return d.inFlight == 0 && now.After(d.nextProbe)
 	case now.Before(d.warmUntil) && s.fault != FloodsRecovered:
-		return d.out == 0
+		return d.inFlight == 0
 	case s.fault == FloodsRecovered:
-		return d.out < 1000
+		return d.inFlight < 1000
 	}
-	return d.out < atOnce
+	return d.inFlight < maxInFlight
 }
 
-// turn is whether a message is first of its key and the key need not rest.
-func (s *Sender) turn(m *message, now time.Time) bool {
+// isNext reports whether a message is the first of its key and the key's rest time is over.
+func (s *Sender) isNext(m *message, now time.Time) bool {
 	if m.Order == "" || s.fault == Reorders {
 		return true
 	}
-	return s.turns[m.Order][0] == m && !now.Before(s.rest[m.Order])
+	return s.keyQueues[m.Order][0] == m && !now.Before(s.restUntil[m.Order])
 }
 
 func (s *Sender) pick(n int, d *dest) (string, bool) {
@@ -89,60 +89,60 @@
 	return s.endpoints[ids[d.next%len(ids)]].addr, true
 }
 
-// call makes one call and books its outcome.
+// call makes one call and records its outcome.
 func (s *Sender) call(ctx context.Context, m *message, d *dest, addr string, began time.Time) {
-	status, wait, never := once(ctx, m, addr, min(callTime, time.Until(m.deadline)-margin/2))
+	status, wait, notExecuted := sendOnce(ctx, m, addr, min(callTime, time.Until(m.deadline)-deadlineMargin/2))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	m.out = false
-	d.out--
-	if never {
+	m.inFlight = false
+	d.inFlight--
+	if notExecuted {
 		s.write(record{Op: "end", ID: m.ID, At: began.UnixMicro(), Never: true})
-	} else if m.first.IsZero() {
-		m.first = began
+	} else if m.firstMayHaveRun.IsZero() {
+		m.firstMayHaveRun = began
 	}
 	if wait > 0 {
 		d.waitUntil = now.Add(wait)
 	}
 	switch {
 	case status == http.StatusOK:
-		if d.isOut {
-			d.isOut, d.warmUntil = false, now.Add(warming)
+		if d.inOutage {
+			d.inOutage, d.warmUntil = false, now.Add(warmupTime)
 		}
 		d.fails = 0
-		s.end(m)
+		s.remove(m)
 		return
 	case status != http.StatusTooManyRequests:
 		if d.fails++; d.fails >= maxFailures {
-			d.isOut = true
+			d.inOutage = true
 		}
 	}
-	if !never && m.Order != "" {
-		s.rest[m.Order] = now.Add(s.finish())
+	if !notExecuted && m.Order != "" {
+		s.restUntil[m.Order] = now.Add(s.restTime())
 	}
 	m.notBefore = now.Add(100 * time.Millisecond)
-	if !s.lawful(m, now) {
+	if !s.maySend(m, now) {
 		s.giveUp(m)
 	}
 }
 
-// lawful is whether a message may be sent now, by its attempts and what may have come of them.
-func (s *Sender) lawful(m *message, now time.Time) bool {
+// maySend reports whether a message may be sent now, given its attempts and whether it may have run.
+func (s *Sender) maySend(m *message, now time.Time) bool {
 	c := s.classes[m.Class]
-	switch doubt := !m.first.IsZero(); {
+	switch mayHaveRun := !m.firstMayHaveRun.IsZero(); {
 	case m.attempts >= s.config.Settings.Limits.Attempts:
 		return false
-	case doubt && c.Effect == "non_idempotent":
+	case mayHaveRun && c.Effect == "non_idempotent":
 		return s.fault == RepeatsUnsafe
-	case doubt && c.Effect == "idempotency_key":
-		return now.Sub(m.first) < time.Duration(c.Window*float64(time.Millisecond))-callTime
+	case mayHaveRun && c.Effect == "idempotency_key":
+		return now.Sub(m.firstMayHaveRun) < time.Duration(c.Window*float64(time.Millisecond))-callTime
 	}
 	return true
 }
 
-// once makes a call on a connection of its own. never says that it surely did not run.
-func once(ctx context.Context, m *message, addr string, limit time.Duration) (status int, wait time.Duration, never bool) {
+// sendOnce makes a call on a connection of its own. notExecuted reports that the call certainly did not run.
+func sendOnce(ctx context.Context, m *message, addr string, limit time.Duration) (status int, wait time.Duration, notExecuted bool) {
 	if limit <= 0 {
 		return 0, 0, true
 	}
@@ -171,32 +171,32 @@
 	}
 	switch resp.StatusCode {
 	case 429, 503, 504, 410:
-		never = true
+		notExecuted = true
 	}
-	return resp.StatusCode, wait, never
+	return resp.StatusCode, wait, notExecuted
 }
 
-// end takes a message that is over from the books.
-func (s *Sender) end(m *message) {
-	if m.over {
+// remove marks a message as ended and removes it from the queues.
+func (s *Sender) remove(m *message) {
+	if m.ended {
 		return
 	}
-	m.over = true
+	m.ended = true
 	s.pending--
 	s.write(record{Op: "over", ID: m.ID})
 	d := s.dest(m.Dest)
 	d.queue = slices.DeleteFunc(d.queue, func(x *message) bool { return x == m })
 	if m.Order != "" {
-		s.turns[m.Order] = slices.DeleteFunc(s.turns[m.Order], func(x *message) bool { return x == m })
+		s.keyQueues[m.Order] = slices.DeleteFunc(s.keyQueues[m.Order], func(x *message) bool { return x == m })
 	}
 }
 
-// giveUp ends a message undelivered and tells the platform.
+// giveUp ends a message undelivered and sends the platform a notice.
 func (s *Sender) giveUp(m *message) {
-	if m.over {
+	if m.ended {
 		return
 	}
-	s.end(m)
+	s.remove(m)
 	line := fmt.Sprintf(`{"message":%q,"outcome":"given_up"}`+"\n", m.ID)
 	go func() {
 		for range 5 {
--- a/internal/faulttest/mutant/errors.go
+++ b/internal/faulttest/mutant/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// UnknownFaultError names a fault that no mutant has.
+// UnknownFaultError reports the name of a fault that no mutant has.
 type UnknownFaultError struct{ Fault Fault }
 
 // Error implements error.
@@ -10,7 +10,7 @@
 	return fmt.Sprintf("no fault is called %q; there are %v", e.Fault, Faults())
 }
 
-// statusError is an answer of discovery that is no success.
+// statusError reports an unsuccessful answer of discovery.
 type statusError struct{ status string }
 
 // Error implements error.
--- a/internal/faulttest/mutant/journal.go
+++ b/internal/faulttest/mutant/journal.go
@@ -31,7 +31,7 @@
 	return err
 }
 
-// replay takes up what an earlier process left. A torn last line was never answered for.
+// replay loads the messages that an earlier process left. A torn last line is skipped, as nothing was acknowledged on its basis.
 func (s *Sender) replay(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -62,21 +62,21 @@
 		case m == nil:
 		case r.Op == "send":
 			m.attempts++
-			if m.first.IsZero() {
-				m.first = time.UnixMicro(r.At)
+			if m.firstMayHaveRun.IsZero() {
+				m.firstMayHaveRun = time.UnixMicro(r.At)
 			}
-		case r.Op == "end" && r.Never && m.first.Equal(time.UnixMicro(r.At)):
-			m.first = time.Time{}
+		case r.Op == "end" && r.Never && m.firstMayHaveRun.Equal(time.UnixMicro(r.At)):
+			m.firstMayHaveRun = time.Time{}
 		case r.Op == "over":
-			m.over = true
+			m.ended = true
 		}
 	}
 	for _, m := range order {
-		if !m.over {
-			s.hold(m)
-			s.dest(m.Dest).warmUntil = time.Now().Add(warming)
+		if !m.ended {
+			s.enqueue(m)
+			s.dest(m.Dest).warmUntil = time.Now().Add(warmupTime)
 			if m.Order != "" {
-				s.rest[m.Order] = time.Now().Add(s.finish())
+				s.restUntil[m.Order] = time.Now().Add(s.restTime())
 			}
 		}
 	}
--- a/internal/faulttest/mutant/mutant.go
+++ b/internal/faulttest/mutant/mutant.go
@@ -1,5 +1,5 @@
-// Package mutant is a small sender written to try the judge: right as it stands, and with one fault for each
-// of the six rules. It shares no code with the real one and is no model of how to send well.
+// Package mutant is a small sender that tests the judge: correct by itself, and with one fault for each of the six rules. It shares no
+// code with the real sender and is not an example of how to write one.
 package mutant
 
 import (
@@ -19,34 +19,34 @@
 	"time"
 )
 
-// Fault is what a wrong sender does wrong.
+// Fault selects how a mutant breaks the rules.
 type Fault string
 
-// The faults, one for each rule, and the right sender.
+// The faults, one for each rule, and the correct sender.
 const (
 	Right             Fault = "right"
-	LosesMessages     Fault = "loses"   // rule 1: keeps nothing over a kill
-	RepeatsUnsafe     Fault = "repeats" // rule 2: sends again what may have run and may not be repeated
-	IgnoresDraining   Fault = "drains"  // rule 3: goes on sending to a drained endpoint
-	FloodsRecovered   Fault = "rushes"  // rule 4: sends all it holds to a receiver that is back
-	Reorders          Fault = "jumbles" // rule 5: keeps no order
-	IgnoresRetryAfter Fault = "nags"    // rule 6: sends during a wait
+	LosesMessages     Fault = "loses"   // rule 1: discards its messages when it restarts
+	RepeatsUnsafe     Fault = "repeats" // rule 2: repeats messages that may have run and must not be repeated
+	IgnoresDraining   Fault = "drains"  // rule 3: continues to send to a draining endpoint
+	FloodsRecovered   Fault = "rushes"  // rule 4: sends its whole backlog to a receiver after an outage
+	Reorders          Fault = "jumbles" // rule 5: ignores the order of messages with the same key
+	IgnoresRetryAfter Fault = "nags"    // rule 6: sends before the wait of a 429 is over
 )
 
-// Faults lists the faults by rule; the first, rule 0, is the right sender.
+// Faults lists the faults by rule; the first, rule 0, is the correct sender.
 func Faults() []Fault {
 	return []Fault{Right, LosesMessages, RepeatsUnsafe, IgnoresDraining, FloodsRecovered, Reorders, IgnoresRetryAfter}
 }
 
 const (
-	atOnce       = 6               // calls out to a receiver
-	callTime     = 2 * time.Second // a call is given up after this
-	dialTime     = 800 * time.Millisecond
-	probeEach    = 400 * time.Millisecond // of a receiver that is out
-	warming      = 15 * time.Second       // one call at a time for so long after an outage
-	maxFailures  = 3                      // failures in a row that make an outage
-	margin       = 150 * time.Millisecond // a message ends so long before its time
-	listInterval = 100 * time.Millisecond
+	maxInFlight    = 6               // calls in flight to a receiver
+	callTime       = 2 * time.Second // a call is given up after this
+	dialTime       = 800 * time.Millisecond
+	probeInterval  = 400 * time.Millisecond // between calls to a receiver in an outage
+	warmupTime     = 15 * time.Second       // for this long after an outage a receiver gets one call at a time
+	maxFailures    = 3                      // consecutive failures that count as an outage
+	deadlineMargin = 150 * time.Millisecond // a message is given up this long before its deadline
+	listInterval   = 100 * time.Millisecond
 )
 
 type class struct {
@@ -74,12 +74,12 @@
 
 type message struct {
 	record
-	deadline  time.Time
-	attempts  int
-	first     time.Time // of the first call that may have run; zero if none may
-	out       bool
-	over      bool
-	notBefore time.Time
+	deadline        time.Time
+	attempts        int
+	firstMayHaveRun time.Time // start of the first call that may have run; zero if there is none
+	inFlight        bool
+	ended           bool
+	notBefore       time.Time
 }
 
 type endpoint struct {
@@ -90,16 +90,16 @@
 
 type dest struct {
 	queue     []*message
-	out       int
+	inFlight  int
 	fails     int
-	isOut     bool
+	inOutage  bool
 	warmUntil time.Time
 	nextProbe time.Time
 	waitUntil time.Time
 	next      int
 }
 
-// Sender is a running one.
+// Sender is a running mutant.
 type Sender struct {
 	fault   Fault
 	config  config
@@ -109,10 +109,10 @@
 	mu        sync.Mutex
 	ids       map[string]*message
 	dests     map[int]*dest
-	turns     map[string][]*message // by key of the order
-	rest      map[string]time.Time
+	keyQueues map[string][]*message // by order key
+	restUntil map[string]time.Time
 	endpoints map[string]*endpoint
-	kick      chan struct{}
+	wake      chan struct{}
 	pending   int
 }
 
@@ -125,8 +125,8 @@
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	s := &Sender{fault: fault, classes: map[string]class{}, ids: map[string]*message{}, dests: map[int]*dest{}, turns: map[string][]*message{},
-		rest: map[string]time.Time{}, endpoints: map[string]*endpoint{}, kick: make(chan struct{}, 1)}
+	s := &Sender{fault: fault, classes: map[string]class{}, ids: map[string]*message{}, dests: map[int]*dest{}, keyQueues: map[string][]*message{},
+		restUntil: map[string]time.Time{}, endpoints: map[string]*endpoint{}, wake: make(chan struct{}, 1)}
 	if err := json.Unmarshal(raw, &s.config); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
@@ -165,14 +165,14 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-		case <-s.kick:
+		case <-s.wake:
 		}
 		s.dispatch(ctx)
 	}
 }
 
-func (s *Sender) finish() time.Duration {
-	return time.Duration(s.config.Settings.Rules.OrderRest*float64(time.Millisecond)) + margin
+func (s *Sender) restTime() time.Duration {
+	return time.Duration(s.config.Settings.Rules.OrderRest*float64(time.Millisecond)) + deadlineMargin
 }
 
 func (s *Sender) dest(n int) *dest {
@@ -182,13 +182,13 @@
 	return s.dests[n]
 }
 
-func (s *Sender) hold(m *message) {
+func (s *Sender) enqueue(m *message) {
 	s.ids[m.ID] = m
 	s.pending++
 	d := s.dest(m.Dest)
 	d.queue = append(d.queue, m)
 	if m.Order != "" {
-		s.turns[m.Order] = append(s.turns[m.Order], m)
+		s.keyQueues[m.Order] = append(s.keyQueues[m.Order], m)
 	}
 }
 
@@ -218,16 +218,16 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		s.hold(m)
+		s.enqueue(m)
 	}
 	w.WriteHeader(http.StatusAccepted)
 	select {
-	case s.kick <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// list asks discovery for what is newer than a version, or for the whole.
+// list requests from discovery the changes since a version, or the full list if after is negative.
 func (s *Sender) list(ctx context.Context, after int64, version *int64) error {
 	url := "http://" + s.config.Discovery + "/api/targets"
 	if after >= 0 {
--- a/internal/faulttest/traffic/clients.go
+++ b/internal/faulttest/traffic/clients.go
@@ -21,54 +21,54 @@
 )
 
 const (
-	avoidTime        = time.Second            // clients stay away so long from a sender that refused a connection
-	failoverDelay    = 250 * time.Millisecond // and try another after this
-	minResubmitDelay = 540 * time.Millisecond // what a lost sender held comes again after this
+	avoidTime        = time.Second            // clients avoid a sender for this long after a connection to it failed
+	failoverDelay    = 250 * time.Millisecond // and try another sender after this
+	minResubmitDelay = 540 * time.Millisecond // messages of a lost sender are handed in again after a random delay of at least this
 	maxResubmitDelay = 1500 * time.Millisecond
 	lostAnswerDelay  = 50 * time.Millisecond  // an event without an answer is handed in again after this
-	maxRetryAfter    = 2 * time.Second        // the longest Retry-After that is heeded
+	maxRetryAfter    = 2 * time.Second        // a longer Retry-After is cut to this
 	minTimeLeft      = 100 * time.Millisecond // with less time left a message is not handed in again
-	maxOutcomeWait   = 3 * time.Second        // an end that comes later than this after the time is up is not waited for
-	idleConns        = 64                     // connections kept to a sender
+	maxOutcomeWait   = 3 * time.Second        // an outcome is awaited until this long after the deadline
+	idleConns        = 64                     // idle connections kept to each sender
 )
 
 // Target is a sender as clients see it.
 type Target interface {
-	// Accepts is whether new connections still come to it: it runs, or is only just leaving.
+	// Accepts reports whether clients still open connections to the sender: it runs, or has only just begun to shut down.
 	Accepts() bool
-	// Addr is where it listens.
+	// Addr returns the address on which the sender listens.
 	Addr() string
 }
 
 // Clients hand in the messages of a day.
 type Clients struct {
-	plan     *script.Plan
-	log      *eventlog.Log
-	registry *Registry
-	late     func(time.Duration) // hears by how much each message was handed in late
-	random   *rand.Rand          // under mu
-	mu       sync.Mutex
-	pools    []*pool // by sender; grows when one joins
-	wg       sync.WaitGroup
+	plan           *script.Plan
+	log            *eventlog.Log
+	registry       *Registry
+	reportLateness func(time.Duration) // gets the lateness of each message's first hand-in
+	random         *rand.Rand          // under mu
+	mu             sync.Mutex
+	pools          []*pool // by sender; Join adds one
+	wg             sync.WaitGroup
 }
 
 type pool struct {
 	name   string
 	target Target
 
-	mu    sync.Mutex
-	idle  []*link
-	avoid time.Time
+	mu         sync.Mutex
+	idle       []*clientConn
+	avoidUntil time.Time
 }
 
-type link struct {
+type clientConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-// New makes the clients of a plan.
-func New(plan *script.Plan, log *eventlog.Log, book *Registry, late func(time.Duration)) *Clients {
-	return &Clients{plan: plan, log: log, registry: book, late: late, random: rand.New(rand.NewPCG(plan.Day.Seed, 77))}
+// New returns the clients of a plan.
+func New(plan *script.Plan, log *eventlog.Log, registry *Registry, reportLateness func(time.Duration)) *Clients {
+	return &Clients{plan: plan, log: log, registry: registry, reportLateness: reportLateness, random: rand.New(rand.NewPCG(plan.Day.Seed, 77))}
 }
 
 // Join lets clients use one more sender.
@@ -78,15 +78,14 @@
 	c.pools = append(c.pools, &pool{name: name, target: t})
 }
 
-// draw is a number in [0, n) from the day's seed.
+// draw returns a random number in [0, n) from the day's seed.
 func (c *Clients) draw(n float64) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.random.Float64() * n
 }
 
-// Run hands in every message when its time has come, and returns when all have come to their end, their
-// ends are overdue, or ctx ends.
+// Run hands in every message at its time. It returns when all messages have ended or their outcomes are overdue, or when ctx ends.
 func (c *Clients) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -101,7 +100,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		c.late(c.log.Now() - a.At)
+		c.reportLateness(c.log.Now() - a.At)
 		c.wg.Add(1)
 		go func() {
 			defer c.wg.Done()
@@ -125,16 +124,17 @@
 	p.idle = nil
 }
 
-// usable is whether a client would turn to this sender now.
+// usable reports whether a client may use this sender now.
 func (p *pool) usable() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Now().After(p.avoid) && (p.target.Accepts() || len(p.idle) > 0)
+	return time.Now().After(p.avoidUntil) && (p.target.Accepts() || len(p.idle) > 0)
 }
 
-// own is the sender of the n-th message's client: as planned, or one that has joined since, and is up: clients of each
-// planned sender turn to it until all have an even part. By number, so that a day is the same each time it is played.
-func (c *Clients) own(n int, a script.Arrival) int {
+// homeSender returns the sender of the n-th message's client: the planned sender, or one that joined later and is up. Clients of every
+// planned sender move to joined ones, so that all senders get an equal share. The draw depends only on the seed and n, so that a day is
+// the same each time it is run.
+func (c *Clients) homeSender(n int, a script.Arrival) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	up := 0
@@ -157,20 +157,20 @@
 	return a.Sender
 }
 
-// choose is the client's own sender, or the next that can be used; nil if there is none.
-func (c *Clients) choose(own int) *pool {
+// choose returns the client's home sender, or the next sender that is usable; nil if there is none.
+func (c *Clients) choose(home int) *pool {
 	c.mu.Lock()
 	pools := c.pools
 	c.mu.Unlock()
 	for i := range pools {
-		if p := pools[(own+i)%len(pools)]; p.usable() {
+		if p := pools[(home+i)%len(pools)]; p.usable() {
 			return p
 		}
 	}
 	return nil
 }
 
-// Sleep waits for a time; false if ctx ended before.
+// Sleep waits for d; false if ctx ended first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -182,33 +182,33 @@
 	}
 }
 
-// message is one message from its arrival to its end, over all its hand-ins.
+// message handles one message from its arrival to its end, over all its hand-ins.
 func (c *Clients) message(ctx context.Context, n int, a script.Arrival) {
 	class := c.plan.Classes[a.Class]
 	unsafe := class.Effect == "unsafe"
 	began := c.log.Now()
 	expires := began + class.Deadline.D()
 	retries := *c.plan.Day.Retries
-	pause := c.plan.Day.FirstBackoff.D()
-	mark := ""
-	var first *handIn // an event that got no answer: its client hands in the same again
-	var at *pool      // to the same sender, which alone knows it
-	own := c.own(n, a)
+	backoff := c.plan.Day.FirstBackoff.D()
+	retryMark := ""
+	var unanswered *handIn // an event that got no answer: its client hands the same event in again
+	var unansweredAt *pool // at this sender, the only one that can recognize it
+	home := c.homeSender(n, a)
 	for try := 0; ; {
 		left := expires - c.log.Now()
 		if left < minTimeLeft {
 			return
 		}
-		p := c.choose(own)
+		p := c.choose(home)
 		switch {
-		case first == nil:
-		case at.usable():
-			p = at
-		case unsafe: // elsewhere it might run twice
+		case unanswered == nil:
+		case unansweredAt.usable():
+			p = unansweredAt
+		case unsafe: // at another sender it might run twice
 			p = nil
-		case p != nil: // elsewhere it is another event
-			c.registry.close(first)
-			first = nil
+		case p != nil: // at another sender it counts as a new event
+			c.registry.abandon(unanswered)
+			unanswered = nil
 		}
 		if p == nil {
 			if !Sleep(ctx, failoverDelay/2) {
@@ -221,79 +221,79 @@
 		if f == encoding.Batched {
 			id += encoding.BatchTail
 		}
-		h := first
+		h := unanswered
 		if h != nil {
-			c.registry.alias(h, id)
+			c.registry.addAlias(h, id)
 		} else {
 			h = &handIn{id: id, sender: p.name, dest: a.Dest, unsafe: unsafe, outcome: make(chan end, 1)}
-			c.registry.enter(h)
+			c.registry.add(h)
 		}
-		ans := c.handIn(p, h, submit{id: id, number: n, attempt: try, arrival: a, class: class, left: left, retry: mark})
+		ans := c.handIn(p, h, submit{id: id, number: n, attempt: try, arrival: a, class: class, left: left, retry: retryMark})
 		var wait time.Duration
 		switch {
 		case ans.detail == "down": // nothing was sent, or nothing that could have been read
-			if first == nil {
-				c.registry.close(h)
+			if unanswered == nil {
+				c.registry.abandon(h)
 			}
 			if !Sleep(ctx, failoverDelay) {
 				return
 			}
 			continue
-		case ans.status == 0 && f != encoding.Plain && f != "": // no answer: the same event again
-			first, at, mark = h, p, "again"
+		case ans.status == 0 && f != encoding.Plain && f != "": // no answer: the same event is handed in again
+			unanswered, unansweredAt, retryMark = h, p, "again"
 			if !Sleep(ctx, lostAnswerDelay) {
 				return
 			}
-			continue // it is no refusal: it counts against nothing
-		case ans.status == 0: // no answer: what becomes of that id counts for nothing
-			c.registry.close(h)
+			continue // not a refusal: it does not use up a retry
+		case ans.status == 0: // no answer: the outcome of this id is ignored
+			c.registry.abandon(h)
 			if unsafe {
-				return // it may have been taken on, and might run twice
+				return // the sender may have accepted it, so it might run twice
 			}
-			wait, mark = 0, "again"
+			wait, retryMark = 0, "again"
 		case ans.status == http.StatusAccepted || ans.status == http.StatusOK:
-			first = nil
+			unanswered = nil
 			e, ok := c.awaitOutcome(ctx, h, expires)
 			switch {
 			case !ok || e.how == "delivered" || e.how == "given_up":
 				return
 			case e.how == "lost":
-				wait, mark = minResubmitDelay+time.Duration(c.draw(float64(maxResubmitDelay-minResubmitDelay))), "again"
+				wait, retryMark = minResubmitDelay+time.Duration(c.draw(float64(maxResubmitDelay-minResubmitDelay))), "again"
 				if !Sleep(ctx, wait) {
 					return
 				}
-				try++ // it is no refusal: it counts against nothing
+				try++ // not a refusal: it does not use up a retry
 				continue
 			default: // handed_back
-				wait, mark = max(e.retry, 0), "1"
+				wait, retryMark = max(e.retry, 0), "1"
 				if e.retry == 0 {
-					wait = pause
+					wait = backoff
 				}
 			}
 		case ans.status == http.StatusTooManyRequests || ans.status == http.StatusServiceUnavailable:
-			c.registry.close(h)
-			first = nil
-			wait, mark = min(ans.retry, maxRetryAfter), "1"
+			c.registry.abandon(h)
+			unanswered = nil
+			wait, retryMark = min(ans.retry, maxRetryAfter), "1"
 			if ans.retry == 0 {
-				wait = pause
+				wait = backoff
 			}
 		default: // failed
-			c.registry.close(h)
+			c.registry.abandon(h)
 			return
 		}
 		if try++; retries == 0 {
 			return
 		}
 		retries--
-		pause *= 2
-		// A little apart, so that those refused together do not come back together.
+		backoff *= 2
+		// With jitter, so that messages that were refused together are not handed in again together.
 		if !Sleep(ctx, wait+time.Duration(c.draw(float64(wait)/5))) {
 			return
 		}
 	}
 }
 
-// awaitOutcome waits for the end of a message that was taken on.
+// awaitOutcome waits for the outcome of an accepted message; false if it is overdue or ctx ended.
 func (c *Clients) awaitOutcome(ctx context.Context, h *handIn, expires time.Duration) (end, bool) {
 	t := time.NewTimer(expires - c.log.Now() + maxOutcomeWait)
 	defer t.Stop()
@@ -329,7 +329,7 @@
 	Body              []byte
 }
 
-// Request is the text of the request.
+// Request returns the request in HTTP/1.1 form.
 func (m Submission) Request() []byte {
 	text := fmt.Sprintf("POST /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: %s\r\nX-Deadline-Ms: %d\r\nX-Addressing: dest=%d\r\n",
 		m.ID, m.Class, m.Tenant, m.Deadline.Milliseconds(), m.Dest)
@@ -345,7 +345,7 @@
 	return append([]byte(text+"Content-Length: "+strconv.Itoa(len(m.Body))+"\r\n\r\n"), m.Body...)
 }
 
-// submit is one of the requests for a message.
+// submit is one request to hand in a message.
 type submit struct {
 	id      string // of the request
 	number  int    // of the message
@@ -356,7 +356,7 @@
 	retry   string        // X-Retry
 }
 
-// handIn hands a message in once and waits for the answer as long as clients do.
+// handIn hands a message in once and waits for the answer until the client's time-out.
 func (c *Clients) handIn(p *pool, h *handIn, s submit) reply {
 	id, n, a, class, left, retry := s.id, s.number, s.arrival, s.class, s.left, s.retry
 	r := c.plan.Receivers[a.Dest]
@@ -394,16 +394,16 @@
 	if share := c.plan.Day.LostAnswers; share > 0 && ans.status != 0 && f != encoding.Plain && f != "" && c.draw(1) < share {
 		ans = reply{detail: "lost"}
 	}
-	ans2 := eventlog.Event{Kind: eventlog.Answer, Sender: p.name, ID: id, Status: ans.status, RetryMS: ans.retry.Milliseconds(), Detail: ans.detail}
+	answered := eventlog.Event{Kind: eventlog.Answer, Sender: p.name, ID: id, Status: ans.status, RetryMS: ans.retry.Milliseconds(), Detail: ans.detail}
 	if ans.status == http.StatusAccepted || ans.status == http.StatusOK {
-		c.registry.take(h)
+		c.registry.accept(h)
 	}
-	c.log.Add(ans2)
+	c.log.Add(answered)
 	return ans
 }
 
-// takeIdle takes a connection that is kept and has not been closed by its other side; nil if there is none.
-func (p *pool) takeIdle() *link {
+// takeIdle returns an idle connection that the sender has not closed; nil if there is none.
+func (p *pool) takeIdle() *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.idle) > 0 {
@@ -417,8 +417,8 @@
 	return nil
 }
 
-// open looks, without waiting, whether the other side has closed or said something unasked.
-func (l *link) open() bool {
+// open reports, without blocking, whether the sender has neither closed the connection nor sent data without a request.
+func (l *clientConn) open() bool {
 	raw, err := l.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
@@ -432,10 +432,10 @@
 	return err == nil && open
 }
 
-// do sends a request. A connection kept from before may have been closed as the request crossed: it is then
-// sent once more on a new one. writing is called right before each write.
+// do sends a request. If a reused idle connection is closed while the request is on its way, do sends the request again on another
+// connection. writing is called right before each write.
 func (p *pool) do(text []byte, patience time.Duration, writing func()) reply {
-	crossed := false // a request on a kept connection came to nothing, and may have been read
+	closedEarly := false // a request on an idle connection got no answer, and may have been read
 	for {
 		l := p.takeIdle()
 		kept := l != nil
@@ -443,14 +443,14 @@
 			conn, err := net.DialTimeout("tcp", p.target.Addr(), patience)
 			if err != nil {
 				p.mu.Lock()
-				p.avoid = time.Now().Add(avoidTime)
+				p.avoidUntil = time.Now().Add(avoidTime)
 				p.mu.Unlock()
-				if crossed {
+				if closedEarly {
 					return reply{detail: "gone"}
 				}
 				return reply{detail: "down"}
 			}
-			l = &link{conn, bufio.NewReader(conn)}
+			l = &clientConn{conn, bufio.NewReader(conn)}
 		}
 		writing()
 		l.SetDeadline(time.Now().Add(patience))
@@ -459,12 +459,12 @@
 		if err == nil {
 			if _, err = l.r.Peek(1); err != nil && kept && !errors.Is(err, os.ErrDeadlineExceeded) {
 				l.Close()
-				crossed = true
+				closedEarly = true
 				continue
 			}
 		} else if kept {
 			l.Close()
-			crossed = true
+			closedEarly = true
 			continue
 		}
 		if err == nil {
--- a/internal/faulttest/traffic/registry.go
+++ b/internal/faulttest/traffic/registry.go
@@ -1,5 +1,5 @@
-// Package traffic is the clients: they hand messages in, are refused, lose patience, come again, and keep
-// the book of what they are owed.
+// Package traffic simulates the clients: they hand messages in, time out, retry refused messages, and record the messages whose outcome
+// they wait for.
 package traffic
 
 import (
@@ -9,58 +9,59 @@
 	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
-// end is how a message that was taken on came to its end, as far as its client hears.
+// end is the outcome of an accepted message as its client learns it.
 type end struct {
 	how   string // delivered, given_up, handed_back, lost
 	retry time.Duration
 }
 
-// handIn is one request of a client. A message that comes again is another, under a new id.
+// handIn is one request of a client. A retry of its message is another hand-in, under a new id.
 type handIn struct {
 	id, sender string
 	dest       int
 	unsafe     bool
 	calls      int
 	mayRun     bool
-	taken      bool
-	over       bool
-	outcome    chan end // room for one
+	accepted   bool
+	ended      bool
+	outcome    chan end // buffers one outcome
 }
 
-// Registry is what the stand-ins know of each message: whose it is, and how it ended.
+// Registry records the sender and the outcome of each message for the simulated receivers and clients.
 type Registry struct {
-	log         *eventlog.Log
-	maxAttempts int
-	open        bool // anybody may hand in
+	log            *eventlog.Log
+	maxAttempts    int
+	acceptsUnknown bool // also accepts calls with unknown ids
 
 	mu   sync.Mutex
 	byID map[string]*handIn
 }
 
-// NewRegistry makes an empty book. An open one takes calls with messages that it has never heard of.
-func NewRegistry(log *eventlog.Log, mostAttempts int, open bool) *Registry {
-	return &Registry{log: log, maxAttempts: mostAttempts, open: open, byID: map[string]*handIn{}}
+// NewRegistry returns an empty registry. With acceptsUnknown it also accepts calls with ids that it has no hand-in for.
+func NewRegistry(log *eventlog.Log, maxAttempts int, acceptsUnknown bool) *Registry {
+	return &Registry{log: log, maxAttempts: maxAttempts, acceptsUnknown: acceptsUnknown, byID: map[string]*handIn{}}
 }
 
-// alias books that a hand-in repeats the event of h under another id of the request: what ends the one ends the other.
-func (b *Registry) alias(h *handIn, id string) {
+// addAlias records that a hand-in repeats the event of h under another request id: an outcome under either id ends both.
+func (b *Registry) addAlias(h *handIn, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.byID[id] = h
 }
 
-func (b *Registry) enter(h *handIn) {
+func (b *Registry) add(h *handIn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.byID[h.id] = h
 }
 
-// Called says whose a message is, and whether the call is within its attempts.
+// Called counts a call and returns its message's sender and whether the call is within the allowed attempts; ok is false for an id that
+// was not handed in for dest.
 func (b *Registry) Called(id string, dest int) (sender string, within, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := b.byID[id]
-	if h == nil && b.open && id != "" {
+	if h == nil && b.acceptsUnknown && id != "" {
 		return "", true, true
 	}
 	if h == nil || h.dest != dest {
@@ -71,10 +72,10 @@
 	return h.sender, h.calls <= b.maxAttempts, true
 }
 
-// Delivered says that a message's 200 is written.
+// Delivered records that the 200 for a message has been written.
 func (b *Registry) Delivered(id string) { b.finish(id, end{how: "delivered"}) }
 
-// Notice takes a line that a sender told the platform.
+// Notice records a notice that a sender sent to the platform.
 func (b *Registry) Notice(sender, id, outcome string, retry time.Duration) {
 	b.log.Add(eventlog.Event{Kind: eventlog.Notice, Sender: sender, ID: id, Outcome: outcome, RetryMS: retry.Milliseconds()})
 	b.finish(id, end{outcome, retry})
@@ -84,22 +85,22 @@
 func (b *Registry) finish(id string, e end) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if h := b.byID[id]; h != nil && !h.over {
-		h.over = true
+	if h := b.byID[id]; h != nil && !h.ended {
+		h.ended = true
 		h.outcome <- e
 	}
 }
 
-// Lost says that a sender's folder is gone: what it had taken on comes back to its clients, unless it may
-// have run and may not be repeated; that ends.
+// Lost records that a sender's state folder is lost. Messages that the sender had accepted go back to their clients, except those that
+// may have run and must not be repeated: these are given up.
 func (b *Registry) Lost(sender string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, h := range b.byID {
-		if h.sender != sender || !h.taken || h.over {
+		if h.sender != sender || !h.accepted || h.ended {
 			continue
 		}
-		h.over = true
+		h.ended = true
 		if h.unsafe && h.mayRun {
 			h.outcome <- end{how: "given_up"}
 		} else {
@@ -108,29 +109,29 @@
 	}
 }
 
-// take marks a message as taken on.
-func (b *Registry) take(h *handIn) {
+// accept marks a message as accepted by its sender.
+func (b *Registry) accept(h *handIn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	h.taken = true
+	h.accepted = true
 }
 
-// close ends a hand-in that its client counts on no longer; false if it had ended by itself.
-func (b *Registry) close(h *handIn) bool {
+// abandon ends a hand-in on which its client no longer relies; false if the hand-in had already ended.
+func (b *Registry) abandon(h *handIn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	was := h.over
-	h.over = true
+	was := h.ended
+	h.ended = true
 	return !was
 }
 
-// Open is how many messages are taken on and have not ended.
+// Open returns how many messages are accepted and have not ended.
 func (b *Registry) Open() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
 	for _, h := range b.byID {
-		if h.taken && !h.over {
+		if h.accepted && !h.ended {
 			n++
 		}
 	}
--- a/internal/faulttest/traffic/traffic_test.go
+++ b/internal/faulttest/traffic/traffic_test.go
@@ -25,7 +25,7 @@
 	addr string
 	l    net.Listener
 	off  atomic.Bool
-	conn atomic.Int32 // connections taken
+	conn atomic.Int32 // connections accepted
 	mu   sync.Mutex
 	seen []*http.Request
 }
@@ -88,7 +88,7 @@
 	log      *eventlog.Log
 }
 
-// play hands in one message of a class with an effect to senders, and waits for its end.
+// play hands in one message of a class with the given effect and waits until the message ends.
 func play(t *testing.T, effect string, edit func(*script.Plan), targets func(w *world) []*target) *world {
 	t.Helper()
 	retries := 3
@@ -114,12 +114,12 @@
 	select {
 	case <-done:
 	case <-time.After(30 * time.Second):
-		t.Fatal("the message has no end")
+		t.Fatal("the message has not ended")
 	}
 	return w
 }
 
-// answers are the answers in the log, in order.
+// answers returns the answers in the log, in order.
 func (w *world) answers() string {
 	var all []string
 	for _, e := range w.log.Events() {
@@ -140,10 +140,10 @@
 		s = newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
 			id := r.Header.Get("X-Request-Id")
 			if sender, within, ok := w.registry.Called(id, 0); sender != "n0" || !within || !ok {
-				t.Errorf("the book: %s %v %v", sender, within, ok)
+				t.Errorf("Called returns %s %v %v", sender, within, ok)
 			}
 			if _, _, ok := w.registry.Called(id, 1); ok {
-				t.Error("a call at another receiver is known")
+				t.Error("a call at another receiver is accepted")
 			}
 			defer w.registry.Delivered(id)
 			return status(c, 202)
@@ -160,14 +160,14 @@
 	}
 }
 
-// A refused message comes again under a new id, after the wait that it was told, so often and no more.
+// A refused message is handed in again under a new id after the wait of the answer, and only as often as the plan allows.
 func TestRetriesAfterRefusals(t *testing.T) {
 	t.Parallel()
 	s := newTarget(t, func(n int, _ *http.Request, c net.Conn) bool { return status(c, 503, "Retry-After: 0.05") })
 	w := play(t, "keyed", func(p *script.Plan) { p.Day.Patience = script.Span(40 * time.Millisecond) }, one(s))
 	all := s.requests()
 	if n := s.conn.Load(); n != 1 {
-		t.Errorf("%d connections: one is kept, also past a client's patience", n)
+		t.Errorf("%d connections, want 1: it is reused even after a client's time-out", n)
 	}
 	ids, keys := map[string]bool{}, map[string]bool{}
 	for _, r := range all {
@@ -184,7 +184,7 @@
 	}
 	for i := 1; i < len(at); i++ {
 		if at[i]-at[i-1] < 50_000 {
-			t.Errorf("it came again after %d µs, told to wait 50 ms", at[i]-at[i-1])
+			t.Errorf("handed in again after %d µs, want a wait of at least 50 ms", at[i]-at[i-1])
 		}
 	}
 }
@@ -197,7 +197,7 @@
 	}
 }
 
-// A notice is an end like an answer: handed back comes again, given up does not.
+// A notice ends an accepted message: one that is handed back is handed in again, one that is given up is not.
 func TestNotices(t *testing.T) {
 	t.Parallel()
 	w := play(t, "safe", nil, func(w *world) []*target {
@@ -215,7 +215,8 @@
 	}
 }
 
-// The patience of a client: it closes, and comes again under a new id, unless it may not be repeated.
+// After its time-out a client closes the connection and hands the message in again under a new id, unless the message must not be
+// repeated.
 func TestPatience(t *testing.T) {
 	t.Parallel()
 	for effect, want := range map[string]string{"keyed": "n0 0 patience, n0 500", "unsafe": "n0 0 patience"} {
@@ -236,8 +237,8 @@
 	}
 }
 
-// A sender that ends the connection without an answer is noted; on a connection kept from before the
-// request is sent once more, since the two may have crossed.
+// A sender that closes the connection without an answer is logged. On a reused idle connection the request is sent once more instead,
+// since the sender may have closed the connection before it saw the request.
 func TestClosedWithoutAnswer(t *testing.T) {
 	t.Parallel()
 	s := newTarget(t, func(n int, _ *http.Request, c net.Conn) bool { return n > 1 && status(c, 500) })
@@ -250,11 +251,11 @@
 		t.Error(got)
 	}
 	if n := len(s.requests()); n != 5 {
-		t.Errorf("%d requests, the second of which was sent twice", n)
+		t.Errorf("%d requests, want 5: the second is sent twice", n)
 	}
 }
 
-// A sender that is not there is left for the next one, which counts as no retry.
+// A sender that can't be reached is skipped for the next one, which does not count as a retry.
 func TestNextSender(t *testing.T) {
 	t.Parallel()
 	gone := newTarget(t, nil)
@@ -273,7 +274,7 @@
 	}
 }
 
-// What a lost sender held comes again to another; not if it may have run and may not be repeated.
+// Messages of a lost sender are handed in at another sender, except one that may have run and must not be repeated.
 func TestLostSender(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -311,10 +312,10 @@
 	}
 }
 
-// More attempts than are allowed are told apart, and what nobody handed in is not known.
+// Calls beyond the allowed attempts are reported as such, and an id that was not handed in is unknown.
 func TestRegistry(t *testing.T) {
 	b := NewRegistry(eventlog.New(nil, nil), 2, false)
-	b.enter(&handIn{id: "a", sender: "n1", dest: 4, outcome: make(chan end, 1)})
+	b.add(&handIn{id: "a", sender: "n1", dest: 4, outcome: make(chan end, 1)})
 	for n, want := range []bool{true, true, false, false} {
 		if _, within, ok := b.Called("a", 4); within != want || !ok {
 			t.Errorf("call %d: within %v, known %v", n+1, within, ok)
@@ -324,15 +325,15 @@
 		t.Error("an id that nobody handed in is known")
 	}
 	if _, _, ok := NewRegistry(eventlog.New(nil, nil), 2, true).Called("b", 4); !ok {
-		t.Error("an open book does not take what comes")
+		t.Error("a registry that accepts unknown ids refuses one")
 	}
 	b.Delivered("a")
-	b.Notice("n1", "a", "given_up", 0) // the first end counts, and nobody waits for room
+	b.Notice("n1", "a", "given_up", 0) // only the first end counts, and a second one must not block
 	b.Delivered("b")
 }
 
-// An event of which the answer was lost is handed in again as the same event under another id of the request, at the
-// sender that knows it, also in a class that may not be repeated.
+// If the answer to an event is lost, the same event is handed in again under another request id at the same sender, even in a class that
+// must not be repeated.
 func TestLostAnswers(t *testing.T) {
 	t.Parallel()
 	var first string
