--- a/internal/faulttest/fleet/fleet_test.go
+++ b/internal/faulttest/fleet/fleet_test.go
@@ -200,7 +200,7 @@
 	}
 }
 
-// A snapshot has the state folder as it was when taken, and restoring it removes later changes. A suspended process keeps running but
+// A snapshot has the state folder as it was when taken, and restoring it removes later changes. A suspended process still exists but
 // does not answer until it is resumed.
 func TestSender_SuspendAndOldFolder(t *testing.T) {
 	t.Parallel()
--- a/internal/faulttest/judge/judge_test.go
+++ b/internal/faulttest/judge/judge_test.go
@@ -84,8 +84,8 @@
 
 // coldCapacity returns the number of calls that rule 4 allows within its span at a time after an outage.
 func coldCapacity(after int64, capacity float64) int {
-	warm := 0.2 + 0.8*float64(after)/10_000_000
-	budget := 2 * warm * capacity * 3
+	capacityShare := 0.2 + 0.8*float64(after)/10_000_000
+	budget := 2 * capacityShare * capacity * 3
 	slack := 4.0
 	for slack*slack < budget {
 		slack += 1e-4
@@ -107,7 +107,7 @@
 		w.notice(t+500*millisecond, "n0", id, "handed_back")
 		w.call(t+(500+50+over)*millisecond, t+900*millisecond, "n0", id, w.dest, 200, "")
 	}},
-	{"a key is forgotten", 2, func(w *writer, t, over int64) {
+	{"a key's window is over", 2, func(w *writer, t, over int64) {
 		id := w.accepted(t, "n0", "keyed", "", w.dest)
 		w.call(t+5*millisecond, t+100*millisecond, "n0", id, w.dest, 0, eventlog.DetailReset)
 		w.call(t+(5+3000+50+over)*millisecond, t+4000*millisecond, "n0", id, w.dest, 200, "")
@@ -122,14 +122,14 @@
 		w.call(t+5*millisecond, t+100*millisecond, "n1", id, w.dest, 503, "")
 		w.notice(t+(100-over)*millisecond, "n1", id, "handed_back")
 	}},
-	{"a drained endpoint", 3, func(w *writer, t, over int64) {
+	{"a draining endpoint", 3, func(w *writer, t, over int64) {
 		w.add(eventlog.Event{T: t, Kind: eventlog.ListSent, Sender: "n0", Run: 1, Endpoint: fmt.Sprintf("r%d-e0", w.dest), Dest: w.dest, State: "DRAINING"})
 		id := w.accepted(t+1000*millisecond, "n0", "safe", "", w.dest)
 		w.call(t+(2000+50+over)*millisecond, t+2300*millisecond, "n0", id, w.dest, 200, "")
 		w.accepted(t+3000*millisecond, "n0", "safe", "", w.dest)
 		w.notice(t+3500*millisecond, "n0", fmt.Sprintf("id%d", w.msgs), "given_up")
 	}},
-	{"a cold receiver", 4, func(w *writer, t, over int64) {
+	{"a receiver in slow start", 4, func(w *writer, t, over int64) {
 		w.add(eventlog.Event{T: t, Kind: eventlog.Outage, Dest: w.dest, State: "on"})
 		seen := w.accepted(t+100*millisecond, "n0", "safe", "", w.dest)
 		w.call(t+200*millisecond, t+300*millisecond, "n0", seen, w.dest, 503, "")
@@ -142,7 +142,7 @@
 			w.call(at, at+50*millisecond, "n0", id, w.dest, 200, "")
 		}
 	}},
-	{"an ordered key's rest", 5, func(w *writer, t, over int64) {
+	{"an ordered key's rest time", 5, func(w *writer, t, over int64) {
 		key := fmt.Sprint("k", w.dest)
 		a := w.accepted(t, "n0", "ordered", key, w.dest)
 		b := w.accepted(t+10*millisecond, "n0", "ordered", key, w.dest)
@@ -150,14 +150,14 @@
 		w.notice(t+510*millisecond, "n0", a, "given_up")
 		w.call(t+(500+800-50-over)*millisecond, t+1500*millisecond, "n0", b, w.dest, 200, "")
 	}},
-	{"an ordered key goes singly", 5, func(w *writer, t, over int64) {
+	{"an ordered key's calls one at a time", 5, func(w *writer, t, over int64) {
 		key := fmt.Sprint("k", w.dest)
 		a := w.accepted(t, "n1", "ordered", key, w.dest)
 		b := w.accepted(t+10*millisecond, "n1", "ordered", key, w.dest)
 		w.call(t+20*millisecond, t+120*millisecond, "n1", a, w.dest, 200, "")
 		w.call(t+(120-over)*millisecond, t+300*millisecond, "n1", b, w.dest, 200, "")
 	}},
-	{"the begin of a wait", 6, func(w *writer, t, over int64) {
+	{"the start of a wait", 6, func(w *writer, t, over int64) {
 		id := w.accepted(t, "n0", "safe", "", w.dest)
 		w.rateLimited(t+5*millisecond, t+50*millisecond, 1000, "n0", id, w.dest)
 		w.call(t+(50+100+over)*millisecond, t+300*millisecond, "n0", id, w.dest, 200, "")
@@ -214,7 +214,7 @@
 	for seed := range uint64(600) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		w := newWriter()
-		planted := scenarios[rng.IntN(len(scenarios))]
+		injected := scenarios[rng.IntN(len(scenarios))]
 		faulty := seed%4 != 0
 		n := 10 + rng.IntN(30)
 		at := rng.IntN(n)
@@ -222,7 +222,7 @@
 			w.dest = i
 			when := int64(rng.IntN(20_000)) * millisecond
 			if i == at && faulty {
-				planted.play(w, when, 1+int64(rng.IntN(3)))
+				injected.play(w, when, 1+int64(rng.IntN(3)))
 				continue
 			}
 			scenarios[rng.IntN(len(scenarios))].play(w, when, -int64(rng.IntN(3)))
@@ -231,8 +231,8 @@
 		rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
 		// Lines with the same time are in causal order, as in a log: the judge sorts by time alone.
 		for rule, r := range verdicts(t, causal(events)) {
-			if want := faulty && rule == planted.rule; (r.Verdict == Fail) != want {
-				t.Fatalf("seed %d, injected %q (%v): rule %d is %s: %s", seed, planted.name, faulty, rule, r.Verdict, r.Evidence)
+			if want := faulty && rule == injected.rule; (r.Verdict == Fail) != want {
+				t.Fatalf("seed %d, injected %q (%v): rule %d is %s: %s", seed, injected.name, faulty, rule, r.Verdict, r.Evidence)
 			}
 		}
 	}
@@ -371,7 +371,7 @@
 			w.call(90*millisecond, 150*millisecond, "n0", id, 0, 200, "")
 			w.call(95*millisecond, 160*millisecond, "n0", id, 0, 200, "")
 		}, NotTried},
-		"a message that nobody handed in": {func(w *writer) { w.call(5*millisecond, 0, "n0", "other", 0, 0, "") }, Fail},
+		"a message that no client handed in": {func(w *writer) { w.call(5*millisecond, 0, "n0", "other", 0, 0, "") }, Fail},
 		"a message at another receiver": {func(w *writer) {
 			w.call(90*millisecond, 95*millisecond, "n0", w.accepted(0, "n0", "safe", "", 0), 1, 200, "")
 			w.notice(100*millisecond, "n0", "id1", "given_up")
@@ -569,16 +569,16 @@
 			w.call(20*millisecond, 60*millisecond, "n0", first, 0, 200, "")
 			w.resubmit(100*millisecond, "n0", first, 0, 200)
 		}, 0},
-		"held, and then delivered under either id": {func(w *writer, first string) {
+		"accepted, then delivered under the second id": {func(w *writer, first string) {
 			id := w.resubmit(100*millisecond, "n0", first, 0, 202)
 			w.call(200*millisecond, 260*millisecond, "n0", id, 0, 200, "")
 		}, 0},
-		"held, and given up": {func(w *writer, first string) {
+		"accepted, then given up": {func(w *writer, first string) {
 			w.resubmit(100*millisecond, "n0", first, 0, 202)
 			w.notice(200*millisecond, "n0", first, "given_up")
 		}, 0},
 		"never ended": {func(w *writer, first string) { w.resubmit(100*millisecond, "n0", first, 0, 202) }, 1},
-		"two messages": {func(w *writer, first string) {
+		"delivered under both ids": {func(w *writer, first string) {
 			id := w.resubmit(100*millisecond, "n0", first, 0, 202)
 			w.call(120*millisecond, 160*millisecond, "n0", first, 0, 200, "")
 			w.call(220*millisecond, 260*millisecond, "n0", id, 0, 200, "")
--- a/internal/faulttest/judge/rules.go
+++ b/internal/faulttest/judge/rules.go
@@ -292,8 +292,8 @@
 		for recent[0].T <= c.T-span {
 			recent = recent[1:]
 		}
-		warmth := min(1, d.figures.SlowStartCapacity+(1-d.figures.SlowStartCapacity)*float64(c.T-off.T)/float64(max(1, ms(d.figures.SlowStart))))
-		budget := d.figures.FallMultiple * warmth * off.Capacity * float64(d.figures.FallSpan) / 1000
+		capacityShare := min(1, d.figures.SlowStartCapacity+(1-d.figures.SlowStartCapacity)*float64(c.T-off.T)/float64(max(1, ms(d.figures.SlowStart))))
+		budget := d.figures.FallMultiple * capacityShare * off.Capacity * float64(d.figures.FallSpan) / 1000
 		if float64(len(recent)) <= budget+max(4, math.Sqrt(budget)) || broken {
 			continue
 		}
--- a/internal/faulttest/links/links_test.go
+++ b/internal/faulttest/links/links_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	timeout       = 20 * time.Second
-	silenceWindow = 100 * time.Millisecond // data that has not arrived by then counts as blocked; blocked data never arrives, however long the wait
+	timeout      = 20 * time.Second
+	noDataWindow = 100 * time.Millisecond // data that has not arrived by then counts as blocked; blocked data never arrives, however long the wait
 )
 
 // echo starts a server that returns each byte, and returns its address.
@@ -84,10 +84,10 @@
 	}
 }
 
-// expectNothing checks that no byte arrives within silenceWindow.
+// expectNothing checks that no byte arrives within noDataWindow.
 func expectNothing(t *testing.T, c net.Conn) {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(silenceWindow))
+	c.SetReadDeadline(time.Now().Add(noDataWindow))
 	var b [1]byte
 	if n, err := c.Read(b[:]); n > 0 || errors.Is(err, io.EOF) {
 		t.Fatalf("got %d bytes (%v), want none", n, err)
--- a/internal/faulttest/mutant/dispatch.go
+++ b/internal/faulttest/mutant/dispatch.go
@@ -58,7 +58,7 @@
 	switch {
 	case d.inOutage:
 		return d.inFlight == 0 && now.After(d.nextProbe)
-	case now.Before(d.warmUntil) && s.fault != FloodsRecovered:
+	case now.Before(d.slowStartUntil) && s.fault != FloodsRecovered:
 		return d.inFlight == 0
 	case s.fault == FloodsRecovered:
 		return d.inFlight < 1000
@@ -108,7 +108,7 @@
 	switch {
 	case status == http.StatusOK:
 		if d.inOutage {
-			d.inOutage, d.warmUntil = false, now.Add(warmupTime)
+			d.inOutage, d.slowStartUntil = false, now.Add(slowStartTime)
 		}
 		d.fails = 0
 		s.remove(m)
--- a/internal/faulttest/mutant/journal.go
+++ b/internal/faulttest/mutant/journal.go
@@ -74,7 +74,7 @@
 	for _, m := range order {
 		if !m.ended {
 			s.enqueue(m)
-			s.dest(m.Dest).warmUntil = time.Now().Add(warmupTime)
+			s.dest(m.Dest).slowStartUntil = time.Now().Add(slowStartTime)
 			if m.Order != "" {
 				s.restUntil[m.Order] = time.Now().Add(s.restTime())
 			}
--- a/internal/faulttest/mutant/mutant.go
+++ b/internal/faulttest/mutant/mutant.go
@@ -43,7 +43,7 @@
 	callTime       = 2 * time.Second // a call is given up after this
 	dialTime       = 800 * time.Millisecond
 	probeInterval  = 400 * time.Millisecond // between calls to a receiver in an outage
-	warmupTime     = 15 * time.Second       // for this long after an outage a receiver gets one call at a time
+	slowStartTime  = 15 * time.Second       // for this long after an outage a receiver gets one call at a time
 	maxFailures    = 3                      // consecutive failures that count as an outage
 	deadlineMargin = 150 * time.Millisecond // a message is given up this long before its deadline
 	listInterval   = 100 * time.Millisecond
@@ -89,14 +89,14 @@
 }
 
 type dest struct {
-	queue     []*message
-	inFlight  int
-	fails     int
-	inOutage  bool
-	warmUntil time.Time
-	nextProbe time.Time
-	waitUntil time.Time
-	next      int
+	queue          []*message
+	inFlight       int
+	fails          int
+	inOutage       bool
+	slowStartUntil time.Time
+	nextProbe      time.Time
+	waitUntil      time.Time
+	next           int
 }
 
 // Sender is a running mutant.
--- a/internal/faulttest/receiver/model.go
+++ b/internal/faulttest/receiver/model.go
@@ -37,8 +37,8 @@
 
 	SlowStartCapacity float64       // share of Capacity right after an outage
 	SlowStart         time.Duration // time from the end of an outage to full capacity
-	FallMultiple      float64       // in slow start, a load above this multiple of the current capacity
-	FallSpan          time.Duration // for this long makes the receiver collapse
+	FallMultiple      float64       // in slow start, the receiver collapses at a load above this multiple of its current capacity
+	FallSpan          time.Duration // time over which that load is measured
 }
 
 // Outcome is how a call ends at the receiver.
@@ -81,7 +81,7 @@
 	unanswered []job // arrived while the receiver hangs; their service has not begun
 
 	inOutage       bool
-	warming        bool          // slow start has begun since the last outage
+	slowStarted    bool          // slow start has begun since the last outage
 	slowStartBegan time.Duration // when the last slow start began
 	collapsed      bool
 	recent         []time.Duration // arrivals in slow start within the last FallSpan
@@ -138,9 +138,9 @@
 	return c
 }
 
-// Warmth returns the share of the full capacity that slow start allows at a time. It does not take outages into account.
-func (m *Model) Warmth(now time.Duration) float64 {
-	if !m.warming || m.spec.SlowStart <= 0 {
+// CapacityShare returns the share of the full capacity that slow start allows at a time. It does not take outages into account.
+func (m *Model) CapacityShare(now time.Duration) float64 {
+	if !m.slowStarted || m.spec.SlowStart <= 0 {
 		return 1
 	}
 	part := float64(now-m.slowStartBegan) / float64(m.spec.SlowStart)
@@ -171,7 +171,7 @@
 }
 
 func (m *Model) beginSlowStart(now time.Duration) {
-	m.warming, m.slowStartBegan, m.recent = true, now, nil
+	m.slowStarted, m.slowStartBegan, m.recent = true, now, nil
 }
 
 // recombine applies the combined effect of the active faults after one began or ended.
@@ -201,7 +201,7 @@
 	switch outage := m.cond.Outage(); {
 	case m.collapsed: // a collapse is permanent
 	case outage && !m.inOutage:
-		m.inOutage, m.warming, c.OutageBegan = true, false, true
+		m.inOutage, m.slowStarted, c.OutageBegan = true, false, true
 	case !outage && m.inOutage:
 		m.inOutage, c.OutageEnded = false, true
 		m.beginSlowStart(now)
@@ -277,14 +277,14 @@
 
 // overloads counts a call against the load limit of slow start and reports whether this call makes the receiver collapse.
 func (m *Model) overloads(now time.Duration) bool {
-	if !m.warming || m.inOutage || m.collapsed || m.Warmth(now) >= 1 {
+	if !m.slowStarted || m.inOutage || m.collapsed || m.CapacityShare(now) >= 1 {
 		return false
 	}
 	m.recent = append(m.recent, now)
 	for m.recent[0] <= now-m.spec.FallSpan {
 		m.recent = m.recent[1:]
 	}
-	budget := m.spec.FallMultiple * m.Warmth(now) * m.spec.Capacity * m.spec.FallSpan.Seconds()
+	budget := m.spec.FallMultiple * m.CapacityShare(now) * m.spec.Capacity * m.spec.FallSpan.Seconds()
 	return float64(len(m.recent)) > budget+max(4, math.Sqrt(budget))
 }
 
@@ -401,7 +401,7 @@
 	if m.cond.Unreachable || m.cond.Hung || m.collapsed {
 		return 0
 	}
-	return m.Warmth(now) / m.cond.Slow
+	return m.CapacityShare(now) / m.cond.Slow
 }
 
 // slice bounds a step of Advance in slow start; within a step the speed is taken as constant.
@@ -414,7 +414,7 @@
 		v := m.speed(m.now)
 		step := now - m.now
 		if v > 0 {
-			if m.warming && m.Warmth(m.now) < 1 {
+			if m.slowStarted && m.CapacityShare(m.now) < 1 {
 				step = min(step, slice)
 			}
 			if left, ok := m.shortest(); ok {
@@ -471,7 +471,7 @@
 		return 0, false
 	}
 	d := time.Duration(math.Ceil(float64(left) / v))
-	if m.warming && m.Warmth(m.now) < 1 {
+	if m.slowStarted && m.CapacityShare(m.now) < 1 {
 		d = min(d, slice) // the speed rises meanwhile
 	}
 	return m.now + max(d, time.Microsecond), true
--- a/internal/faulttest/receiver/model_test.go
+++ b/internal/faulttest/receiver/model_test.go
@@ -139,8 +139,8 @@
 				if began != outages || ended != outages {
 					t.Errorf("%d outages began and %d ended, want %d", began, ended, outages)
 				}
-				if m.warming != (from >= 0) || (m.warming && m.slowStartBegan != from) {
-					t.Errorf("slow start %v since %v, want since %v", m.warming, m.slowStartBegan, from)
+				if m.slowStarted != (from >= 0) || (m.slowStarted && m.slowStartBegan != from) {
+					t.Errorf("slow start %v since %v, want since %v", m.slowStarted, m.slowStartBegan, from)
 				}
 				// At 60 s the receiver serves normally again: calls that arrived in a hang have been served or dropped.
 				m.Advance(30 * sec)
@@ -252,14 +252,14 @@
 	}
 }
 
-func TestWarmth(t *testing.T) {
+func TestModel_CapacityShareInSlowStart(t *testing.T) {
 	m := NewModel(plain(), 1, 1)
-	if m.Warmth(0) != 1 {
+	if m.CapacityShare(0) != 1 {
 		t.Error("slow start without an outage")
 	}
 	m.Begin(0, 1, fault.Fault{Kind: fault.SlowStart})
 	for at, want := range map[time.Duration]float64{0: 0.2, 5 * sec: 0.6, 10 * sec: 1, time.Hour: 1} {
-		if got := m.Warmth(at); got < want-1e-9 || got > want+1e-9 {
+		if got := m.CapacityShare(at); got < want-1e-9 || got > want+1e-9 {
 			t.Errorf("at %v %v, want %v", at, got, want)
 		}
 	}
--- a/internal/faulttest/receiver/server_test.go
+++ b/internal/faulttest/receiver/server_test.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	timeout       = 20 * time.Second       // for events that should happen
-	silenceWindow = 250 * time.Millisecond // no data may arrive within this where none should
+	timeout      = 20 * time.Second       // for events that should happen
+	noDataWindow = 250 * time.Millisecond // no data may arrive within this where none should
 )
 
 // registry accepts every id that begins with m; calls of ids that begin with m-over exceed their attempts.
@@ -107,15 +107,15 @@
 	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.EOF):
 		return "closed"
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return "silence"
+		return "no answer"
 	}
 	return err.Error()
 }
 
 func (c *client) expect(t *testing.T, want string) {
 	t.Helper()
-	if want == "silence" {
-		c.SetReadDeadline(time.Now().Add(silenceWindow))
+	if want == "no answer" {
+		c.SetReadDeadline(time.Now().Add(noDataWindow))
 		defer c.SetReadDeadline(time.Now().Add(timeout))
 	}
 	if got := c.answer(); got != want {
@@ -171,7 +171,7 @@
 func TestServer_AnswersUnderFaults(t *testing.T) {
 	t.Parallel()
 	for kind, want := range map[fault.Kind]string{fault.Refuse: "503", fault.Fail: "500", fault.Wait: "429100", fault.Reset: "reset",
-		fault.Hang: "silence", fault.Slow: "200"} {
+		fault.Hang: "no answer", fault.Slow: "200"} {
 		s, e, _, _ := start(t, nil)
 		c := dial(t, e)
 		c.send(t, "m0")
@@ -179,7 +179,7 @@
 		s.Begin(1, sample(kind))
 		c.send(t, "m1")
 		c.expect(t, want)
-		if want == "silence" {
+		if want == "no answer" {
 			s.End(1, sample(kind)) // the call is served after the hang
 			c.expect(t, "200")
 		}
@@ -199,7 +199,7 @@
 	idle.expect(t, "200")
 	s.Begin(1, sample(fault.Vanish))
 	open.send(t, "m2")
-	open.expect(t, "silence")
+	open.expect(t, "no answer")
 	// The backlog is full once a connection of this test times out.
 	waitFor(t, func() bool {
 		c, err := net.DialTimeout("tcp", e.Addr, backlogDialTimeout)
@@ -209,7 +209,7 @@
 		return timedOut(err)
 	})
 	for range 3 {
-		if c, err := net.DialTimeout("tcp", e.Addr, silenceWindow); err == nil {
+		if c, err := net.DialTimeout("tcp", e.Addr, noDataWindow); err == nil {
 			c.Close()
 			t.Fatal("a connection was established")
 		}
--- a/internal/faulttest/traffic/clients.go
+++ b/internal/faulttest/traffic/clients.go
@@ -22,7 +22,7 @@
 
 const (
 	avoidTime        = time.Second            // clients avoid a sender for this long after a connection to it failed
-	failoverDelay    = 250 * time.Millisecond // and try another sender after this
+	failoverDelay    = 250 * time.Millisecond // clients try another sender after this
 	minResubmitDelay = 540 * time.Millisecond // messages of a lost sender are handed in again after a random delay of at least this
 	maxResubmitDelay = 1500 * time.Millisecond
 	lostAnswerDelay  = 50 * time.Millisecond  // an event without an answer is handed in again after this
@@ -192,7 +192,7 @@
 	backoff := c.plan.Day.FirstBackoff.D()
 	retryMark := ""
 	var unanswered *handIn // an event that got no answer: its client hands the same event in again
-	var unansweredAt *pool // at this sender, the only one that can recognize it
+	var unansweredAt *pool // the sender that got this event, the only one that can recognize it
 	home := c.homeSender(n, a)
 	for try := 0; ; {
 		left := expires - c.log.Now()
--- a/internal/faulttest/traffic/traffic_test.go
+++ b/internal/faulttest/traffic/traffic_test.go
@@ -258,18 +258,18 @@
 // A sender that can't be reached is skipped for the next one, which does not count as a retry.
 func TestNextSender(t *testing.T) {
 	t.Parallel()
-	gone := newTarget(t, nil)
+	refusing := newTarget(t, nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone.addr = l.Addr().String()
+	refusing.addr = l.Addr().String()
 	l.Close()
-	away := newTarget(t, nil)
-	away.off.Store(true)
-	there := newTarget(t, func(_ int, _ *http.Request, c net.Conn) bool { return status(c, 500) })
-	w := play(t, "safe", nil, func(*world) []*target { return []*target{gone, away, there} })
-	if got := w.answers(); got != "n2 500" || len(away.requests()) != 0 {
+	notAccepting := newTarget(t, nil)
+	notAccepting.off.Store(true)
+	running := newTarget(t, func(_ int, _ *http.Request, c net.Conn) bool { return status(c, 500) })
+	w := play(t, "safe", nil, func(*world) []*target { return []*target{refusing, notAccepting, running} })
+	if got := w.answers(); got != "n2 500" || len(notAccepting.requests()) != 0 {
 		t.Error(got)
 	}
 }
@@ -322,7 +322,7 @@
 		}
 	}
 	if _, _, ok := b.Called("b", 4); ok {
-		t.Error("an id that nobody handed in is known")
+		t.Error("an id that no client handed in is accepted")
 	}
 	if _, _, ok := NewRegistry(eventlog.New(nil, nil), 2, true).Called("b", 4); !ok {
 		t.Error("a registry that accepts unknown ids refuses one")
