--- a/internal/faulttest/cli/cost.go
+++ b/internal/faulttest/cli/cost.go
@@ -157,7 +157,7 @@
 		if i%2 == 1 {
 			one, other = on, off
 		}
-		ratios, err := cost.Beside(ctx, command, below, one, other, 500*time.Millisecond)
+		ratios, err := cost.SideBySide(ctx, command, below, one, other, 500*time.Millisecond)
 		if err != nil {
 			return judge.ExitInconclusive, err
 		}
@@ -166,11 +166,11 @@
 				ratios[j] = 1 / ratios[j]
 			}
 		}
-		least, middle, most := cost.Middle(ratios)
+		least, middle, most := cost.MedianInterval(ratios)
 		fmt.Fprintf(out, "with it to without, CPU for each message, run %d: %.3f (%.3f to %.3f, %d slices)\n", i+1, middle, least, most, len(ratios))
 		all = append(all, ratios...)
 	}
-	least, middle, most := cost.Middle(all)
+	least, middle, most := cost.MedianInterval(all)
 	fmt.Fprintf(out, "all runs: %.3f (%.3f to %.3f, %d slices)\n", middle, least, most, len(all))
 	return 0, nil
 }
--- a/internal/faulttest/cost/beside.go
+++ b/internal/faulttest/cost/beside.go
@@ -16,10 +16,10 @@
 	"time"
 )
 
-// Beside measures two cases at the same time, each under a load of its own, so that other activity of the machine affects both. It
+// SideBySide measures two cases at the same time, each under a load of its own, so that other activity of the machine affects both. It
 // returns, for each slice, the CPU time per message of the second case divided by that of the first. Alternating single runs vary by
 // half on the same machine, slices of one run by a few hundredths.
-func Beside(ctx context.Context, command []string, folder string, one, other Case, slice time.Duration) (ratios []float64, err error) {
+func SideBySide(ctx context.Context, command []string, folder string, one, other Case, slice time.Duration) (ratios []float64, err error) {
 	var benches [2]*bench
 	var loads [2]*load
 	for i, c := range []Case{one, other} {
@@ -120,8 +120,8 @@
 	return errors.Join(err, ctx.Err(), errNoDocument)
 }
 
-// Middle returns the median of some figures and the bounds of its 95% confidence interval, from order statistics alone.
-func Middle(all []float64) (least, middle, most float64) {
+// MedianInterval returns the median of some figures and the bounds of its 95% confidence interval, from order statistics alone.
+func MedianInterval(all []float64) (least, middle, most float64) {
 	s := slices.Sorted(slices.Values(all))
 	n := float64(len(s))
 	half := 1.96 * math.Sqrt(n) / 2
