--- a/internal/faulttest/judge/rules.go
+++ b/internal/faulttest/judge/rules.go
@@ -215,8 +215,8 @@
 	return t
 }
 
-// minHoldTime is how long a sender must have held a message for a receiver during an outage to count as having seen a call fail there:
-// connections that are refused or never established leave no trace in the log.
+// minHoldTime is how long a sender must have held a message for a receiver that takes no connections to count as having seen a call fail
+// there: connections that are refused or never established leave no trace in the log.
 const minHoldTime = 2_000_000 // microseconds
 
 // checkRecovery is rule 4: after an outage a receiver gets no more load than its slow start allows, as far as senders knew of the outage.
--- a/internal/faulttest/links/links.go
+++ b/internal/faulttest/links/links.go
@@ -72,7 +72,7 @@
 	mu         sync.Mutex
 	directions map[pair]*direction
 	links      []*link
-	closers    []func() // of links for datagrams
+	closers    []func() // close the links for datagrams
 }
 
 type pair struct{ from, to string }
--- a/internal/faulttest/mutant/journal.go
+++ b/internal/faulttest/mutant/journal.go
@@ -31,7 +31,8 @@
 	return err
 }
 
-// replay loads the messages that an earlier process left. A torn last line is skipped, as nothing was acknowledged on its basis.
+// replay loads the messages that an earlier process left. A torn last line is skipped: the process acknowledged nothing on the
+// basis of it.
 func (s *Sender) replay(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/faulttest/receiver/model.go
+++ b/internal/faulttest/receiver/model.go
@@ -86,9 +86,9 @@
 	collapsed      bool
 	recent         []time.Duration // arrivals in slow start within the last FallSpan
 
-	tokens     float64 // of a rate limit
+	tokens     float64 // left in the bucket of a rate limit
 	refilledAt time.Duration
-	window     int64 // number of the current window
+	window     int64 // number of the current window of a window limit
 	inWindow   int
 	shown      report
 	pending    []report
