--- a/internal/tier/simulation/applications_test.go
+++ b/internal/tier/simulation/applications_test.go
@@ -54,7 +54,7 @@
 		revisionOf: map[string]uint64{}, valueAt: map[uint64]string{}, putAcks: map[string][]observedValue{}}
 }
 
-func (c *applicationChecker) breaks(format string, args ...any) {
+func (c *applicationChecker) reportBroken(format string, args ...any) {
 	c.broken = append(c.broken, fmt.Sprintf(format, args...))
 }
 
@@ -65,12 +65,12 @@
 	c.answered["lock"]++
 	for other, end := range c.ownedUntil {
 		if other != owner && now < end && now < until {
-			c.breaks("ONE at %v: %s and %s own the lock", now, owner, other)
+			c.reportBroken("ONE at %v: %s and %s own the lock", now, owner, other)
 		}
 	}
 	for _, seen := range c.fences {
 		if seen.by != owner && (seen.value == fence || seen.at < sent && seen.value > fence) {
-			c.breaks("ONE at %v: fence %d of %s after %d of %s", now, fence, owner, seen.value, seen.by)
+			c.reportBroken("ONE at %v: fence %d of %s after %d of %s", now, fence, owner, seen.value, seen.by)
 		}
 	}
 	c.fences = append(c.fences, observedValue{owner, fence, now})
@@ -89,24 +89,24 @@
 	c.answered["number"]++
 	for _, seen := range c.numbers {
 		if seen.value == value || seen.at < sent && seen.value > value {
-			c.breaks("ORDER at %v: number %d after %d", now, value, seen.value)
+			c.reportBroken("ORDER at %v: number %d after %d", now, value, seen.value)
 		}
 	}
 	c.numbers = append(c.numbers, observedValue{"", value, now})
 }
 
-// shown checks a value of a key at a revision. The caller holds mu.
-func (c *applicationChecker) shown(key, value string, revision uint64, now time.Duration) {
+// checkValue checks a value of a key at a revision. The caller holds mu.
+func (c *applicationChecker) checkValue(key, value string, revision uint64, now time.Duration) {
 	id := key + "=" + value
 	switch {
 	case !c.putValues[id]:
-		c.breaks("MIXED at %v: %s was never put", now, id)
+		c.reportBroken("MIXED at %v: %s was never put", now, id)
 	case c.rejected[id]:
-		c.breaks("REFUSED at %v: %s was rejected", now, id)
+		c.reportBroken("REFUSED at %v: %s was rejected", now, id)
 	case c.revisionOf[id] != 0 && c.revisionOf[id] != revision:
-		c.breaks("MIXED at %v: %s at revisions %d and %d", now, id, c.revisionOf[id], revision)
+		c.reportBroken("MIXED at %v: %s at revisions %d and %d", now, id, c.revisionOf[id], revision)
 	case c.valueAt[revision] != "" && c.valueAt[revision] != id:
-		c.breaks("ORDER at %v: revision %d of %s and of %s", now, revision, c.valueAt[revision], id)
+		c.reportBroken("ORDER at %v: revision %d of %s and of %s", now, revision, c.valueAt[revision], id)
 	}
 	c.revisionOf[id], c.valueAt[revision] = revision, id
 }
@@ -125,15 +125,15 @@
 		c.answered["put"]++
 		for _, seen := range c.putAcks[key] {
 			if seen.at < sent && seen.value > revision {
-				c.breaks("ORDER at %v: %s put at %d after %d", now, key, revision, seen.value)
+				c.reportBroken("ORDER at %v: %s put at %d after %d", now, key, revision, seen.value)
 			}
 		}
-		c.shown(key, value, revision, now)
+		c.checkValue(key, value, revision, now)
 		c.putAcks[key] = append(c.putAcks[key], observedValue{"", revision, now})
 	case http.StatusPreconditionFailed:
 		c.answered["conflict"]++
 		if id := key + "=" + value; c.revisionOf[id] != 0 {
-			c.breaks("REFUSED at %v: %s was shown and then rejected", now, id)
+			c.reportBroken("REFUSED at %v: %s was shown and then rejected", now, id)
 		}
 		c.rejected[key+"="+value] = true
 	}
@@ -144,17 +144,17 @@
 	defer c.mu.Unlock()
 	c.answered["read"]++
 	if revision > 0 {
-		c.shown(key, value, revision, now)
+		c.checkValue(key, value, revision, now)
 	}
 	for _, seen := range c.putAcks[key] {
 		if seen.at < sent && seen.value > revision {
-			c.breaks("STALE at %v: %s read at %d after %d was acknowledged", now, key, revision, seen.value)
+			c.reportBroken("STALE at %v: %s read at %d after %d was acknowledged", now, key, revision, seen.value)
 		}
 	}
 }
 
-// watchAnswer is the body of a response to a watch.
-type watchAnswer struct {
+// watchResponse is the body of a response to a watch.
+type watchResponse struct {
 	Events []struct {
 		Name, Value string
 		ETag        uint64
@@ -162,22 +162,22 @@
 	ETag uint64
 }
 
-func (c *applicationChecker) watched(after uint64, status int, answer watchAnswer, now time.Duration) {
+func (c *applicationChecker) watched(after uint64, status int, response watchResponse, now time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answered["watch"]++
 	if status == http.StatusGone {
-		c.breaks("LOST at %v: a watch at %d is gone", now, after)
+		c.reportBroken("LOST at %v: a watch at %d is gone", now, after)
 		return
 	}
-	for i, event := range answer.Events {
+	for i, event := range response.Events {
 		if event.ETag != after+uint64(i)+1 {
-			c.breaks("ORDER at %v: a watch at %d tells %d as number %d", now, after, event.ETag, i)
+			c.reportBroken("ORDER at %v: a watch at %d tells %d as number %d", now, after, event.ETag, i)
 		}
-		c.shown(event.Name, event.Value, event.ETag, now)
+		c.checkValue(event.Name, event.Value, event.ETag, now)
 	}
-	if after > 0 && answer.ETag != after+uint64(len(answer.Events)) {
-		c.breaks("ORDER at %v: a watch at %d tells %d puts up to %d", now, after, len(answer.Events), answer.ETag)
+	if after > 0 && response.ETag != after+uint64(len(response.Events)) {
+		c.reportBroken("ORDER at %v: a watch at %d tells %d puts up to %d", now, after, len(response.Events), response.ETag)
 	}
 }
 
@@ -188,8 +188,8 @@
 	random *rand.Rand
 }
 
-// once makes a call at the next control-plane process; status 0: no clear answer.
-func (a *application) once(method, path string, body, into any) (status int) {
+// callNext makes a call at the next control-plane process; status 0: no clear answer.
+func (a *application) callNext(method, path string, body, into any) (status int) {
 	raw := []byte{}
 	if body != nil {
 		raw, _ = json.Marshal(body)
@@ -223,7 +223,7 @@
 		case 1:
 			var number struct{ Value uint64 }
 			sent := a.world.now()
-			if a.once(http.MethodPost, "numbers/n", struct{}{}, &number) == http.StatusOK {
+			if a.callNext(http.MethodPost, "numbers/n", struct{}{}, &number) == http.StatusOK {
 				a.check.number(number.Value, sent, a.world.now())
 			}
 		default:
@@ -239,7 +239,7 @@
 	var granted struct{ Fence uint64 }
 	sent := a.world.now()
 	until := sent + hold.Truncate(time.Millisecond)
-	if a.once(http.MethodPost, "Locks.Create/l", body, &granted) != http.StatusOK || a.world.now() >= until {
+	if a.callNext(http.MethodPost, "Locks.Create/l", body, &granted) != http.StatusOK || a.world.now() >= until {
 		return
 	}
 	a.check.granted(a.name, granted.Fence, sent, a.world.now(), until)
@@ -247,7 +247,7 @@
 	for a.random.IntN(4) > 0 && a.world.loadRunning() {
 		a.world.sleep(time.Duration(a.random.Int64N(int64(hold / 2))))
 		sent = a.world.now()
-		if a.once(http.MethodPost, "Locks.Heartbeat/l", body, nil) != http.StatusOK || a.world.now() >= until {
+		if a.callNext(http.MethodPost, "Locks.Heartbeat/l", body, nil) != http.StatusOK || a.world.now() >= until {
 			return
 		}
 		until = sent + hold.Truncate(time.Millisecond)
@@ -255,7 +255,7 @@
 	}
 	if a.random.IntN(3) > 0 {
 		a.check.setOwned(a.name, 0)
-		a.once(http.MethodPost, "Locks.Delete/l", body, nil)
+		a.callNext(http.MethodPost, "Locks.Delete/l", body, nil)
 	}
 }
 
@@ -269,7 +269,7 @@
 	firstSent := a.world.now() // a repeat gets the revision of the first time
 	for range 3 {
 		var written struct{ ETag uint64 }
-		if status := a.once(http.MethodPost, "Cells.Replace/"+key, body, &written); status != 0 {
+		if status := a.callNext(http.MethodPost, "Cells.Replace/"+key, body, &written); status != 0 {
 			a.check.putEnded(key, value, status, written.ETag, firstSent, a.world.now())
 			break
 		}
@@ -280,7 +280,7 @@
 		ETag  uint64
 	}
 	sent := a.world.now()
-	if status := a.once(http.MethodGet, "Cells.Describe/"+key, nil, &found); status != 0 {
+	if status := a.callNext(http.MethodGet, "Cells.Describe/"+key, nil, &found); status != 0 {
 		revisions[key] = found.ETag
 		a.check.read(key, found.Value, found.ETag, sent, a.world.now())
 	}
@@ -290,11 +290,11 @@
 func (a *application) runWatch() {
 	after := uint64(0)
 	for a.world.loadRunning() {
-		var answer watchAnswer
-		status := a.once(http.MethodGet, fmt.Sprintf("watch/g.?after=%d&wait_time_ms=500", after), nil, &answer)
+		var response watchResponse
+		status := a.callNext(http.MethodGet, fmt.Sprintf("watch/g.?after=%d&wait_time_ms=500", after), nil, &response)
 		if status == http.StatusOK || status == http.StatusGone {
-			a.check.watched(after, status, answer, a.world.now())
-			after = max(after, answer.ETag)
+			a.check.watched(after, status, response, a.world.now())
+			after = max(after, response.ETag)
 		}
 		a.idle()
 	}
@@ -327,7 +327,7 @@
 		}
 		w.play()
 		if v := w.result().Violation; v != nil {
-			check.breaks("%v", v)
+			check.reportBroken("%v", v)
 		}
 	})
 	assert.NilError(t, err)
--- a/internal/tier/simulation/batch.go
+++ b/internal/tier/simulation/batch.go
@@ -48,7 +48,7 @@
 				if result.Violation != nil || err != nil {
 					total.Failed++
 					if b.Failed != nil {
-						b.Failed(Failure{script, result.Violation, trace, text(err)})
+						b.Failed(Failure{script, result.Violation, trace, errorText(err)})
 					}
 				}
 				if b.Progress != nil {
--- a/internal/tier/simulation/check_configuration.go
+++ b/internal/tier/simulation/check_configuration.go
@@ -14,7 +14,7 @@
 	report reporter
 
 	mu        sync.Mutex
-	all       []*configurationChange
+	changes   []*configurationChange
 	byBody    map[string]*configurationChange
 	byBase    map[int64]*configurationChange // in force once, by the revision it replaced
 	floors    []floor                        // increasing in both fields
@@ -52,9 +52,9 @@
 func (c *configurationChecker) begin(now time.Duration, base, revision int64) *configurationChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o := &configurationChange{id: len(c.all) + 1, base: base, revision: revision, began: now}
+	o := &configurationChange{id: len(c.changes) + 1, base: base, revision: revision, began: now}
 	o.body = configuration(revision, fmt.Sprint("order-", o.id))
-	c.all = append(c.all, o)
+	c.changes = append(c.changes, o)
 	c.byBody[o.body] = o
 	return o
 }
@@ -83,7 +83,7 @@
 
 // checkRejection checks that another change may have been in force in the place of one that was rejected.
 func (c *configurationChecker) checkRejection(o *configurationChange) {
-	for _, other := range c.all {
+	for _, other := range c.changes {
 		if other != o && other.base == o.base {
 			return
 		}
@@ -152,8 +152,8 @@
 	return revision, true
 }
 
-// recordShown records a configuration that a gateway received, and returns its revision.
-func (c *configurationChecker) recordShown(body string) int64 {
+// recordReceived records a configuration that a gateway received, and returns its revision.
+func (c *configurationChecker) recordReceived(body string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o := c.byBody[body]
@@ -179,9 +179,9 @@
 func (c *configurationChecker) newestAcknowledged(maximum int) (list []*configurationChange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i := len(c.all) - 1; i >= 0 && len(list) < maximum; i-- {
-		if c.all[i].acknowledged {
-			list = append(list, c.all[i])
+	for i := len(c.changes) - 1; i >= 0 && len(list) < maximum; i-- {
+		if c.changes[i].acknowledged {
+			list = append(list, c.changes[i])
 		}
 	}
 	return list
@@ -193,7 +193,7 @@
 	defer c.mu.Unlock()
 	reached := map[*configurationChange]bool{}
 	byRevision := map[int64]*configurationChange{}
-	for _, o := range c.all {
+	for _, o := range c.changes {
 		if o.inForce || byRevision[o.revision] == nil {
 			byRevision[o.revision] = o
 		}
@@ -201,7 +201,7 @@
 	for at := byRevision[revision]; at != nil; at = byRevision[at.base] {
 		reached[at] = true
 	}
-	for _, o := range c.all {
+	for _, o := range c.changes {
 		if o.acknowledged && !reached[o] {
 			c.report(RuleChain, "%v was acknowledged, and what is in force at the end (%d) does not follow it", o, revision)
 		}
--- a/internal/tier/simulation/check_configuration_test.go
+++ b/internal/tier/simulation/check_configuration_test.go
@@ -40,7 +40,7 @@
 			a := c.begin(0, 0, 1)
 			c.begin(0, 0, 2)
 			c.recordResponse(second, a, 412)
-			c.recordShown(a.body)
+			c.recordReceived(a.body)
 		}, []Rule{RuleRejection}},
 		"read of the past": {func(c *configurationChecker) {
 			a, b := c.begin(0, 0, 1), c.begin(0, 1, 2)
@@ -64,7 +64,7 @@
 			c.checkStaleness("g", 0, 2*second, 2*second)
 			c.checkStaleness("g", 0, 4*second, 2*second)
 		}, []Rule{RuleStale}},
-		"not ordered": {func(c *configurationChecker) { c.recordShown("x") }, []Rule{RuleKnownConfiguration}},
+		"not ordered": {func(c *configurationChecker) { c.recordReceived("x") }, []Rule{RuleKnownConfiguration}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var f recordedRules
--- a/internal/tier/simulation/check_recovery.go
+++ b/internal/tier/simulation/check_recovery.go
@@ -100,23 +100,23 @@
 		return
 	}
 	watcher := newOperator(w, "watcher", watcherIP)
-	status, err := watcher.process.dialControlPlane(at(leader.ip, internalPort)).Status(ctx, &tierv1.StatusRequest{})
+	status, err := watcher.process.dialControlPlane(hostPort(leader.ip, internalPort)).Status(ctx, &tierv1.StatusRequest{})
 	if err != nil || status.PartitionMap == nil {
 		w.reportViolation(RuleRecovery, "the primary shows no map: %v", err)
 		return
 	}
-	alive, keeps := map[string]string{}, map[string]bool{} // domains of folders that are there
+	alive, holdsReplica := map[string]string{}, map[string]bool{} // domains of folders that are there
 	for _, m := range w.machinesOfKind(roleTurnStore) {
 		if p, _ := m.process(); p != nil {
 			alive[p.role.(*turnStoreRole).store.Folder()] = m.failureDomain()
 		}
 	}
-	short := 0
+	underReplicated := 0
 	for _, p := range status.PartitionMap.Partitions {
 		synced := map[string]bool{} // domains
-		keeps[p.Primary] = true
+		holdsReplica[p.Primary] = true
 		for _, c := range p.Backups {
-			keeps[c.Folder] = true
+			holdsReplica[c.Folder] = true
 		}
 		for _, c := range p.Backups {
 			if c.Synced && alive[c.Folder] != "" {
@@ -126,14 +126,14 @@
 		primary := alive[p.Primary]
 		synced[primary] = true
 		if primary == "" || len(synced) < w.script.Losses+1 {
-			short++
+			underReplicated++
 		}
 	}
-	if short > 0 {
-		w.reportViolation(RuleRecovery, "%d partitions lack copies", short)
+	if underReplicated > 0 {
+		w.reportViolation(RuleRecovery, "%d partitions lack copies", underReplicated)
 	}
 	for folder := range alive {
-		if !keeps[folder] && !slices.Contains(status.PartitionMap.Retiring, w.nodeOfFolder(folder)) {
+		if !holdsReplica[folder] && !slices.Contains(status.PartitionMap.Retiring, w.nodeOfFolder(folder)) {
 			w.reportViolation(RuleRecovery, "%s runs and keeps nothing", w.nodeOfFolder(folder))
 		}
 	}
--- a/internal/tier/simulation/check_turns.go
+++ b/internal/tier/simulation/check_turns.go
@@ -63,11 +63,11 @@
 }
 
 // program returns the newest generation of a program: where the budget of one is exhausted, another follows.
-func (c *turnChecker) program(place int) *program {
+func (c *turnChecker) program(index int) *program {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for generation := 0; ; generation++ {
-		name := fmt.Sprintf("program-%d-%d", place, generation)
+		name := fmt.Sprintf("program-%d-%d", index, generation)
 		p := c.programs[name]
 		if p == nil {
 			p = &program{name: name, budget: programBudget}
@@ -157,11 +157,11 @@
 
 // maxCharge returns the maximum of the tokens that may have been charged to a program, but for one attempt, since that began. The
 // caller holds mu.
-func (p *program) maxCharge(but *attempt) (sum uint64) {
+func (p *program) maxCharge(excluded *attempt) (sum uint64) {
 	for _, a := range p.attempts {
 		switch {
-		case a == but:
-		case a.settleAcknowledged && a.ended < but.began:
+		case a == excluded:
+		case a.settleAcknowledged && a.ended < excluded.began:
 			sum += a.tokens
 		default:
 			sum += a.maxTokens
@@ -216,8 +216,8 @@
 // newestStoredTurns returns the last stored turn of each program.
 func (c *turnChecker) newestStoredTurns() (ids []string) {
 	for _, p := range c.allPrograms() {
-		if kept := c.storedTurns(p); len(kept) > 0 {
-			ids = append(ids, kept[len(kept)-1])
+		if stored := c.storedTurns(p); len(stored) > 0 {
+			ids = append(ids, stored[len(stored)-1])
 		}
 	}
 	return ids
--- a/internal/tier/simulation/check_views.go
+++ b/internal/tier/simulation/check_views.go
@@ -20,7 +20,7 @@
 	last               map[*process][2]uint64 // versions of the configuration and the map
 	revision           map[*process]int64
 	epochs             map[string]string // partition and epoch to replicas
-	highestShown       [2]uint64         // highest versions of the configuration and the map that anyone was shown
+	highestReceived    [2]uint64         // highest versions of the configuration and the map that anyone was shown
 	newestPartitionMap *tierv1.PartitionMap
 }
 
@@ -34,7 +34,7 @@
 func (v *viewChecker) highest() [2]uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.highestShown
+	return v.highestReceived
 }
 
 // newestMap is the newest map of the partitions that anyone was shown.
@@ -57,15 +57,15 @@
 // than what any process had received when that began. The caller holds mu.
 func (v *viewChecker) checkMonotonic(name string, p *process, kind int, version uint64) {
 	last := v.last[p]
-	if last[kind] == 0 && version < p.shownBefore[kind] {
-		v.report(RuleStale, "%s was first shown version %d, and %d had been shown before it began", name, version, p.shownBefore[kind])
+	if last[kind] == 0 && version < p.receivedBefore[kind] {
+		v.report(RuleStale, "%s was first shown version %d, and %d had been shown before it began", name, version, p.receivedBefore[kind])
 	}
 	if version <= last[kind] {
 		v.report(RuleMonotonic, "%s was shown version %d after %d", name, version, last[kind])
 	}
 	last[kind] = version
 	v.last[p] = last
-	v.highestShown[kind] = max(v.highestShown[kind], version)
+	v.highestReceived[kind] = max(v.highestReceived[kind], version)
 }
 
 // recordConfiguration records what a gateway was shown.
@@ -102,12 +102,12 @@
 	}
 	v.checkOneValue("map", m.Version, string(body))
 	for i, part := range m.Partitions {
-		copies := []string{part.Primary}
+		replicas := []string{part.Primary}
 		for _, c := range part.Backups {
-			copies = append(copies, c.Folder)
+			replicas = append(replicas, c.Folder)
 		}
 		key := fmt.Sprint("partition ", i, ", epoch ", part.Epoch)
-		value := strings.Join(copies, " ")
+		value := strings.Join(replicas, " ")
 		if before, ok := v.epochs[key]; ok && before != value {
 			v.report(RuleOneValue, "%s has the copies %s, and %s", key, before, value)
 		}
--- a/internal/tier/simulation/check_views_test.go
+++ b/internal/tier/simulation/check_views_test.go
@@ -37,11 +37,11 @@
 	}
 	show(&process{}, 7, 3)
 	assert.Equal(t, v.highest(), [2]uint64{7, 0})
-	show(&process{floor: 3, shownBefore: v.highest()}, 7, 3)
+	show(&process{floor: 3, receivedBefore: v.highest()}, 7, 3)
 	assert.Equal(t, len(f.rules), 0)
-	show(&process{floor: 3, shownBefore: v.highest()}, 6, 3)
+	show(&process{floor: 3, receivedBefore: v.highest()}, 6, 3)
 	show(&process{floor: 4}, 8, 3)
 	assert.DeepEqual(t, f.rules, []Rule{RuleStale, RuleStale})
-	v.recordPartitionMap("s", &process{shownBefore: [2]uint64{0, 5}}, &tierv1.PartitionMap{Version: 4})
+	v.recordPartitionMap("s", &process{receivedBefore: [2]uint64{0, 5}}, &tierv1.PartitionMap{Version: 4})
 	assert.DeepEqual(t, f.rules[2:], []Rule{RuleStale})
 }
--- a/internal/tier/simulation/disk.go
+++ b/internal/tier/simulation/disk.go
@@ -51,11 +51,11 @@
 }
 
 // waitForSync lasts as long as a sync does, or until the process is over.
-func (d *disk) waitForSync(over <-chan struct{}) {
+func (d *disk) waitForSync(processEnded <-chan struct{}) {
 	d.mu.Lock()
-	last := time.Duration(d.random.Int64N(int64(maxSyncTime)))
+	duration := time.Duration(d.random.Int64N(int64(maxSyncTime)))
 	d.mu.Unlock()
-	time.Sleep(last)
+	time.Sleep(duration)
 	for {
 		d.mu.Lock()
 		stuck, changed := d.stuck, d.changed
@@ -65,7 +65,7 @@
 		}
 		select {
 		case <-changed:
-		case <-over:
+		case <-processEnded:
 			return
 		}
 	}
--- a/internal/tier/simulation/gateway_role.go
+++ b/internal/tier/simulation/gateway_role.go
@@ -64,7 +64,7 @@
 		return
 	}
 	m := g.process.machine
-	m.world.checks.views.recordConfiguration(m.name, g.process, c, m.world.checks.configuration.recordShown(string(c.Body)))
+	m.world.checks.views.recordConfiguration(m.name, g.process, c, m.world.checks.configuration.recordReceived(string(c.Body)))
 }
 
 // applyPartitionMap records a partition map that the session brought, and applies it to the client of turn stores.
@@ -80,10 +80,10 @@
 	w := g.process.machine.world
 	for !g.process.ended() {
 		w.sleep(sampleInterval)
-		stands, since := g.session.Active()
+		active, since := g.session.Active()
 		lastContact := w.now() - since
 		time.Sleep(time.Microsecond) // what came with the answer is taken in by now
-		if stands && !g.process.ended() {
+		if active && !g.process.ended() {
 			w.checks.configuration.checkStaleness(g.process.machine.name, w.checks.views.currentRevision(g.process), lastContact, staleBound)
 		}
 	}
@@ -113,10 +113,10 @@
 		return g.runTurn(checks.begin(program, "", maxTokens, 1+random.Uint64N(maxTokens)), false)
 	}
 	previous := ""
-	if kept := checks.storedTurns(previousProgram); len(kept) > 0 && random.IntN(10) > 0 {
-		previous = kept[len(kept)-1]
+	if stored := checks.storedTurns(previousProgram); len(stored) > 0 && random.IntN(10) > 0 {
+		previous = stored[len(stored)-1]
 		if random.IntN(6) == 0 { // beside others that did
-			previous = kept[random.IntN(len(kept))]
+			previous = stored[random.IntN(len(stored))]
 		}
 	}
 	a := checks.begin(program, previous, maxTokens, 1+random.Uint64N(maxTokens))
--- a/internal/tier/simulation/generator.go
+++ b/internal/tier/simulation/generator.go
@@ -82,13 +82,13 @@
 func (g *generator) drawSystem(seed uint64) {
 	g.script = Script{Version: ScriptVersion, Seed: seed, Gateways: 2, Losses: 1}
 	ofDomains := func(kind FaultKind) bool { return slices.Contains(domainKinds, kind) }
-	some := slices.ContainsFunc(g.kinds, ofDomains)
-	others := slices.DeleteFunc(slices.Clone(g.kinds), ofDomains)
-	if some && (len(others) == 0 || g.random.IntN(domainScriptOneIn) == 0) {
+	hasDomainKinds := slices.ContainsFunc(g.kinds, ofDomains)
+	machineKinds := slices.DeleteFunc(slices.Clone(g.kinds), ofDomains)
+	if hasDomainKinds && (len(machineKinds) == 0 || g.random.IntN(domainScriptOneIn) == 0) {
 		g.drawDomainSystem()
 		return
 	}
-	g.kinds = others
+	g.kinds = machineKinds
 	g.script.Core, g.script.Stores = 3, 3+g.random.IntN(2)
 	if g.random.IntN(spareCoreOneIn) == 0 {
 		g.script.Core++
@@ -146,16 +146,16 @@
 func (g *generator) drawFault(kind FaultKind) {
 	g.earliest += g.drawDuration(100*time.Millisecond, 3*time.Second)
 	switch {
-	case takesCounted(kind):
+	case countsAsLoss(kind):
 		g.drawLoss(kind, g.earliestLoss().until)
 	case slices.Contains(excessKinds, kind):
 		g.earliest = g.allRecoveredAt()
-		lasts := g.drawDuration(200*time.Millisecond, 3*time.Second)
+		duration := g.drawDuration(200*time.Millisecond, 3*time.Second)
 		if kind == SplitCore || kind == SplitOneWay {
-			lasts = g.drawDuration(minSplitTime, maxSplitTime)
+			duration = g.drawDuration(minSplitTime, maxSplitTime)
 		}
-		g.addFault(kind, "", g.earliest, lasts)
-		g.earliest += lasts + syncTime
+		g.addFault(kind, "", g.earliest, duration)
+		g.earliest += duration + syncTime
 	case kind == KillGateway || kind == PartitionSeeds:
 		g.addFault(kind, g.drawGateway(), g.earliest, g.drawDuration(100*time.Millisecond, 2*time.Second))
 	case kind == Add && !g.added:
@@ -175,8 +175,8 @@
 	}
 }
 
-// takesCounted reports whether a fault of the kind counts as a loss.
-func takesCounted(kind FaultKind) bool {
+// countsAsLoss reports whether a fault of the kind counts as a loss.
+func countsAsLoss(kind FaultKind) bool {
 	return slices.Contains(countedKinds, kind) || slices.Contains(domainKinds, kind)
 }
 
@@ -258,7 +258,7 @@
 func (g *generator) drawLossesInRow() {
 	var kinds []FaultKind
 	for _, kind := range g.kinds {
-		if takesCounted(kind) && !slices.Contains(nearKinds, kind) {
+		if countsAsLoss(kind) && !slices.Contains(nearKinds, kind) {
 			kinds = append(kinds, kind)
 		}
 	}
@@ -288,7 +288,7 @@
 // would end its retirement.
 func (g *generator) drawMachine(kind FaultKind, at time.Duration) string {
 	if slices.Contains(domainKinds, kind) {
-		return g.drawZone(at)
+		return g.drawDomain(at)
 	}
 	near := slices.Contains(nearKinds, kind)
 	if kind == PartitionLeader || kind == PartitionConfirming || near && g.random.IntN(4) > 0 || kind != Terminate && g.random.IntN(4) == 0 {
@@ -307,8 +307,8 @@
 	return name
 }
 
-// drawZone draws a zone or a region that is not lost, in which no machine is to be emptied.
-func (g *generator) drawZone(at time.Duration) string {
+// drawDomain draws a zone or a region that is not lost, in which no machine is to be emptied.
+func (g *generator) drawDomain(at time.Duration) string {
 	if g.retired == "" && g.random.IntN(2) == 0 {
 		return [...]string{Leader, Weakest}[g.random.IntN(2)]
 	}
--- a/internal/tier/simulation/generator_test.go
+++ b/internal/tier/simulation/generator_test.go
@@ -31,12 +31,12 @@
 					withMessageLoss++
 				}
 			}
-			if takesMore(f) {
+			if exceedsTolerance(f) {
 				assert.Equal(t, lost, 0, "%v%v", s, f)
 			}
-			if countLosses(f) > 0 || takesMore(f) {
+			if countLosses(f) > 0 || exceedsTolerance(f) {
 				for _, other := range s.Faults {
-					assert.Assert(t, other.AtMS == f.AtMS && other.Kind == f.Kind || !takesMore(other) || !overlap(f, other), "%v%v", s, f)
+					assert.Assert(t, other.AtMS == f.AtMS && other.Kind == f.Kind || !exceedsTolerance(other) || !overlap(f, other), "%v%v", s, f)
 				}
 			}
 		}
@@ -58,8 +58,8 @@
 	return n + 1
 }
 
-// takesMore reports whether a fault takes more than is tolerated.
-func takesMore(f Fault) bool {
+// exceedsTolerance reports whether a fault takes more than is tolerated.
+func exceedsTolerance(f Fault) bool {
 	return f.Kind == RestartAll || f.Kind == PowerLossAll || f.Kind == SplitCore || f.Kind == SplitOneWay
 }
 
@@ -93,7 +93,7 @@
 
 // A cut with those beside the machine lasts long, and is of one machine of the control plane that counts.
 func TestGenerate_NearPartitions(t *testing.T) {
-	returns := map[FaultKind]int{} // what comes as the machine comes back
+	faultsNearEnd := map[FaultKind]int{} // what comes as the machine comes back
 	for seed := range uint64(1000) {
 		s := Generate(seed, nearKinds...)
 		for _, f := range s.Faults {
@@ -106,19 +106,19 @@
 			for _, other := range s.Faults {
 				after := other.at() - f.at() - f.duration()
 				if other.Kind == PartitionSeeds && other.at() > f.at() && after < 0 {
-					returns[PartitionSeeds]++
+					faultsNearEnd[PartitionSeeds]++
 				}
 				if other.Kind == ConcurrentChanges && after >= -rivalsLeadTime-time.Millisecond && after <= 0 {
-					returns[ConcurrentChanges]++
+					faultsNearEnd[ConcurrentChanges]++
 				}
 				if other.Machine == Leader && (after >= 0 && after <= maxNextLossDelay || after >= syncTime-time.Millisecond && after <= syncTime+maxNextLossDelay) {
-					returns[Kill]++
+					faultsNearEnd[Kill]++
 				}
 			}
 		}
 	}
 	for _, kind := range []FaultKind{PartitionSeeds, ConcurrentChanges, Kill} {
-		assert.Assert(t, returns[kind] > 100, "%v", returns)
+		assert.Assert(t, faultsNearEnd[kind] > 100, "%v", faultsNearEnd)
 	}
 }
 
--- a/internal/tier/simulation/hooks.go
+++ b/internal/tier/simulation/hooks.go
@@ -23,30 +23,30 @@
 // SyncedFunc returns a turn store's reports, and a channel that is closed when they have changed.
 type SyncedFunc func() ([]*tierv1.SyncedReplica, <-chan struct{})
 
-func (s Hooks) wrapStore(inner controlplane.Store) controlplane.Store {
-	if s.Store == nil {
+func (h Hooks) wrapStore(inner controlplane.Store) controlplane.Store {
+	if h.Store == nil {
 		return inner
 	}
-	return s.Store(inner)
+	return h.Store(inner)
 }
 
-func (s Hooks) wrapFiles(machine string, inner wal.FS) wal.FS {
-	if s.Files == nil {
+func (h Hooks) wrapFiles(machine string, inner wal.FS) wal.FS {
+	if h.Files == nil {
 		return inner
 	}
-	return s.Files(machine, inner)
+	return h.Files(machine, inner)
 }
 
-func (s Hooks) wrapServer(inner tierv1.TurnStore) tierv1.TurnStore {
-	if s.Serve == nil {
+func (h Hooks) wrapServer(inner tierv1.TurnStore) tierv1.TurnStore {
+	if h.Serve == nil {
 		return inner
 	}
-	return s.Serve(inner)
+	return h.Serve(inner)
 }
 
-func (s Hooks) wrapSynced(store *turnstore.TurnStore) SyncedFunc {
-	if s.Synced == nil {
+func (h Hooks) wrapSynced(store *turnstore.TurnStore) SyncedFunc {
+	if h.Synced == nil {
 		return store.SyncedReplicas
 	}
-	return s.Synced(store, store.SyncedReplicas)
+	return h.Synced(store, store.SyncedReplicas)
 }
--- a/internal/tier/simulation/inject_faults.go
+++ b/internal/tier/simulation/inject_faults.go
@@ -106,7 +106,7 @@
 		w.addMachine(m.name, m.kind, m.zone).start()
 		return
 	case Move:
-		w.addMachine(w.nextCore(), m.kind, m.zone).start()
+		w.addMachine(w.nextCoreName(), m.kind, m.zone).start()
 		w.sleep(f.duration())
 		m.wipe()
 		w.mu.Lock()
@@ -140,8 +140,8 @@
 // retire has an operator retire a turn store, and removes its machine when that is empty.
 func (w *world) retire(name string) {
 	o := newOperator(w, operatorPrefix+"retire", outsideNet+"100")
-	status, _ := o.untilClear(func(ctx context.Context, at string) (int, string, error) {
-		return o.call(ctx, at, operatorCall{method: http.MethodPost, path: retirePath + name, body: `{"duration_s":30}`})
+	status, _ := o.callUntilDefinitive(func(ctx context.Context, ip string) (int, string, error) {
+		return o.call(ctx, ip, operatorCall{method: http.MethodPost, path: retirePath + name, body: `{"duration_s":30}`})
 	}, retireTimeout)
 	w.trace("the order to empty %s: %d", name, status)
 	switch status {
@@ -157,8 +157,8 @@
 	w.mu.Unlock()
 	for begun := w.now(); !w.ending(); w.sleep(500 * time.Millisecond) {
 		state := ""
-		status, state = o.untilClear(func(ctx context.Context, at string) (int, string, error) {
-			return o.call(ctx, at, operatorCall{method: http.MethodGet, path: retiredPath + name})
+		status, state = o.callUntilDefinitive(func(ctx context.Context, ip string) (int, string, error) {
+			return o.call(ctx, ip, operatorCall{method: http.MethodGet, path: retiredPath + name})
 		}, changeTimeout)
 		if status == 200 && state == `{"lifecycle_state":"completed"}` {
 			w.trace("%s is empty after %v", name, w.now()-begun)
--- a/internal/tier/simulation/inject_partitions.go
+++ b/internal/tier/simulation/inject_partitions.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// confirmingDelays bounds how long after a change has reached the primary a PartitionConfirming begins. Most changes are acknowledged
+// maxConfirmingDelay bounds how long after a change has reached the primary a PartitionConfirming begins. Most changes are acknowledged
 // within it.
-const confirmingDelays = 12 * time.Millisecond
+const maxConfirmingDelay = 12 * time.Millisecond
 
 // partition partitions a machine from all others, in one direction or both; with PartitionLeader some gateways are on its side.
 func (w *world) partition(f Fault, m *machine) {
@@ -43,15 +43,15 @@
 // partitionDomain partitions a zone or region from the others, in one direction or both.
 func (w *world) partitionDomain(f Fault, name string) {
 	side := w.machinesOf(name)
-	var taken []string
+	var claimed []string
 	for _, m := range side {
 		if m.kind != roleGateway && w.claim(m.name) { // a gateway may end meanwhile
-			taken = append(taken, m.name)
+			claimed = append(claimed, m.name)
 		}
 	}
 	links := w.linksAcross(side, f.Kind != PartitionZoneOutbound, f.Kind != PartitionZoneInbound)
 	w.partitionLinks(f.duration(), links, side...)
-	for _, one := range taken {
+	for _, one := range claimed {
 		w.release(one)
 	}
 }
@@ -60,14 +60,14 @@
 func (w *world) partitionNear(f Fault, m *machine) {
 	side := []*machine{m}
 	for _, name := range f.Side {
-		beside := w.machine(name)
-		if beside == nil || beside.kind != roleGateway && !w.claim(name) {
+		other := w.machine(name)
+		if other == nil || other.kind != roleGateway && !w.claim(name) {
 			continue
 		}
-		if beside.kind != roleGateway {
+		if other.kind != roleGateway {
 			defer w.release(name)
 		}
-		side = append(side, beside)
+		side = append(side, other)
 	}
 	end := w.now() + f.duration()
 	if f.Kind == PartitionConfirming {
@@ -79,12 +79,12 @@
 
 // awaitChangeAtPrimary waits until a machine has begun to serve a change, and a little, for half of the fault at most.
 func (w *world) awaitChangeAtPrimary(m *machine, f Fault) {
-	ordered := w.network.awaitChange(m.name)
+	begun := w.network.awaitChange(m.name)
 	timer := time.NewTimer(f.duration() / 2)
 	defer timer.Stop()
 	select {
-	case <-ordered:
-		delay := time.Duration(w.randomFor(f.String()).Int64N(int64(confirmingDelays)))
+	case <-begun:
+		delay := time.Duration(w.randomFor(f.String()).Int64N(int64(maxConfirmingDelay)))
 		w.sleep(delay)
 		w.trace("%s has begun to serve an order %v ago", m.name, delay)
 	case <-timer.C:
@@ -114,7 +114,7 @@
 
 // partitionLinks blocks links for a time, in which the machines of the control plane among side count as partitioned.
 func (w *world) partitionLinks(duration time.Duration, links [][2]string, side ...*machine) {
-	note := func(by int) {
+	countPartitioned := func(by int) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, m := range side {
@@ -126,7 +126,7 @@
 			}
 		}
 	}
-	note(1)
+	countPartitioned(1)
 	n := w.network
 	n.update(func() {
 		for _, link := range links {
@@ -141,7 +141,7 @@
 			}
 		}
 	})
-	note(-1)
+	countPartitioned(-1)
 }
 
 // isPartitioned reports whether a machine of the control plane is partitioned.
--- a/internal/tier/simulation/injected_faults_test.go
+++ b/internal/tier/simulation/injected_faults_test.go
@@ -23,9 +23,9 @@
 const injectedFaultSeeds = 200
 
 // expectFound plays seeds until one breaks one of the rules.
-func expectFound(t *testing.T, seams Hooks, rules ...Rule) {
+func expectFound(t *testing.T, hooks Hooks, rules ...Rule) {
 	t.Helper()
-	expectFoundInBatch(t, Batch{Options: Options{Hooks: seams}}, rules...)
+	expectFoundInBatch(t, Batch{Options: Options{Hooks: hooks}}, rules...)
 }
 
 // expectFoundInBatch plays the seeds of a batch until one breaks one of the rules.
@@ -85,10 +85,10 @@
 // orderRecord is the part of the name of the keys under which the control plane remembers orders.
 const orderRecord = "order"
 
-// forgetfulStore drops what the control plane remembers of orders that were taken.
-type forgetfulStore struct{ controlplane.Store }
+// hidingStore drops what the control plane remembers of orders that were taken.
+type hidingStore struct{ controlplane.Store }
 
-func (s forgetfulStore) Get(key string) ([]byte, uint64) {
+func (s hidingStore) Get(key string) ([]byte, uint64) {
 	if strings.Contains(key, orderRecord) {
 		return nil, 0
 	}
@@ -97,14 +97,14 @@
 
 // Point 2: the record of orders that were taken is lost, and one that comes again is rejected.
 func TestInjectedFault_ForgottenChanges(t *testing.T) {
-	expectFound(t, Hooks{Store: func(s controlplane.Store) controlplane.Store { return forgetfulStore{s} }}, RuleIdempotent, RuleRejection)
+	expectFound(t, Hooks{Store: func(s controlplane.Store) controlplane.Store { return hidingStore{s} }}, RuleIdempotent, RuleRejection)
 }
 
 // Point 3: a primary reports replicas as whole that have not been compared.
 func TestInjectedFault_EarlySynced(t *testing.T) {
 	var mu sync.Mutex
 	maps := map[*turnstore.TurnStore]*tierv1.PartitionMap{}
-	seams := Hooks{
+	hooks := Hooks{
 		OnPartitionMap: func(store *turnstore.TurnStore, m *tierv1.PartitionMap) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -123,7 +123,7 @@
 				return allSynced(store.Folder(), maps[store]), changed
 			}
 		}}
-	expectFound(t, seams, RuleTurn, RuleBudget, RuleRecovery)
+	expectFound(t, hooks, RuleTurn, RuleBudget, RuleRecovery)
 }
 
 // allSynced reports all replicas of a folder's partitions.
@@ -183,9 +183,9 @@
 	if testing.Short() || raceDetector {
 		t.Skip("many seeds: played without -short and -race")
 	}
-	seams := Hooks{Store: func(s controlplane.Store) controlplane.Store { return unretainingStore{s} }}
+	hooks := Hooks{Store: func(s controlplane.Store) controlplane.Store { return unretainingStore{s} }}
 	for n := range injectedFaultSeeds {
-		result, err := Play(lossAfterLapse, Options{Hooks: seams})
+		result, err := Play(lossAfterSessionExpiry, Options{Hooks: hooks})
 		assert.NilError(t, err)
 		if result.Violation != nil {
 			t.Logf("found after %d plays: %v", n+1, result.Violation)
--- a/internal/tier/simulation/injected_late_repair_test.go
+++ b/internal/tier/simulation/injected_late_repair_test.go
@@ -47,11 +47,11 @@
 // Point 3: replicas that were made anew count only after the next loss may have come. It is found without the rule that all replicas are there in
 // the end, by what the next loss takes.
 func TestInjectedFault_LateRepair(t *testing.T) {
-	seams := Hooks{Synced: func(_ *turnstore.TurnStore, synced SyncedFunc) SyncedFunc {
+	hooks := Hooks{Synced: func(_ *turnstore.TurnStore, synced SyncedFunc) SyncedFunc {
 		l := &lateSyncedReports{synced: synced}
 		return l.reports
 	}}
-	expectFound(t, seams, RuleRecovery, RuleTurn, RuleBudget)
-	expectFoundInBatch(t, Batch{Kinds: []FaultKind{LossesInRow, Wipe, WipeZone, Replace}, Options: Options{Hooks: seams, Ignore: []Rule{RuleRecovery}}},
+	expectFound(t, hooks, RuleRecovery, RuleTurn, RuleBudget)
+	expectFoundInBatch(t, Batch{Kinds: []FaultKind{LossesInRow, Wipe, WipeZone, Replace}, Options: Options{Hooks: hooks, Ignore: []Rule{RuleRecovery}}},
 		RuleTurn, RuleBudget)
 }
--- a/internal/tier/simulation/link.go
+++ b/internal/tier/simulation/link.go
@@ -63,7 +63,7 @@
 		return lostCall()
 	}
 	from := l.from.machine.name
-	f := n.drawFate(from, to.name, strings.HasPrefix(r.URL.Path, "/twirp/"))
+	f := n.drawOutcome(from, to.name, strings.HasPrefix(r.URL.Path, "/twirp/"))
 	if !n.deliver(from, to.name, f.requestDelay) {
 		return nil, errTimeout
 	}
--- a/internal/tier/simulation/machine.go
+++ b/internal/tier/simulation/machine.go
@@ -62,8 +62,8 @@
 	role     role
 	handlers map[string]http.Handler // by port
 
-	floor       int64     // the minimum revision that was in force when it began
-	shownBefore [2]uint64 // the highest versions that any process had received then
+	floor          int64     // the minimum revision that was in force when it began
+	receivedBefore [2]uint64 // the highest versions that any process had received then
 }
 
 // ended reports whether the process has ended: nothing that it still does may be seen outside.
@@ -107,7 +107,7 @@
 	defer cancel()
 	p := &process{machine: m, ctx: ctx, cancel: cancel, log: m.world.logger(m.name), handlers: map[string]http.Handler{}}
 	p.link = &link{m.world.network, p}
-	p.floor, p.shownBefore = m.world.checks.configuration.floor(), m.world.checks.views.highest()
+	p.floor, p.receivedBefore = m.world.checks.configuration.floor(), m.world.checks.views.highest()
 	p.role = m.world.role(m)
 	m.mu.Lock()
 	if !m.up || m.incarnation != incarnation {
@@ -119,8 +119,8 @@
 	err := p.role.start(p)
 	m.mu.Lock()
 	m.starting = nil
-	stands := err == nil && m.up && m.incarnation == incarnation
-	if stands {
+	started := err == nil && m.up && m.incarnation == incarnation
+	if started {
 		m.current = p
 	}
 	m.mu.Unlock()
@@ -128,7 +128,7 @@
 		m.world.trace("%s: did not start: %v", m.name, err)
 		return
 	}
-	if !stands {
+	if !started {
 		return
 	}
 	<-ctx.Done()
--- a/internal/tier/simulation/main_test.go
+++ b/internal/tier/simulation/main_test.go
@@ -16,16 +16,16 @@
 func TestMain(m *testing.M) {
 	log.DefaultLogger.Level = log.PanicLevel // logs of disks, which have none of their own
 	debug.SetGCPercent(GCPercent)
-	if part := os.Getenv(workerVariable); part != "" {
-		work(part)
+	if seedRange := os.Getenv(workerVariable); seedRange != "" {
+		runAsWorker(seedRange)
 		return
 	}
 	os.Exit(m.Run())
 }
 
-func work(part string) {
+func runAsWorker(seedRange string) {
 	var b Batch
-	_, err := fmt.Sscan(part, &b.From, &b.Seeds)
+	_, err := fmt.Sscan(seedRange, &b.From, &b.Seeds)
 	if err == nil {
 		err = b.PlayAsWorker(context.Background(), os.Stdout)
 	}
--- a/internal/tier/simulation/network.go
+++ b/internal/tier/simulation/network.go
@@ -82,14 +82,14 @@
 	Repeat func() // serves the call once more
 }
 
-// fate is what happens to one call on the network.
-type fate struct {
+// callOutcome is what happens to one call on the network.
+type callOutcome struct {
 	requestDelay, replyDelay, duplicateDelay time.Duration
 	loseRequest, loseReply, duplicate        bool
 }
 
-// drawFate returns the fate of the next call on a link. It depends on the seed, the link and the number of calls on it alone.
-func (n *network) drawFate(from, to string, doublable bool) fate {
+// drawOutcome returns the outcome of the next call on a link. It depends on the seed, the link and the number of calls on it alone.
+func (n *network) drawOutcome(from, to string, mayDuplicate bool) callOutcome {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	key := [2]string{from, to}
@@ -99,7 +99,7 @@
 	_, _ = io.WriteString(h, from+">"+to)
 	r := rand.New(rand.NewPCG(n.seed^h.Sum64(), n.sent[key]))
 	delay := func() time.Duration { return minDelay + time.Duration(r.Int64N(int64(maxDelay-minDelay))) }
-	f := fate{requestDelay: delay(), replyDelay: delay()}
+	f := callOutcome{requestDelay: delay(), replyDelay: delay()}
 	if n.loseResponses && strings.HasPrefix(from, operatorPrefix) {
 		f.loseReply = r.IntN(2) == 0
 	}
@@ -108,7 +108,7 @@
 		f.loseReply = f.loseReply || r.IntN(lostOneIn) == 0
 	}
 	if n.reorder {
-		f.duplicate, f.duplicateDelay = doublable && r.IntN(duplicatedOneIn) == 0, time.Duration(r.Int64N(int64(maxDuplicateDelay)))
+		f.duplicate, f.duplicateDelay = mayDuplicate && r.IntN(duplicatedOneIn) == 0, time.Duration(r.Int64N(int64(maxDuplicateDelay)))
 		if r.IntN(delayedOneIn) == 0 {
 			f.requestDelay += time.Duration(r.Int64N(int64(maxMessageDelay)))
 			f.replyDelay += time.Duration(r.Int64N(int64(maxMessageDelay)))
@@ -124,15 +124,15 @@
 	var limit <-chan time.Time
 	for {
 		n.mu.Lock()
-		cut, frozen, changed, closed := n.partitioned[[2]string{from, to}] > 0, n.frozen[from] || n.frozen[to], n.changed, n.closed
+		partitioned, frozen, changed, closed := n.partitioned[[2]string{from, to}] > 0, n.frozen[from] || n.frozen[to], n.changed, n.closed
 		n.mu.Unlock()
 		if closed {
 			return false
 		}
-		if !cut && !frozen {
+		if !partitioned && !frozen {
 			return true
 		}
-		if cut && limit == nil {
+		if partitioned && limit == nil {
 			timer := time.NewTimer(lostCallTimeout)
 			defer timer.Stop()
 			limit = timer.C
@@ -157,8 +157,8 @@
 func (n *network) recordChange(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if ordered := n.changeBegun[name]; ordered != nil {
-		close(ordered)
+	if begun := n.changeBegun[name]; begun != nil {
+		close(begun)
 		delete(n.changeBegun, name)
 	}
 }
--- a/internal/tier/simulation/operator.go
+++ b/internal/tier/simulation/operator.go
@@ -89,9 +89,9 @@
 func (o *operator) read() bool {
 	checks := o.world.checks.configuration
 	var floor int64
-	status, body := o.untilClear(func(ctx context.Context, at string) (int, string, error) {
+	status, body := o.callUntilDefinitive(func(ctx context.Context, ip string) (int, string, error) {
 		floor = checks.floor()
-		return o.call(ctx, at, operatorCall{method: http.MethodGet, path: describePath})
+		return o.call(ctx, ip, operatorCall{method: http.MethodGet, path: describePath})
 	}, changeTimeout)
 	switch status {
 	case http.StatusOK, http.StatusNotFound:
@@ -111,8 +111,8 @@
 
 // send sends a change until its response is clear, and reports whether it was acknowledged.
 func (o *operator) send(change *configurationChange) bool {
-	status, _ := o.untilClear(func(ctx context.Context, at string) (int, string, error) {
-		return o.call(ctx, at, operatorCall{method: http.MethodPost, path: replacePath, body: change.body,
+	status, _ := o.callUntilDefinitive(func(ctx context.Context, ip string) (int, string, error) {
+		return o.call(ctx, ip, operatorCall{method: http.MethodPost, path: replacePath, body: change.body,
 			header: http.Header{"X-Base-Revision": {strconv.FormatInt(change.base, 10)}}})
 	}, changeTimeout)
 	o.world.trace("%s: %v: %d", o.name, change, status)
@@ -126,8 +126,8 @@
 	return status == http.StatusOK
 }
 
-// untilClear calls one process after the other until the response of one is clear; status 0: none within the limit.
-func (o *operator) untilClear(call func(ctx context.Context, at string) (int, string, error), limit time.Duration) (status int, body string) {
+// callUntilDefinitive calls one process after the other until the response of one is clear; status 0: none within the limit.
+func (o *operator) callUntilDefinitive(call func(ctx context.Context, ip string) (int, string, error), limit time.Duration) (status int, body string) {
 	wait := minRetryDelay
 	for begun := o.world.now(); o.world.now()-begun < limit && !o.world.ending(); o.world.sleep(wait) {
 		core := o.world.machinesOfKind(roleControlPlane)
@@ -166,11 +166,11 @@
 		if status != http.StatusTemporaryRedirect {
 			break
 		}
-		elsewhere, err := url.Parse(response.Header.Get("Location"))
+		location, err := url.Parse(response.Header.Get("Location"))
 		if err != nil {
 			return 0, "", err
 		}
-		target = elsewhere.String()
+		target = location.String()
 	}
 	return status, reply, nil
 }
--- a/internal/tier/simulation/play_test.go
+++ b/internal/tier/simulation/play_test.go
@@ -13,15 +13,15 @@
 	assert.Assert(t, result.Orders > 5 && result.Turns > 50, "%+v", result)
 }
 
-// lossAfterLapse: messages are lost, so that the session of a turn store lapses and its replicas are taken out; right after that
+// lossAfterSessionExpiry: messages are lost, so that the session of a turn store lapses and its replicas are taken out; right after that
 // the machine that holds the only synced replicas loses its disk.
-var lossAfterLapse = Script{Version: ScriptVersion, Seed: 2327, Core: 3, Stores: 3, Gateways: 2, Losses: 1, Faults: []Fault{
+var lossAfterSessionExpiry = Script{Version: ScriptVersion, Seed: 2327, Core: 3, Stores: 3, Gateways: 2, Losses: 1, Faults: []Fault{
 	{AtMS: 6568, DurationMS: 1433, Kind: LoseMessages}, {AtMS: 7638, DurationMS: 128, Kind: Wipe, Machine: "store-1"}}}
 
 // The retained replicas bring everything back.
 func TestPlay_LossAfterSessionExpiry(t *testing.T) {
 	for range 3 {
-		result, err := Play(lossAfterLapse, Options{})
+		result, err := Play(lossAfterSessionExpiry, Options{})
 		assert.NilError(t, err)
 		assert.Assert(t, result.Violation == nil, "%v", result.Violation)
 	}
--- a/internal/tier/simulation/replay.go
+++ b/internal/tier/simulation/replay.go
@@ -12,8 +12,8 @@
 	SimulatorError string // of the simulator itself, if that failed
 }
 
-// text returns the text of an error, or "".
-func text(err error) string {
+// errorText returns the text of an error, or "".
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
@@ -33,7 +33,7 @@
 	var f Failure
 	for range times {
 		result, trace, err := playTraced(script, options)
-		f = Failure{script, result.Violation, trace, text(err)}
+		f = Failure{script, result.Violation, trace, errorText(err)}
 		if f.Violation != nil || err != nil {
 			break
 		}
--- a/internal/tier/simulation/roles.go
+++ b/internal/tier/simulation/roles.go
@@ -148,5 +148,5 @@
 	return out
 }
 
-// at returns the address of a port.
-func at(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
+// hostPort returns the address of a port.
+func hostPort(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
--- a/internal/tier/simulation/shrink.go
+++ b/internal/tier/simulation/shrink.go
@@ -20,7 +20,7 @@
 		}
 	}
 	for i := range script.Faults {
-		for script.Faults[i].DurationMS > minFaultDuration {
+		for script.Faults[i].DurationMS > minFaultDurationMS {
 			shorter := script
 			shorter.Faults = slices.Clone(script.Faults)
 			shorter.Faults[i].DurationMS /= 2
@@ -33,5 +33,5 @@
 	return script
 }
 
-// minFaultDuration is the duration of a fault, in milliseconds, from which on no shorter one is tried.
-const minFaultDuration = 200
+// minFaultDurationMS is the duration of a fault, in milliseconds, from which on no shorter one is tried.
+const minFaultDurationMS = 200
--- a/internal/tier/simulation/target_machines_test.go
+++ b/internal/tier/simulation/target_machines_test.go
@@ -34,12 +34,12 @@
 	for i := range 3 {
 		newest.StoreNodes = append(newest.StoreNodes, &tierv1.StoreNode{Folder: fmt.Sprint("folder-", i+1), Node: storeName(i)})
 	}
-	for _, copies := range []struct {
+	for _, replicas := range []struct {
 		primary, backup string
 		synced          bool
 	}{{"folder-1", "folder-2", true}, {"folder-2", "folder-1", false}, {"folder-2", "folder-3", false}, {"folder-3", "folder-1", false}} {
-		newest.Partitions = append(newest.Partitions, &tierv1.Partition{Primary: copies.primary,
-			Backups: []*tierv1.Replica{{Folder: copies.backup, Synced: copies.synced}}})
+		newest.Partitions = append(newest.Partitions, &tierv1.Partition{Primary: replicas.primary,
+			Backups: []*tierv1.Replica{{Folder: replicas.backup, Synced: replicas.synced}}})
 	}
 	assert.DeepEqual(t, w.neededReplicas(newest), map[string]int{"store-2": 2, "store-3": 1})
 	w.checks.views.newestPartitionMap = newest
--- a/internal/tier/simulation/workers.go
+++ b/internal/tier/simulation/workers.go
@@ -31,20 +31,20 @@
 func (b Batch) PlayAsWorker(ctx context.Context, out io.Writer) error {
 	lines := json.NewEncoder(out)
 	var failed error
-	tell := func(e workerEvent) {
+	emit := func(e workerEvent) {
 		if err := lines.Encode(e); err != nil && failed == nil {
 			failed = err
 		}
 	}
-	b.Failed = func(f Failure) { tell(workerEvent{Failure: &f}) }
+	b.Failed = func(f Failure) { emit(workerEvent{Failure: &f}) }
 	b.Progress = func(played uint64) {
 		if played%progressInterval == 0 {
-			tell(workerEvent{Played: played})
+			emit(workerEvent{Played: played})
 		}
 	}
 	b.Jobs = 1
 	total := b.Play(ctx)
-	tell(workerEvent{Total: &total})
+	emit(workerEvent{Total: &total})
 	return failed
 }
 
@@ -92,7 +92,7 @@
 }
 
 // runWorker runs a worker process, and passes its events to tell.
-func runWorker(c *exec.Cmd, tell func(workerEvent)) error {
+func runWorker(c *exec.Cmd, handle func(workerEvent)) error {
 	c.Env = append(c.Environ(), "GOMAXPROCS=1")
 	c.Stderr = os.Stderr
 	out, err := c.StdoutPipe()
@@ -110,7 +110,7 @@
 			break
 		}
 		ended = ended || e.Total != nil
-		tell(e)
+		handle(e)
 	}
 	err = c.Wait()
 	if err == nil && !ended {
--- a/internal/tier/simulation/world.go
+++ b/internal/tier/simulation/world.go
@@ -261,8 +261,8 @@
 	}
 }
 
-// nextCore returns the name of another machine of the control plane. Addresses are never used again, so that no name is.
-func (w *world) nextCore() string {
+// nextCoreName returns the name of another machine of the control plane. Addresses are never used again, so that no name is.
+func (w *world) nextCoreName() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return coreName(w.addresses[coreNet])
