--- a/internal/tier/simulation/batch.go
+++ b/internal/tier/simulation/batch.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// GCPercent suits plays: a bubble makes much garbage and holds little.
-const GCPercent = 3000 // percent of what is held
+// GCPercent is a GC target that suits plays: a bubble allocates much and retains little.
+const GCPercent = 3000 // percent of the live heap
 
 // Batch is a range of seeds to be played.
 type Batch struct {
--- a/internal/tier/simulation/generator.go
+++ b/internal/tier/simulation/generator.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// maxMessageLossTime is how long messages are lost at most in a generated script: about the contact window. In a longer loss a
-	// session may expire for longer than the control plane waits for it.
+	// maxMessageLossTime bounds how long messages are lost in a generated script: about the contact window. With a longer loss, a
+	// session may stay expired for longer than the control plane waits for it.
 	maxMessageLossTime = 3 * time.Second
 
-	// maxFaults is how many faults of a script are drawn at most; some bring others with them.
+	// maxFaults bounds the number of faults that are drawn for a script. Some of them add further faults.
 	maxFaults = 4
 
-	// lossesInRowOneIn: one of so many LossesInRow is kept where all kinds are drawn, as one lasts as long as many other scripts.
+	// lossesInRowOneIn: where all kinds are drawn, one in this many LossesInRow is kept, as it takes as long as many other scripts.
 	lossesInRowOneIn = 6
 
-	// spareCoreOneIn: one of so many systems that tolerate one loss has one more machine of the control plane than members.
+	// spareCoreOneIn: one in this many systems that tolerate one loss has one control-plane machine more than members.
 	spareCoreOneIn = 4
 
-	// domainScriptOneIn: one of so many scripts loses zones or regions, where kinds of both groups are to be drawn.
+	// domainScriptOneIn: one in this many scripts loses zones or regions, where the kinds to draw include both these and others.
 	domainScriptOneIn = 5
 
-	// maxNextLossDelay is how long after syncTime the next loss begins at most where losses follow each other.
+	// maxNextLossDelay bounds how long after syncTime the next loss begins where losses follow each other.
 	maxNextLossDelay = 50 * time.Millisecond
 
 	minLossesInRowTime, maxLossesInRowTime     = 60 * time.Second, 110 * time.Second     // losses that follow each other
@@ -34,12 +34,12 @@
 	minSplitTime, maxSplitTime                 = time.Second, 8 * time.Second            // of the control plane
 	minRivalsTime, maxRivalsTime               = 300 * time.Millisecond, 2 * time.Second // of ConcurrentChanges
 	rivalsLeadTime                             = 100 * time.Millisecond                  // of ConcurrentChanges before the end of a partition
-	rivalsOneIn, nearExtraOneIn                = 3, 2                                    // one of so many near partitions has ConcurrentChanges; a next loss, a new process
+	rivalsOneIn, nearExtraOneIn                = 3, 2                                    // one in this many near partitions has ConcurrentChanges; a following loss, PartitionSeeds
 )
 
-// Generate draws a script with faults of the given kinds; none: of all. Never are more than Losses machines, or zones or
-// regions, lost at once; one counts as lost until syncTime after its return. Only RestartAll and PowerLossAll, which keep
-// the disks, SplitCore and SplitOneWay take more, while nothing else is lost. Messages may be lost (LoseMessages) beside losses.
+// Generate draws a script with faults of the given kinds, or of all kinds if none is given. At most Losses machines (or zones or
+// regions) are lost at once; each counts as lost until syncTime after its return. Only RestartAll and PowerLossAll, which keep the
+// disks, and SplitCore and SplitOneWay exceed this, while nothing else is lost. Messages may be lost (LoseMessages) during losses.
 // The same seed and kinds give the same script in each release (see ScriptVersion).
 func Generate(seed uint64, kinds ...FaultKind) Script {
 	g := generator{random: rand.New(rand.NewPCG(seed, 0x5c21)), kinds: kinds}
@@ -64,7 +64,7 @@
 	random   *rand.Rand
 	script   Script
 	kinds    []FaultKind
-	earliest time.Duration // before which no further fault begins
+	earliest time.Duration // no further fault begins before this time
 	losses   []loss
 	retired  string
 	added    bool
@@ -72,7 +72,7 @@
 	complete bool // no further fault is drawn
 }
 
-// loss is one of the machines, zones or regions that may be lost at once, and until when it counts as lost.
+// loss is one of the losses that are tolerated at once: a machine, zone or region, and the time until which it counts as lost.
 type loss struct {
 	domain string
 	until  time.Duration
@@ -98,7 +98,7 @@
 	}
 }
 
-// drawDomainSystem draws a system that loses zones or regions: each has a machine of the control plane and a turn store at least.
+// drawDomainSystem draws a system that loses zones or regions: each has at least one control-plane machine and one turn store.
 func (g *generator) drawDomainSystem() {
 	g.script.Unit, g.script.Zones = Zones, 3+g.random.IntN(3)
 	if g.random.IntN(4) == 0 {
@@ -112,7 +112,7 @@
 	g.script.Packed = g.random.IntN(4) == 0
 }
 
-// drawKind draws one of the kinds. Where zones or regions are lost, half of the draws are of these.
+// drawKind draws one of the kinds. Where zones or regions are lost, half of the draws are of the kinds that hit these, if any is given.
 func (g *generator) drawKind(kinds []FaultKind) FaultKind {
 	if g.script.Unit != Machines && g.random.IntN(2) == 0 {
 		wanted := slices.DeleteFunc(slices.Clone(kinds), func(kind FaultKind) bool { return !slices.Contains(domainKinds, kind) })
@@ -133,7 +133,7 @@
 	g.script.Faults = append(g.script.Faults, Fault{AtMS: at.Milliseconds(), DurationMS: duration.Milliseconds(), Kind: kind, Machine: machine, Side: side})
 }
 
-// allRecoveredAt is when nothing is lost any more.
+// allRecoveredAt returns the earliest time at which a further fault may begin and no loss counts any more.
 func (g *generator) allRecoveredAt() time.Duration {
 	at := g.earliest
 	for _, l := range g.losses {
@@ -142,7 +142,7 @@
 	return at
 }
 
-// drawFault draws one fault, or none where its kind is not possible now.
+// drawFault draws one fault, or none if its kind is not possible now.
 func (g *generator) drawFault(kind FaultKind) {
 	g.earliest += g.drawDuration(100*time.Millisecond, 3*time.Second)
 	switch {
@@ -180,7 +180,7 @@
 	return slices.Contains(countedKinds, kind) || slices.Contains(domainKinds, kind)
 }
 
-// retirable reports whether one turn store fewer would be enough wherever it is.
+// retirable reports whether the turn stores suffice without any one of them.
 func (g *generator) retirable() bool {
 	if g.script.Unit == Machines {
 		return g.script.Stores > g.script.Losses+1
@@ -199,7 +199,7 @@
 	return first
 }
 
-// drawLoss draws a fault that counts as a loss, at a time or later.
+// drawLoss draws a fault that counts as a loss and begins at a given time or later.
 func (g *generator) drawLoss(kind FaultKind, at time.Duration) {
 	at = max(g.earliest, at, g.earliestLoss().until)
 	machine := g.drawMachine(kind, at)
@@ -223,8 +223,8 @@
 	*g.earliestLoss() = loss{g.script.domainOf(machine), at + duration + syncTime}
 }
 
-// drawNearPartition draws a partition of a machine of the control plane with some of the gateways and, where one more may be lost, a
-// turn store on its side, and what may happen in it and at its end.
+// drawNearPartition draws a partition of a control-plane machine together with some of the gateways and, where one more machine may be
+// lost, a turn store. It also draws faults during the partition and at its end.
 func (g *generator) drawNearPartition(kind FaultKind, machine string, at time.Duration) {
 	duration := g.drawDuration(minNearPartitionTime, maxNearPartitionTime)
 	side := []string{g.drawGateway()}
@@ -254,7 +254,7 @@
 	}
 }
 
-// drawLossesInRow draws losses each of which begins as soon as the one before no longer counts, and nothing after them.
+// drawLossesInRow draws losses each of which begins as soon as an earlier one no longer counts. No fault is drawn after them.
 func (g *generator) drawLossesInRow() {
 	var kinds []FaultKind
 	for _, kind := range g.kinds {
@@ -266,7 +266,7 @@
 		kinds = slices.DeleteFunc(slices.Clone(countedKinds), func(kind FaultKind) bool { return slices.Contains(nearKinds, kind) })
 	}
 	begin := g.allRecoveredAt()
-	for i := range g.losses { // with two, each begins beside the other
+	for i := range g.losses { // with two tolerated losses, the first two begin at about the same time
 		g.losses[i].until = begin
 	}
 	end := begin + g.drawDuration(minLossesInRowTime, maxLossesInRowTime)
@@ -284,8 +284,8 @@
 // drawGateway draws the name of a gateway.
 func (g *generator) drawGateway() string { return gatewayName(g.random.IntN(g.script.Gateways)) }
 
-// drawMachine draws a machine, or a zone or region, that is not lost. A machine that is to be emptied is not drawn for what
-// would end its retirement.
+// drawMachine draws a machine, or a zone or region, for a fault. It returns "" if the drawn one is lost, or is a machine that is being
+// retired, as the fault would end its retirement.
 func (g *generator) drawMachine(kind FaultKind, at time.Duration) string {
 	if slices.Contains(domainKinds, kind) {
 		return g.drawDomain(at)
@@ -307,7 +307,7 @@
 	return name
 }
 
-// drawDomain draws a zone or a region that is not lost, in which no machine is to be emptied.
+// drawDomain draws a zone or region. It returns "" if the drawn one is lost, or if a machine in it is being retired.
 func (g *generator) drawDomain(at time.Duration) string {
 	if g.retired == "" && g.random.IntN(2) == 0 {
 		return [...]string{Leader, Weakest}[g.random.IntN(2)]
--- a/internal/tier/simulation/generator_golden_test.go
+++ b/internal/tier/simulation/generator_golden_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// TestDraw_Golden compares the scripts that are drawn with those of the golden file: a seed means the same script in each release, so that
-// one that a journal names can be played again. It has the first scripts as they are written to files, and a digest of 5000.
+// TestDraw_Golden compares generated scripts with the golden file: a seed must give the same script in each release, so that a seed
+// named in a journal can be played again. The file has the scripts of the first 20 seeds, and a digest of those of 5000 seeds.
 func TestDraw_Golden(t *testing.T) {
 	digest := sha256.New()
 	var out strings.Builder
--- a/internal/tier/simulation/generator_test.go
+++ b/internal/tier/simulation/generator_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Never are more counted machines, or zones or regions, lost at once than are tolerated. One that is back counts as lost until it
-// is in step again. Messages may be lost meanwhile, which takes no machine.
+// At most as many counted machines (or zones or regions) are lost at once as are tolerated. Each counts as lost until syncTime after its
+// return. Messages may be lost meanwhile, which does not count as a loss.
 func TestGenerate_LossesWithinTolerance(t *testing.T) {
 	withMessageLoss := 0 // losses of machines while messages are lost
 	units := map[LossUnit]int{}
@@ -41,11 +41,11 @@
 			}
 		}
 	}
-	assert.Assert(t, withMessageLoss > 0, "no loss is drawn beside lost messages")
+	assert.Assert(t, withMessageLoss > 0, "no loss is drawn during lost messages")
 	assert.Assert(t, units[Machines] > 2500 && units[Zones] > 500 && units[Regions] > 100, "%v", units)
 }
 
-// countLosses is how many counted machines, or zones or regions, a fault takes.
+// countLosses returns how many counted machines, or zones or regions, are lost in a fault.
 func countLosses(f Fault) (n int) {
 	if !slices.Contains(countedKinds, f.Kind) && !slices.Contains(domainKinds, f.Kind) {
 		return 0
@@ -58,12 +58,12 @@
 	return n + 1
 }
 
-// exceedsTolerance reports whether a fault takes more than is tolerated.
+// exceedsTolerance reports whether more is lost in a fault than is tolerated.
 func exceedsTolerance(f Fault) bool {
 	return f.Kind == RestartAll || f.Kind == PowerLossAll || f.Kind == SplitCore || f.Kind == SplitOneWay
 }
 
-// Zones and regions are lost only in systems that count these, with room for replicas and members in others.
+// Zones and regions are lost only in systems that tolerate such losses, and that have replicas and members in all zones or regions.
 func TestGenerate_Zones(t *testing.T) {
 	for seed := range uint64(2000) {
 		s := Generate(seed)
@@ -91,9 +91,9 @@
 	}
 }
 
-// A cut with those beside the machine lasts long, and is of one machine of the control plane that counts.
+// A near partition lasts 10 to 20 s, and is of one control-plane machine, together with a gateway. Other faults are drawn for its end.
 func TestGenerate_NearPartitions(t *testing.T) {
-	faultsNearEnd := map[FaultKind]int{} // what comes as the machine comes back
+	faultsNearEnd := map[FaultKind]int{} // faults around the end of the partition, by kind; Kill: any following loss
 	for seed := range uint64(1000) {
 		s := Generate(seed, nearKinds...)
 		for _, f := range s.Faults {
@@ -122,7 +122,7 @@
 	}
 }
 
-// Losses in a row: each begins 0 to 50 ms after one before it counts no more.
+// In LossesInRow, each loss begins 0 to 50 ms after an earlier one no longer counts.
 func TestGenerate_LossesInRow(t *testing.T) {
 	rows := 0
 	for seed := range uint64(500) {
@@ -147,7 +147,7 @@
 	assert.Equal(t, rows, 500)
 }
 
-// overlap reports whether a fault begins while another is not over by syncTime.
+// overlap reports whether a fault begins between the begin of another and syncTime after the end of the other.
 func overlap(f, other Fault) bool {
 	return other.at() <= f.at() && f.at() < other.at()+other.duration()+syncTime-time.Millisecond
 }
@@ -168,7 +168,7 @@
 	}
 }
 
-// Each of the new kinds is played without a broken promise.
+// A script of each of these kinds is played without a violation.
 func TestFaultKinds_Groups(t *testing.T) {
 	for _, kind := range slices.Concat(domainKinds, nearKinds, []FaultKind{SplitCore, SplitOneWay, PartitionSeeds, ConcurrentChanges}) {
 		t.Run(string(kind), func(t *testing.T) {
--- a/internal/tier/simulation/main_test.go
+++ b/internal/tier/simulation/main_test.go
@@ -10,11 +10,11 @@
 	"github.com/phuslu/log"
 )
 
-// workerVariable has a process of the test play seeds: the first and their number.
+// workerVariable makes a process of the test a worker. Its value is the first seed and the number of seeds.
 const workerVariable = "SIMULATION_TEST_WORKER"
 
 func TestMain(m *testing.M) {
-	log.DefaultLogger.Level = log.PanicLevel // logs of disks, which have none of their own
+	log.DefaultLogger.Level = log.PanicLevel // the disks have no logger of their own
 	debug.SetGCPercent(GCPercent)
 	if seedRange := os.Getenv(workerVariable); seedRange != "" {
 		runAsWorker(seedRange)
--- a/internal/tier/simulation/replay.go
+++ b/internal/tier/simulation/replay.go
@@ -9,7 +9,7 @@
 	Script         Script
 	Violation      *Violation
 	Trace          []byte // of the play
-	SimulatorError string // of the simulator itself, if that failed
+	SimulatorError string // error text of the simulator itself; empty: none
 }
 
 // errorText returns the text of an error, or "".
@@ -28,7 +28,7 @@
 	return result, trace.Bytes(), err
 }
 
-// Replay plays a script until it breaks a rule, at most so many times, and returns the last play.
+// Replay plays a script until a rule is broken or the simulator fails, at most the given number of times. It returns the last play.
 func Replay(script Script, options Options, times int) Failure {
 	var f Failure
 	for range times {
--- a/internal/tier/simulation/rules.go
+++ b/internal/tier/simulation/rules.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Rule is the name of something that the tier promises and the checkers check.
+// Rule is the name of a guarantee of the tier that the checkers check.
 type Rule string
 
-// The rules. Each is a promise to operators, to gateways or to clients.
+// The rules. Each is a guarantee to operators, to gateways or to clients.
 const (
 	RuleIdempotent         Rule = "repeat"    // a change that was accepted is never rejected when it is sent again
-	RuleRejection          Rule = "refusal"   // a change is rejected only where another was accepted in its place, and then never takes force
+	RuleRejection          Rule = "refusal"   // a change is rejected only if another was accepted in its place, and a rejected change never takes effect
 	RuleResponse           Rule = "answer"    // the response to a change or a read has a documented status
-	RuleChain              Rule = "chain"     // of two changes on one revision one is accepted; what was acknowledged stays in force until a later change
-	RuleRead               Rule = "read"      // a read never returns what is older than what was in force when it began
+	RuleChain              Rule = "chain"     // of two changes on one base revision only one is accepted; an acknowledged change stays in force until a later change
+	RuleRead               Rule = "read"      // a read never returns a revision older than the one that was in force when the read began
 	RuleKnownConfiguration Rule = "shown"     // processes receive only configurations that an operator has sent
-	RuleStale              Rule = "stale"     // a gateway with a session holds what was acknowledged a bounded time before
+	RuleStale              Rule = "stale"     // a gateway with a session holds at least the revision that was acknowledged a bounded time before
 	RuleMonotonic          Rule = "falls"     // the versions that a process receives never decrease within its incarnation
-	RuleOneValue           Rule = "one-value" // a version or an epoch stands for one value, whoever receives it
+	RuleOneValue           Rule = "one-value" // a version or an epoch has the same value at all receivers
 	RuleTurn               Rule = "turn"      // a turn that was stored is found unchanged
-	RuleBudget             Rule = "budget"    // no budget is exceeded, and what was charged stays charged
-	RuleBudgetExhausted    Rule = "spent"     // no budget is called exhausted that is not
+	RuleBudget             Rule = "budget"    // no budget is exceeded, and charged tokens stay charged
+	RuleBudgetExhausted    Rule = "spent"     // no budget is reported as exhausted while it has room
 	RuleOnce               Rule = "once"      // a request that is not idempotent reaches an endpoint once
-	RuleCaller             Rule = "caller"    // a response reaches its caller
+	RuleCaller             Rule = "caller"    // a caller receives the response to its own request
 	RuleRecovery           Rule = "recovery"  // within recoveryTime after the last fault the tier is healthy again
 )
 
--- a/internal/tier/simulation/script.go
+++ b/internal/tier/simulation/script.go
@@ -10,11 +10,12 @@
 // ScriptVersion is the version of scripts that this package generates and plays.
 const ScriptVersion = 2
 
-// Leader as a fault's machine is the control plane's primary when the fault begins.
+// Leader as a fault's machine stands for the control plane's primary at the time when the fault begins.
 const Leader = "leader"
 
-// Weakest as a fault's machine is the turn store whose loss would hurt most when the fault begins: it holds the most replicas without
-// which too few synced ones of a partition are left. Where all have as many as they should, it is the primary of the control plane.
+// Weakest as a fault's machine stands for the turn store whose loss would do the most damage at the time when the fault begins: the one
+// with the most synced replicas of partitions whose synced replicas lie in no more failure domains than may be lost at once. If there is
+// no such partition, it stands for the primary of the control plane.
 const Weakest = "weakest"
 
 // Fault is one fault of a script.
@@ -24,16 +25,16 @@
 	Kind       FaultKind `json:"kind"`
 	Machine    string    `json:"machine,omitempty"`
 
-	Side []string `json:"side,omitempty"` // machines that are partitioned together with it
+	Side []string `json:"side,omitempty"` // machines that are partitioned together with Machine
 }
 
-// at is when the fault begins, from the start of the system.
+// at returns when the fault begins, from the start of the system.
 func (f Fault) at() time.Duration { return time.Duration(f.AtMS) * time.Millisecond }
 
-// duration is how long the fault lasts.
+// duration returns how long the fault lasts.
 func (f Fault) duration() time.Duration { return time.Duration(f.DurationMS) * time.Millisecond }
 
-// String returns the fault as one line. The simulator seeds random choices of a fault by it, so that its format may not change.
+// String returns the fault as one line. The simulator seeds random choices of a fault with this line, so that its format must not change.
 func (f Fault) String() string {
 	line := fmt.Sprintf("%8.3f s  %-17s %-12s %.3f s", f.at().Seconds(), f.Kind, f.Machine, f.duration().Seconds())
 	if len(f.Side) > 0 {
@@ -45,7 +46,7 @@
 // LossUnit is the failure domain whose losses are counted.
 type LossUnit string
 
-// The units. Machines are meant where there is none.
+// The units. A script without a unit counts machines.
 const (
 	Machines LossUnit = ""
 	Zones    LossUnit = "zones"
@@ -59,11 +60,11 @@
 	Core     int      `json:"core"` // machines of the control plane
 	Stores   int      `json:"stores"`
 	Gateways int      `json:"gateways"`
-	Losses   int      `json:"losses"` // counted machines, zones or regions that may be lost at once
+	Losses   int      `json:"losses"` // how many of Unit may be lost at once; gateways do not count
 	Unit     LossUnit `json:"unit,omitempty"`
-	Zones    int      `json:"zones,omitempty"`   // over which the machines are placed; 0: 3
-	Packed   bool     `json:"packed,omitempty"`  // zone by zone, and not in turn: the seeds then lie in one or two zones
-	Regions  int      `json:"regions,omitempty"` // over which the zones are; 0: 1
+	Zones    int      `json:"zones,omitempty"`   // number of zones in which machines are placed; 0: 3
+	Packed   bool     `json:"packed,omitempty"`  // machines are placed zone by zone, not in rotation: the seeds then lie in one or two zones
+	Regions  int      `json:"regions,omitempty"` // number of regions in which the zones lie; 0: 1
 	Faults   []Fault  `json:"faults"`
 }
 
@@ -100,7 +101,7 @@
 
 func (s Script) regions() int { return cmp.Or(s.Regions, 1) }
 
-// domains is how many zones or regions there are, as these or those are lost.
+// domains returns the number of regions where regions are lost, otherwise that of zones.
 func (s Script) domains() int {
 	if s.Unit == Regions {
 		return s.regions()
@@ -108,7 +109,7 @@
 	return s.zones()
 }
 
-// zoneOf is the zone of machine i of a number of one kind.
+// zoneOf returns the zone of machine i of the count machines of one kind.
 func (s Script) zoneOf(i, count int) int {
 	if s.Packed {
 		return i * s.zones() / count
@@ -116,7 +117,7 @@
 	return i % s.zones()
 }
 
-// domainName is the name of a zone or a region, as these or those are lost.
+// domainName returns the name of region i where regions are lost, otherwise that of zone i.
 func (s Script) domainName(i int) string {
 	if s.Unit == Regions {
 		return regionName(i)
@@ -124,8 +125,8 @@
 	return zoneName(i)
 }
 
-// domainOf is the zone or region of a machine that is there from the beginning, where these are lost. It is the name itself where
-// machines are lost, and of Leader and Weakest, whose domain isn't known.
+// domainOf returns the zone or region of a machine of the initial system, where zones or regions are lost. It returns the name itself
+// where machines are lost, and for Leader and Weakest, whose domain isn't known.
 func (s Script) domainOf(name string) string {
 	if s.Unit == Machines {
 		return name
--- a/internal/tier/simulation/script_file.go
+++ b/internal/tier/simulation/script_file.go
@@ -8,10 +8,10 @@
 	"slices"
 )
 
-// ErrVersion is returned where a script is of another version than this package plays.
-var ErrVersion = errors.New("simulation: a script of another version")
+// ErrVersion is returned for a script whose version is not ScriptVersion.
+var ErrVersion = errors.New("simulation: unsupported script version")
 
-// Write writes a script to a file that Read reads.
+// Write writes a script to a file, for Read.
 func (s Script) Write(path string) error {
 	body, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
@@ -20,7 +20,7 @@
 	return os.WriteFile(path, append(body, '\n'), 0o644)
 }
 
-// Read reads a script from a file. The error has all findings, each a ScriptError; it is ErrVersion where the version is another one.
+// Read reads a script from a file. The error joins all findings, each a ScriptError, or wraps ErrVersion.
 func Read(path string) (Script, error) {
 	var s Script
 	body, err := os.ReadFile(path)
@@ -52,13 +52,13 @@
 func (s Script) check() error {
 	var found []error
 	if s.Losses < 0 || s.Core < 2*s.Losses+1 || s.Stores < s.Losses+1 || s.Gateways < 1 {
-		found = append(found, finding("%d core, %d turn stores, %d gateways are too few to bear %d losses", s.Core, s.Stores, s.Gateways, s.Losses))
+		found = append(found, finding("%d core, %d turn stores, %d gateways are too few to tolerate %d losses", s.Core, s.Stores, s.Gateways, s.Losses))
 	}
 	switch s.Unit {
 	case Machines:
 	case Zones, Regions:
 		if s.domains() < 2*s.Losses+1 {
-			found = append(found, finding("%d %s are too few to bear %d losses", s.domains(), s.Unit, s.Losses))
+			found = append(found, finding("%d %s are too few to tolerate %d losses", s.domains(), s.Unit, s.Losses))
 		}
 	default:
 		found = append(found, finding("unknown unit %q", s.Unit))
@@ -68,10 +68,10 @@
 			found = append(found, finding("faults[%d]: unknown kind %q", i, f.Kind))
 		}
 		if s.Unit == Machines && slices.Contains(domainKinds, f.Kind) {
-			found = append(found, finding("faults[%d]: %s, and machines are lost", i, f.Kind))
+			found = append(found, finding("faults[%d]: kind %s requires the unit zones or regions", i, f.Kind))
 		}
 		if f.AtMS < 0 || f.DurationMS < 0 {
-			found = append(found, finding("faults[%d]: a time below 0", i))
+			found = append(found, finding("faults[%d]: negative time", i))
 		}
 	}
 	return errors.Join(found...)
--- a/internal/tier/simulation/shrink.go
+++ b/internal/tier/simulation/shrink.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// FailsFunc reports whether a script breaks a rule. As no play is quite like another, it may play the script several times.
+// FailsFunc reports whether a script breaks a rule. As plays of one script may differ, it may play the script several times.
 type FailsFunc func(Script) bool
 
 // Shrink returns a shorter script that still fails: faults are dropped, then made shorter.
@@ -33,5 +33,5 @@
 	return script
 }
 
-// minFaultDurationMS is the duration of a fault, in milliseconds, from which on no shorter one is tried.
+// minFaultDurationMS is the duration in milliseconds at or below which a fault is not shortened further.
 const minFaultDurationMS = 200
--- a/internal/tier/simulation/shrink_test.go
+++ b/internal/tier/simulation/shrink_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A script that fails with two of its entries, one of which is long enough, is shrunk to these.
+// A script that fails if two of its faults are present, one of them with a minimum duration, is shrunk to these two.
 func TestShrink(t *testing.T) {
 	s := Script{Faults: []Fault{{Kind: Kill, DurationMS: 3000}, {Kind: Wipe, DurationMS: 4000}, {Kind: Pause, DurationMS: 2000}, {Kind: Partition, DurationMS: 900}}}
 	short := Shrink(s, func(s Script) bool {
--- a/internal/tier/simulation/virtualtime/virtualtime.go
+++ b/internal/tier/simulation/virtualtime/virtualtime.go
@@ -1,9 +1,9 @@
-// Package virtualtime runs a function in a bubble of its own time, outside of a test. The clock of the bubble moves only when all
+// Package virtualtime runs a function in a bubble of its own time, outside of a test. The clock of the bubble advances only when all
 // its goroutines wait, so that an hour of timers takes moments.
 //
-// It is apart from its callers because it is the one package of the program that links the standard library's package
-// testing: testing/synctest is the only public way into a bubble, and wants a testing.T. An empty one serves: neither
-// flags are registered nor anything is printed.
+// The package is separate from its callers because it is the only one of the program that links the standard library's package
+// testing: testing/synctest is the only public way into a bubble, and requires a testing.T. A zero value suffices: no flags are
+// registered, and nothing is printed.
 package virtualtime
 
 import (
@@ -12,7 +12,7 @@
 	"testing/synctest"
 )
 
-// PanicError is returned where the function panicked, or goroutines in its bubble wait for ever.
+// PanicError is returned if the function panicked, or if the goroutines in its bubble are deadlocked.
 type PanicError struct{ Value any }
 
 // Error implements error.
--- a/internal/tier/simulation/workers.go
+++ b/internal/tier/simulation/workers.go
@@ -12,7 +12,7 @@
 )
 
 // A play has one runnable goroutine most of the time: it is fastest on one processor, and plays in one process wait for each
-// other. Concurrent plays run in as many processes, each of one processor, which report their progress on standard output.
+// other. Concurrent plays therefore run in separate processes of one processor each, which report their progress on standard output.
 
 // workerEvent is one line of a worker's output, in JSON.
 type workerEvent struct {
@@ -21,10 +21,10 @@
 	Total   *Total   `json:"total,omitempty"` // the last line
 }
 
-// errWorkerEnded is returned where a worker ends without its total.
-var errWorkerEnded = errors.New("simulation: a worker ended early")
+// errWorkerEnded is returned if a worker ends without having reported its total.
+var errWorkerEnded = errors.New("simulation: a worker ended before it reported its total")
 
-// progressInterval is after how many seeds a worker reports its progress.
+// progressInterval is the number of seeds after which a worker reports its progress.
 const progressInterval = 5
 
 // PlayAsWorker plays a batch in a worker process, and writes its failures, progress and total to out.
@@ -48,8 +48,8 @@
 	return failed
 }
 
-// PlayInWorkers plays a batch in processes of their own, as many as there are jobs. command makes the one that plays a part
-// of the seeds by PlayAsWorker.
+// PlayInWorkers plays a batch in worker processes, one for each job. command returns the command of a worker, which plays the
+// given part of the seeds with PlayAsWorker.
 func (b Batch) PlayInWorkers(ctx context.Context, command func(ctx context.Context, from, seeds uint64) *exec.Cmd) (Total, error) {
 	began := time.Now()
 	jobs := uint64(max(b.Jobs, 1))
--- a/internal/tier/simulation/workers_test.go
+++ b/internal/tier/simulation/workers_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// How many seeds the test plays.
+// Numbers of seeds that the test plays.
 const (
 	seeds      = 500
 	seedsShort = 4
