--- a/internal/tier/simulation/disk.go
+++ b/internal/tier/simulation/disk.go
@@ -11,11 +11,11 @@
 	"saffronyard.example/saffronyard/internal/tier/wal"
 )
 
-// maxSyncTime is how long a sync takes at most.
+// maxSyncTime bounds how long a sync takes.
 const maxSyncTime = 9 * time.Millisecond
 
 // disk is a machine's disk: a file system in memory that may be full or stuck. A process uses it through
-// files, which end with the process.
+// files, which fail once the process has ended.
 type disk struct {
 	*wal.Memory
 
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// waitForSync lasts as long as a sync does, or until the process is over.
+// waitForSync waits for the duration of a sync and then, while the disk is stuck, until the disk recovers or the process ends.
 func (d *disk) waitForSync(processEnded <-chan struct{}) {
 	d.mu.Lock()
 	duration := time.Duration(d.random.Int64N(int64(maxSyncTime)))
@@ -71,7 +71,7 @@
 	}
 }
 
-// files is the file system of a disk as one process has it.
+// files is the file system of a disk for one process.
 type files struct {
 	*disk
 	processEnded <-chan struct{}
@@ -87,7 +87,7 @@
 	}
 }
 
-// checkUsable returns the error that keeps the process from making or changing a file.
+// checkUsable returns the error that prevents the process from creating a file.
 func (f files) checkUsable() error {
 	if f.ended() {
 		return wal.ErrDead
@@ -150,7 +150,7 @@
 type handle struct {
 	wal.Handle
 	files     files
-	temporary atomic.Bool // until its first sync, after which it takes the place of the file before it
+	temporary atomic.Bool // true until the first sync, after which the file replaces the previous one
 }
 
 // WriteAt fails on a full disk, with half of the bytes written.
@@ -165,8 +165,8 @@
 	return h.Handle.WriteAt(p, off)
 }
 
-// Sync takes its time. A file that is written anew is synced under a lock of its log, for which nobody may wait in virtual
-// time: the first sync of such a file takes none.
+// Sync takes virtual time, except for the first sync of a temporary file: a rewritten file is synced under a lock of its log, and no
+// goroutine may wait for a lock in virtual time.
 func (h *handle) Sync() error {
 	if !h.temporary.Swap(false) {
 		h.files.waitForSync(h.files.processEnded)
--- a/internal/tier/simulation/environment.go
+++ b/internal/tier/simulation/environment.go
@@ -12,10 +12,10 @@
 	instancesPath        = "/instances"
 	endpointRunTime      = 80 * time.Millisecond
 	endpointCount        = 3
-	instanceListInterval = 5 * time.Second // the platform's list changes so often
+	instanceListInterval = 5 * time.Second // between changes of the platform's list
 )
 
-// outsideHandler returns what is served at an address outside of the system.
+// outsideHandler returns the handler of an address outside of the system.
 func (w *world) outsideHandler(ip string) http.Handler {
 	switch ip {
 	case platformIP:
@@ -26,7 +26,7 @@
 	return http.NotFoundHandler()
 }
 
-// listInstances is the platform's list, in which an instance is replaced by another now and then.
+// listInstances serves the platform's list of instances, in which one instance is replaced in each instanceListInterval.
 func (w *world) listInstances(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != instancesPath {
 		http.NotFound(out, r)
@@ -45,7 +45,7 @@
 	_, _ = io.WriteString(out, `],"next_page_token":null}`)
 }
 
-// runAttempt is an endpoint that runs an attempt.
+// runAttempt serves a call to an endpoint, which runs an attempt.
 func (w *world) runAttempt(out http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(attemptHeader)
 	w.checks.turns.recordRun(id)
--- a/internal/tier/simulation/gateway_role.go
+++ b/internal/tier/simulation/gateway_role.go
@@ -18,20 +18,20 @@
 	minClientIdle    = 200 * time.Millisecond
 	maxClientIdle    = 1000 * time.Millisecond
 	turnStoreTimeout = 5 * time.Second // of a Begin or a Settle, over all its calls
-	endpointTimeout  = time.Second     // of an endpoint's answer
+	endpointTimeout  = time.Second     // of a call to an endpoint
 	maxTurnTokens    = 30              // tokens that a turn may cost
-	unstoredOneIn    = 4               // one turn in so many is of a route that stores none
-	abortedOneIn     = 8               // one other turn in so many is not stored, as its response was incomplete
+	unstoredOneIn    = 4               // one turn in this many is of a route that does not store turns
+	abortedOneIn     = 8               // one in this many of the other turns is not stored, as its response was incomplete
 	sampleInterval   = 100 * time.Millisecond
 	attemptHeader    = "X-Attempt-Id"
 )
 
-// staleBound is how long after an acknowledgement a gateway may still hear, from a primary that has been deposed, what came
-// before it: a third of the contact window after its last confirmed round trip the primary is silent, and a call that it
-// has answered ends a sixth and a tenth of the window after its begin.
+// staleBound is how long after an acknowledgement a gateway may still receive the state before it from a deposed primary. The
+// primary stops answering a third of the contact window after its last confirmed round trip, and a call that the primary has
+// answered ends within a sixth plus a tenth of the window after the call began.
 const staleBound = contactWindow/3 + contactWindow/6 + contactWindow/10
 
-// gatewayRole is a gateway without its connections: its session, its calls to turn stores, and clients.
+// gatewayRole is a gateway without its connections: it has a session, a client of the turn stores, and simulated clients.
 type gatewayRole struct {
 	process *process
 	session *session.Client
@@ -58,7 +58,7 @@
 // leave implements role.
 func (g *gatewayRole) leave(context.Context) { g.session.Drain() }
 
-// applyConfiguration records a configuration that the session brought.
+// applyConfiguration records a configuration that the session received.
 func (g *gatewayRole) applyConfiguration(c *tierv1.Configuration) {
 	if g.process.ended() {
 		return
@@ -67,7 +67,7 @@
 	m.world.checks.views.recordConfiguration(m.name, g.process, c, m.world.checks.configuration.recordReceived(string(c.Body)))
 }
 
-// applyPartitionMap records a partition map that the session brought, and applies it to the client of turn stores.
+// applyPartitionMap records a partition map that the session received, and applies it to the client of turn stores.
 func (g *gatewayRole) applyPartitionMap(t *tierv1.PartitionMap) {
 	if !g.process.ended() {
 		g.process.machine.world.checks.views.recordPartitionMap(g.process.machine.name, g.process, t)
@@ -75,14 +75,14 @@
 	g.client.ApplyPartitionMap(t)
 }
 
-// sampleStaleness checks at intervals that what the gateway holds is not stale.
+// sampleStaleness checks at intervals that the gateway's configuration is not stale.
 func (g *gatewayRole) sampleStaleness() {
 	w := g.process.machine.world
 	for !g.process.ended() {
 		w.sleep(sampleInterval)
 		active, since := g.session.Active()
 		lastContact := w.now() - since
-		time.Sleep(time.Microsecond) // what came with the answer is taken in by now
+		time.Sleep(time.Microsecond) // by then the session has applied the content of the reply
 		if active && !g.process.ended() {
 			w.checks.configuration.checkStaleness(g.process.machine.name, w.checks.views.currentRevision(g.process), lastContact, staleBound)
 		}
@@ -105,17 +105,17 @@
 	checks := g.process.machine.world.checks.turns
 	program := checks.program(random.IntN(programCount))
 	previousProgram := program
-	if random.IntN(16) == 0 { // it continues another program's
+	if random.IntN(16) == 0 { // it continues a turn of another program
 		previousProgram = checks.program(random.IntN(programCount))
 	}
 	maxTokens := 1 + random.Uint64N(maxTurnTokens)
-	if random.IntN(unstoredOneIn) == 0 { // its program's other turns are kept: the budget is one
+	if random.IntN(unstoredOneIn) == 0 { // the program's stored turns share its budget with this turn
 		return g.runTurn(checks.begin(program, "", maxTokens, 1+random.Uint64N(maxTokens)), false)
 	}
 	previous := ""
 	if stored := checks.storedTurns(previousProgram); len(stored) > 0 && random.IntN(10) > 0 {
 		previous = stored[len(stored)-1]
-		if random.IntN(6) == 0 { // beside others that did
+		if random.IntN(6) == 0 { // a turn that other turns may already continue
 			previous = stored[random.IntN(len(stored))]
 		}
 	}
--- a/internal/tier/simulation/hooks.go
+++ b/internal/tier/simulation/hooks.go
@@ -8,16 +8,16 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Hooks are the places where a test injects a fault into the program. A nil hook does nothing.
+// Hooks are the points at which a test injects a fault into the program. A nil hook does nothing.
 type Hooks struct {
-	Store          func(controlplane.Store) controlplane.Store       // around a control-plane process's state
-	Files          func(machine string, files wal.FS) wal.FS         // around a machine's file system
-	Synced         func(*turnstore.TurnStore, SyncedFunc) SyncedFunc // around a turn store's reports of synced replicas
-	OnPartitionMap func(*turnstore.TurnStore, *tierv1.PartitionMap)  // is told of the maps that a turn store applies
-	TamperReply    func(*Delivery)                                   // may change replies on their way back
-	Serve          func(tierv1.TurnStore) tierv1.TurnStore           // around a turn store as gateways and others call it
-
-	Settings func(*settings.Settings) // of each machine
+	Store          func(controlplane.Store) controlplane.Store       // wraps a control-plane process's state
+	Files          func(machine string, files wal.FS) wal.FS         // wraps a machine's file system
+	Synced         func(*turnstore.TurnStore, SyncedFunc) SyncedFunc // wraps a turn store's reports of synced replicas
+	OnPartitionMap func(*turnstore.TurnStore, *tierv1.PartitionMap)  // is called with each map before a turn store applies it
+	TamperReply    func(*Delivery)                                   // may change replies before the caller receives them
+	Serve          func(tierv1.TurnStore) tierv1.TurnStore           // wraps a turn store's server
+
+	Settings func(*settings.Settings) // may change each machine's settings
 }
 
 // SyncedFunc returns a turn store's reports, and a channel that is closed when they have changed.
--- a/internal/tier/simulation/inject_domain_faults.go
+++ b/internal/tier/simulation/inject_domain_faults.go
@@ -1,6 +1,6 @@
 package simulation
 
-// injectDomainFault injects a fault of a zone or region: of its machines of all roles.
+// injectDomainFault injects a fault into a zone or region, that is, into its machines of all roles.
 func (w *world) injectDomainFault(f Fault) {
 	name := f.Machine
 	if m := w.resolveMachine(name); m != nil {
--- a/internal/tier/simulation/inject_faults.go
+++ b/internal/tier/simulation/inject_faults.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// injectIntoMachine injects a fault of one machine, unless that is under another fault.
+// injectIntoMachine injects a fault into one machine, unless the machine is under another fault.
 func (w *world) injectIntoMachine(f Fault) {
 	m := w.resolveMachine(f.Machine)
 	if m == nil || !w.claim(m.name) {
@@ -52,7 +52,7 @@
 	w.trace("%s %s is over", f.Kind, m.name)
 }
 
-// injectNetworkFault has a fault of the network on for its duration.
+// injectNetworkFault enables a fault of the network for its duration.
 func (w *world) injectNetworkFault(f Fault, set func(on bool)) {
 	w.trace("%s", f.Kind)
 	w.network.update(func() { set(true) })
@@ -85,7 +85,7 @@
 	w.trace("%s is over", f.Kind)
 }
 
-// injectMachineFault injects a fault of one machine, and returns after its end.
+// injectMachineFault injects a fault into one machine, and returns after its end.
 func (w *world) injectMachineFault(f Fault, m *machine) {
 	n := w.network
 	switch f.Kind {
@@ -137,7 +137,7 @@
 	m.start()
 }
 
-// retire has an operator retire a turn store, and removes its machine when that is empty.
+// retire has an operator retire a turn store, and removes its machine when the turn store is empty.
 func (w *world) retire(name string) {
 	o := newOperator(w, operatorPrefix+"retire", outsideNet+"100")
 	status, _ := o.callUntilDefinitive(func(ctx context.Context, ip string) (int, string, error) {
@@ -146,7 +146,7 @@
 	w.trace("the order to empty %s: %d", name, status)
 	switch status {
 	case 200:
-	case 0, 409: // no clear answer, or too few would remain
+	case 0, 409: // no definitive response, or too few turn stores would remain
 		return
 	default:
 		w.reportViolation(RuleResponse, "the order to empty %s was answered %d", name, status)
@@ -173,7 +173,7 @@
 		}
 	}
 	if m := w.machine(name); m != nil && !w.ending() && w.claim(name) {
-		m.wipe() // it stays claimed: no further fault is injected into it
+		m.wipe() // the machine stays claimed: no further fault is injected into it
 		w.mu.Lock()
 		delete(w.machines, name)
 		w.mu.Unlock()
--- a/internal/tier/simulation/inject_operator_load.go
+++ b/internal/tier/simulation/inject_operator_load.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// changeConcurrently has two operators send pairs of changes of one revision on the same one, each beginning at another machine.
+// changeConcurrently has two operators send pairs of changes to one revision on the same base revision. Each operator begins at a
+// different machine.
 func (w *world) changeConcurrently(f Fault) {
 	w.trace("%s", f.Kind)
 	var rivals [2]*operator
@@ -29,7 +30,7 @@
 	w.trace("%s is over", f.Kind)
 }
 
-// nextRivalAddress returns the last part of an address of an operator of changeConcurrently.
+// nextRivalAddress returns the last part of a new address for an operator of changeConcurrently.
 func (w *world) nextRivalAddress() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -37,7 +38,7 @@
 	return w.addresses[rivalsNet]
 }
 
-// withBusyOperators has the operators change the configuration without rest for the time of a fault.
+// withBusyOperators has the operators change the configuration without pause for the duration of a fault.
 func (w *world) withBusyOperators(f Fault) {
 	w.trace("%s", f.Kind)
 	w.addBusyOperators(1)
@@ -46,14 +47,14 @@
 	w.trace("%s is over", f.Kind)
 }
 
-// addBusyOperators counts the faults that keep operators busy.
+// addBusyOperators changes the number of active faults that keep operators busy.
 func (w *world) addBusyOperators(by int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.busyOperatorFaults += by
 }
 
-// operatorsBusy reports whether operators change the configuration without rest.
+// operatorsBusy reports whether operators change the configuration without pause.
 func (w *world) operatorsBusy() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/tier/simulation/inject_partitions.go
+++ b/internal/tier/simulation/inject_partitions.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// maxConfirmingDelay bounds how long after a change has reached the primary a PartitionConfirming begins. Most changes are acknowledged
-// within it.
+// maxConfirmingDelay bounds the delay from the arrival of a change at the primary to the begin of a PartitionConfirming. Most changes
+// are acknowledged within this time.
 const maxConfirmingDelay = 12 * time.Millisecond
 
-// partition partitions a machine from all others, in one direction or both; with PartitionLeader some gateways are on its side.
+// partition partitions a machine from all others, in one direction or both. With PartitionLeader, the gateways of odd
+// numbers are on the machine's side.
 func (w *world) partition(f Fault, m *machine) {
 	var links [][2]string
 	w.mu.Lock()
@@ -45,7 +46,7 @@
 	side := w.machinesOf(name)
 	var claimed []string
 	for _, m := range side {
-		if m.kind != roleGateway && w.claim(m.name) { // a gateway may end meanwhile
+		if m.kind != roleGateway && w.claim(m.name) { // a gateway may be killed meanwhile
 			claimed = append(claimed, m.name)
 		}
 	}
@@ -56,7 +57,8 @@
 	}
 }
 
-// partitionNear partitions a machine of the control plane, in one direction or both, together with those on its side.
+// partitionNear partitions a machine of the control plane, in one direction or both, together with the machines of
+// the fault's Side.
 func (w *world) partitionNear(f Fault, m *machine) {
 	side := []*machine{m}
 	for _, name := range f.Side {
@@ -77,7 +79,8 @@
 	w.partitionLinks(end-w.now(), links, side...)
 }
 
-// awaitChangeAtPrimary waits until a machine has begun to serve a change, and a little, for half of the fault at most.
+// awaitChangeAtPrimary waits until a machine has begun to serve a change, and then for a random delay. It waits at most half of the
+// fault's duration for the change.
 func (w *world) awaitChangeAtPrimary(m *machine, f Fault) {
 	begun := w.network.awaitChange(m.name)
 	timer := time.NewTimer(f.duration() / 2)
@@ -92,7 +95,8 @@
 	}
 }
 
-// linksAcross returns the links between machines and all others but those outside, into them, out of them or both.
+// linksAcross returns the links between the machines of a side and all other machines of the system: inbound to the side, outbound or
+// both. Machines outside of the system have none of these links.
 func (w *world) linksAcross(side []*machine, inbound, outbound bool) (links [][2]string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -112,7 +116,7 @@
 	return links
 }
 
-// partitionLinks blocks links for a time, in which the machines of the control plane among side count as partitioned.
+// partitionLinks blocks links for a duration, during which the control-plane machines of side count as partitioned.
 func (w *world) partitionLinks(duration time.Duration, links [][2]string, side ...*machine) {
 	countPartitioned := func(by int) {
 		w.mu.Lock()
@@ -151,8 +155,8 @@
 	return w.partitionedCore[name] > 0
 }
 
-// splitCore partitions the control plane into two halves, which all others reach. Which half is unreachable for the other in a one-way
-// split is drawn.
+// splitCore partitions the control plane into two halves, both of which all other machines reach. In a one-way split, the blocked
+// direction is drawn.
 func (w *world) splitCore(f Fault) {
 	core := w.machinesOfKind(roleControlPlane)
 	random := w.randomFor(f.String())
--- a/internal/tier/simulation/inject_partitions_test.go
+++ b/internal/tier/simulation/inject_partitions_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// newStoppedWorld is a system of a script whose machines are there, and don't run.
+// newStoppedWorld returns the system of a script with all its machines, none of which runs.
 func newStoppedWorld(s Script) *world {
 	w := newWorld(s, Options{})
 	for i := range s.Core {
@@ -23,7 +23,7 @@
 	return w
 }
 
-// Where machines lie in a system is where the drawing takes them to be.
+// The failure domains of a system's machines are those that the generator assumes.
 func TestScript_ZonesOfMachines(t *testing.T) {
 	for seed := range uint64(200) {
 		s := Generate(seed, KillZone)
--- a/internal/tier/simulation/link.go
+++ b/internal/tier/simulation/link.go
@@ -48,7 +48,7 @@
 // RoundTrip implements http.RoundTripper.
 func (l *link) RoundTrip(r *http.Request) (*http.Response, error) { return l.Do(r) }
 
-// call takes a call to the machine that it is addressed to, and the reply back.
+// call delivers a request to the machine to which it is addressed, and returns the reply.
 func (l *link) call(r *http.Request, body []byte) (*http.Response, error) {
 	if l.from.ended() {
 		return nil, errReset
@@ -102,7 +102,7 @@
 	return reply.response(r), nil
 }
 
-// lostCall lets the time pass after which a caller gives up a call without a reply.
+// lostCall waits for lostCallTimeout, after which a caller gives up a call without a reply.
 func lostCall() (*http.Response, error) {
 	time.Sleep(lostCallTimeout)
 	return nil, errTimeout
--- a/internal/tier/simulation/machine.go
+++ b/internal/tier/simulation/machine.go
@@ -12,16 +12,16 @@
 	"saffronyard.example/saffronyard/internal/tier/settings"
 )
 
-// restartDelay is from the end of a process to its next start on a machine that is up.
+// restartDelay is the time from the end of a process to the start of the next one on a machine that is up.
 const restartDelay = 500 * time.Millisecond
 
-// role is what a process does on a machine. start sets its handlers by port. leave is the graceful shutdown.
+// role is what a process does on a machine. start registers the handlers of the process by port. leave is the graceful shutdown.
 type role interface {
 	start(p *process) error
 	leave(ctx context.Context)
 }
 
-// machine has a name, an address and a disk, and runs one process of a role.
+// machine has a name, an address and a disk, and runs one process of a role at a time.
 type machine struct {
 	world    *world
 	name     string
@@ -30,7 +30,7 @@
 	kind     roleName
 	settings settings.Settings
 	disk     *disk
-	random   *rand.Rand // of losses of power
+	random   *rand.Rand // for losses of power
 
 	seedsPartitioned bool // guarded by the mutex of the world: the seeds of the next process are partitioned machines
 
@@ -62,24 +62,24 @@
 	role     role
 	handlers map[string]http.Handler // by port
 
-	floor          int64     // the minimum revision that was in force when it began
-	receivedBefore [2]uint64 // the highest versions that any process had received then
+	floor          int64     // the minimum revision that was in force when the process began
+	receivedBefore [2]uint64 // the highest versions that any process had received before
 }
 
-// ended reports whether the process has ended: nothing that it still does may be seen outside.
+// ended reports whether the process has ended. Nothing that its goroutines still do may be visible outside.
 func (p *process) ended() bool { return p.ctx.Err() != nil }
 
-// files is the file system of the machine as this process has it.
+// files returns the file system of the machine for this process.
 func (p *process) files() files { return files{p.machine.disk, p.ctx.Done()} }
 
-// process returns the one that runs, if any, and whether the machine is without power.
+// process returns the running process, or nil, and whether the machine is without power.
 func (m *machine) process() (p *process, poweredOff bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.current, m.poweredOff
 }
 
-// start begins a process, and another one whenever it ends by itself.
+// start starts a process, and a new one whenever the process ends by itself.
 func (m *machine) start() {
 	m.mu.Lock()
 	m.up, m.poweredOff = true, false
@@ -101,7 +101,7 @@
 	return m.up && m.incarnation == incarnation && !m.world.ending()
 }
 
-// run is one process from its start to its end.
+// run runs one process from its start to its end.
 func (m *machine) run(incarnation int) {
 	ctx, cancel := context.WithCancel(m.world.ctx)
 	defer cancel()
@@ -159,19 +159,19 @@
 	m.disk.Kill()
 }
 
-// powerLoss ends the machine's power; what was not synced may be lost.
+// powerLoss cuts the machine's power; data that was not synced may be lost.
 func (m *machine) powerLoss() {
 	m.stop(true)
 	m.disk.Crash(m.random)
 }
 
-// wipe ends the machine's power and clears its disk.
+// wipe cuts the machine's power and clears its disk.
 func (m *machine) wipe() {
 	m.stop(true)
 	m.disk.Wipe()
 }
 
-// terminate has the process leave, and ends it when it has, or after its grace.
+// terminate has the process leave, and kills it when it has left or the grace period is over.
 func (m *machine) terminate() {
 	p, _ := m.process()
 	if p == nil {
@@ -186,7 +186,7 @@
 	m.kill()
 }
 
-// serve has the process answer a request. Nil: it ended meanwhile, or nothing listens at the port.
+// serve has the process serve a request. It returns nil if nothing listens at the port.
 func (p *process) serve(caller context.Context, from, port string, r *http.Request, body []byte) *recorder {
 	handler := p.handlers[port]
 	if handler == nil {
@@ -195,7 +195,7 @@
 	ctx, cancel := context.WithCancel(p.ctx)
 	defer cancel()
 	stop := context.AfterFunc(caller, func() {
-		// The end of the connection is a message, too.
+		// The end of the connection is delivered like a message.
 		p.link.network.deliver(from, p.machine.name, minDelay)
 		cancel()
 	})
@@ -205,7 +205,7 @@
 	return reply
 }
 
-// failureDomain is the zone or region that the machine lies in, where these are lost, and else the machine itself.
+// failureDomain returns the zone or region of the machine where zones or regions are lost, otherwise the machine's name.
 func (m *machine) failureDomain() string {
 	if m.world.script.Unit == Machines {
 		return m.name
@@ -213,7 +213,7 @@
 	return m.world.script.domainName(m.zone % m.world.script.domains())
 }
 
-// incarnations is how often the machine was started.
+// incarnations returns the number of starts and stops of the machine.
 func (m *machine) incarnations() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/tier/simulation/network.go
+++ b/internal/tier/simulation/network.go
@@ -15,12 +15,12 @@
 const (
 	minDelay          = 100 * time.Microsecond
 	maxDelay          = 3 * time.Millisecond
-	lostCallTimeout   = time.Second           // after which a call fails that was lost: across a partition, or to a machine without power
+	lostCallTimeout   = time.Second           // after which a lost call fails, as across a partition or to a machine without power
 	maxMessageDelay   = 40 * time.Millisecond // of a delayed message
 	maxDuplicateDelay = 3 * time.Second       // from a message to its duplicate
 )
 
-// One of so many messages is lost, duplicated or delayed, where such a fault is injected.
+// While such a fault is injected, one in this many messages is lost, duplicated or delayed.
 const (
 	lostOneIn       = 16
 	duplicatedOneIn = 8
@@ -33,23 +33,23 @@
 	errReset   = errors.New("simulation: connection reset")
 )
 
-// network carries calls between processes. All state is that of its links; it knows nothing of what the calls mean.
+// network carries calls between processes. It keeps the state of the links, and does not interpret the calls.
 type network struct {
 	seed        uint64
-	tamperReply func(*Delivery) // of an injected fault; nil: none
+	tamperReply func(*Delivery) // changes replies for an injected fault; nil: none
 
 	mu            sync.Mutex
 	machines      map[string]*machine // by IP
-	partitioned   map[[2]string]int   // how many faults block a link, by names: from, to
+	partitioned   map[[2]string]int   // number of faults that block a link, by the names of sender and receiver
 	frozen        map[string]bool     // by name
 	loseResponses bool
 	reorder       bool
 	loseMessages  bool
 	sent          map[[2]string]uint64
 	messages      int
-	changed       chan struct{} // closed when a link has opened or closed
+	changed       chan struct{} // closed and replaced by each update
 	closed        bool
-	changeBegun   map[string]chan struct{} // closed when the machine has begun to serve a change; by name
+	changeBegun   map[string]chan struct{} // by machine name; closed when the machine begins to serve a change
 }
 
 // newNetwork returns a network without machines, whose delays and losses are drawn from a seed.
@@ -82,13 +82,14 @@
 	Repeat func() // serves the call once more
 }
 
-// callOutcome is what happens to one call on the network.
+// callOutcome is the outcome of one call on the network: its delays, losses and duplicates.
 type callOutcome struct {
 	requestDelay, replyDelay, duplicateDelay time.Duration
 	loseRequest, loseReply, duplicate        bool
 }
 
-// drawOutcome returns the outcome of the next call on a link. It depends on the seed, the link and the number of calls on it alone.
+// drawOutcome draws the outcome of the next call on a link. It depends only on the seed, the link, the number of calls on the link and the
+// injected faults.
 func (n *network) drawOutcome(from, to string, mayDuplicate bool) callOutcome {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -117,8 +118,8 @@
 	return f
 }
 
-// deliver waits until a message that is sent now is delivered, and reports whether it is: it is lost where the link is partitioned for
-// longer than lostCallTimeout. A frozen side delays it.
+// deliver waits until a message that is sent now is delivered, and reports whether it was. A message is lost if the link is partitioned
+// for longer than lostCallTimeout. A frozen sender or receiver delays the message.
 func (n *network) deliver(from, to string, delay time.Duration) bool {
 	time.Sleep(delay)
 	var limit <-chan time.Time
@@ -145,7 +146,8 @@
 	}
 }
 
-// awaitChange returns a channel that is closed when a machine has begun to serve a change. One at a time waits for a machine.
+// awaitChange returns a channel that is closed when a machine has begun to serve a change. At most one caller
+// at a time may wait for a machine.
 func (n *network) awaitChange(name string) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/tier/simulation/operator.go
+++ b/internal/tier/simulation/operator.go
@@ -38,14 +38,14 @@
 	header             http.Header
 }
 
-// operator changes and reads the configuration, at one control-plane process after the other until a response is clear.
+// operator changes and reads the configuration. It calls one control-plane process after the other until a response is definitive.
 type operator struct {
 	world         *world
 	name          string
 	process       *process
 	random        *rand.Rand
 	next          int
-	knownRevision int64 // as read or acknowledged last
+	knownRevision int64 // the last one that was read or acknowledged
 	last          *configurationChange
 }
 
@@ -64,7 +64,7 @@
 		switch n := o.random.IntN(10); {
 		case n < 4:
 			o.read()
-		case n < 5 && o.last != nil: // as if the answer had been lost
+		case n < 5 && o.last != nil: // as if the response had been lost
 			o.send(o.last)
 		default:
 			if n < 8 {
@@ -76,7 +76,7 @@
 	}
 }
 
-// idle waits until the operator does something again.
+// idle waits for a random time between two actions of the operator.
 func (o *operator) idle() {
 	low, high := minOperatorIdle, maxOperatorIdle
 	if o.world.operatorsBusy() {
@@ -85,7 +85,7 @@
 	o.world.sleep(low + time.Duration(o.random.Int64N(int64(high-low))))
 }
 
-// read reads the configuration back, and reports whether there was a response.
+// read reads the configuration back, and reports whether there was a valid response.
 func (o *operator) read() bool {
 	checks := o.world.checks.configuration
 	var floor int64
@@ -109,7 +109,7 @@
 	return false
 }
 
-// send sends a change until its response is clear, and reports whether it was acknowledged.
+// send sends a change until its response is definitive, and reports whether it was acknowledged.
 func (o *operator) send(change *configurationChange) bool {
 	status, _ := o.callUntilDefinitive(func(ctx context.Context, ip string) (int, string, error) {
 		return o.call(ctx, ip, operatorCall{method: http.MethodPost, path: replacePath, body: change.body,
@@ -126,7 +126,8 @@
 	return status == http.StatusOK
 }
 
-// callUntilDefinitive calls one process after the other until the response of one is clear; status 0: none within the limit.
+// callUntilDefinitive calls one process after the other until a response is definitive: neither a server error nor a redirect. Status 0
+// means that none was received within the limit.
 func (o *operator) callUntilDefinitive(call func(ctx context.Context, ip string) (int, string, error), limit time.Duration) (status int, body string) {
 	wait := minRetryDelay
 	for begun := o.world.now(); o.world.now()-begun < limit && !o.world.ending(); o.world.sleep(wait) {
--- a/internal/tier/simulation/play.go
+++ b/internal/tier/simulation/play.go
@@ -15,27 +15,27 @@
 // changesRepeated is how many acknowledged changes are sent again at the end.
 const changesRepeated = 10
 
-// drainWait is how long goroutines may take to end after a play. The clock of a bubble stands once its first function has
-// returned, so that this is awaited in it.
+// drainWait is how long goroutines may take to end after a play. The clock of a bubble stops once the function that
+// virtualtime.Run calls has returned, so that the wait is inside this function.
 const drainWait = 10 * time.Second
 
 // Options change how a script is played.
 type Options struct {
 	Hooks  Hooks
 	Ignore []Rule    // rules that are not checked
-	Trace  io.Writer // gets what processes log and the simulator does, with the virtual time; nil: none. It may be any writer: Play locks
+	Trace  io.Writer // gets the logs of processes and the steps of the simulator, with the virtual time; nil: none. Play serializes writes
 }
 
 // Result is the result of a play.
 type Result struct {
 	Violation   *Violation    // the first violation, which ended the play; nil: none
-	VirtualTime time.Duration // that passed in the play
+	VirtualTime time.Duration // from the start to the end of the play
 	Messages    int
 	Orders      int // acknowledged
 	Turns       int // served
 }
 
-// Play plays a script in virtual time. An error says that the simulator itself failed.
+// Play plays a script in virtual time. An error means that the simulator itself failed.
 func Play(script Script, options Options) (Result, error) {
 	var result Result
 	if options.Trace != nil {
--- a/internal/tier/simulation/play_test.go
+++ b/internal/tier/simulation/play_test.go
@@ -13,12 +13,12 @@
 	assert.Assert(t, result.Orders > 5 && result.Turns > 50, "%+v", result)
 }
 
-// lossAfterSessionExpiry: messages are lost, so that the session of a turn store lapses and its replicas are taken out; right after that
-// the machine that holds the only synced replicas loses its disk.
+// lossAfterSessionExpiry loses messages, so that the session of a turn store expires and its replicas are taken out of the map. Right
+// after that, the machine with the only synced replicas loses its disk.
 var lossAfterSessionExpiry = Script{Version: ScriptVersion, Seed: 2327, Core: 3, Stores: 3, Gateways: 2, Losses: 1, Faults: []Fault{
 	{AtMS: 6568, DurationMS: 1433, Kind: LoseMessages}, {AtMS: 7638, DurationMS: 128, Kind: Wipe, Machine: "store-1"}}}
 
-// The retained replicas bring everything back.
+// All data is recovered from the retained replicas.
 func TestPlay_LossAfterSessionExpiry(t *testing.T) {
 	for range 3 {
 		result, err := Play(lossAfterSessionExpiry, Options{})
@@ -27,13 +27,13 @@
 	}
 }
 
-// lossAfterMove: a machine of the control plane is replaced as planned, messages are lost while another becomes a member in its place, and
-// the next machine is lost as soon as it may be.
+// lossAfterMove replaces a control-plane machine as planned, loses messages while another machine becomes a member in its place, and
+// loses the next machine as soon as tolerated.
 var lossAfterMove = Script{Version: ScriptVersion, Seed: 21461, Core: 3, Stores: 4, Gateways: 2, Losses: 1, Faults: []Fault{
 	{AtMS: 5582, DurationMS: 2349, Kind: Move, Machine: "core-2"}, {AtMS: 9608, DurationMS: 2089, Kind: LoseMessages},
 	{AtMS: 11932, DurationMS: 3825, Kind: Replace, Machine: "core-1"}}}
 
-// The place is taken in time.
+// The new machine becomes a member in time.
 func TestPlay_LossAfterMove(t *testing.T) {
 	for range 3 {
 		result, err := Play(lossAfterMove, Options{})
--- a/internal/tier/simulation/roles.go
+++ b/internal/tier/simulation/roles.go
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// leave hands the partitions over, for half of the grace at most.
+// leave hands the partitions over, with a time-out of half of the grace period.
 func (v *turnStoreRole) leave(ctx context.Context) {
 	v.session.Drain()
 	ctx, cancel := context.WithTimeout(ctx, gracePeriod/2)
@@ -122,7 +122,7 @@
 	v.store.AwaitHandover(ctx)
 }
 
-// outsideRole serves one handler for ever.
+// outsideRole serves one handler until the end of the play.
 type outsideRole struct{ handler http.Handler }
 
 func (o outsideRole) start(p *process) error {
@@ -132,7 +132,7 @@
 
 func (outsideRole) leave(context.Context) {}
 
-// request is a request as its server sees it.
+// request returns a client's request in the form in which a server receives it.
 func request(ctx context.Context, r *http.Request, body []byte) *http.Request {
 	out := r.Clone(ctx)
 	out.Body = http.NoBody
--- a/internal/tier/simulation/target_machines.go
+++ b/internal/tier/simulation/target_machines.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// weakestMachine returns the machine that Weakest means now.
+// weakestMachine returns the machine for which Weakest stands now.
 func (w *world) weakestMachine() *machine {
 	var weakest *machine
 	maxNeeded := 0
@@ -45,8 +45,8 @@
 	return weakest
 }
 
-// neededReplicas counts, by turn store, the synced replicas of partitions that have them in no more machines, zones or regions than
-// may be lost at once. Machines under a fault do not count.
+// neededReplicas counts, by turn store, the synced replicas of partitions whose synced replicas lie in no more machines, zones or regions
+// than may be lost at once. Replicas on machines under a fault do not count.
 func (w *world) neededReplicas(newest *tierv1.PartitionMap) map[string]int {
 	nodes := map[string]string{} // by folder
 	for _, n := range newest.GetStoreNodes() {
@@ -85,7 +85,7 @@
 	return w.underFault[name]
 }
 
-// claim claims a machine for a fault. It is false where another fault holds it.
+// claim claims a machine for a fault, and reports false if another fault has claimed the machine.
 func (w *world) claim(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/tier/simulation/target_machines_test.go
+++ b/internal/tier/simulation/target_machines_test.go
@@ -9,7 +9,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// A process that starts while some are partitioned may be told of these alone, and the one after it is given all.
+// A process that starts while control-plane machines are partitioned may get only these as seeds. The next process gets all seeds.
 func TestRole_SeedsOfNewProcess(t *testing.T) {
 	w := newStoppedWorld(Script{Core: 4, Stores: 3, Gateways: 2, Losses: 1})
 	m := w.machine(gatewayName(0))
@@ -18,7 +18,7 @@
 		return len(m.settings.Seeds)
 	}
 	m.seedsPartitioned = true
-	assert.Equal(t, seeds(), seedCount, "nobody is cut off")
+	assert.Equal(t, seeds(), seedCount, "no machine is partitioned")
 	w.partitionedCore["core-4"] = 1
 	assert.Equal(t, seeds(), seedCount)
 	m.seedsPartitioned = true
@@ -27,7 +27,7 @@
 	assert.Equal(t, seeds(), seedCount)
 }
 
-// The weakest turn store holds the most replicas that are needed, and the leader is taken where none is.
+// The weakest turn store holds the most needed replicas. The leader is returned if no replica is needed.
 func TestNeededReplicas(t *testing.T) {
 	w := newStoppedWorld(Script{Core: 3, Stores: 3, Gateways: 1, Losses: 1})
 	newest := &tierv1.PartitionMap{Version: 1}
@@ -49,5 +49,5 @@
 	w.underFault["store-1"] = true
 	assert.Equal(t, w.weakestMachine().name, "store-3")
 	w.underFault["store-3"] = true
-	assert.Assert(t, w.weakestMachine() == nil, "nobody leads")
+	assert.Assert(t, w.weakestMachine() == nil, "there is no leader")
 }
--- a/internal/tier/simulation/world.go
+++ b/internal/tier/simulation/world.go
@@ -37,7 +37,7 @@
 	seedCount         = 3
 )
 
-// Addresses: a machine's is made of its kind's and its number.
+// Addresses. The address of a machine consists of the prefix of its kind and a number.
 const (
 	coreNet    = "10.0.1."
 	storeNet   = "10.0.2."
@@ -65,25 +65,25 @@
 	network     *network
 	checks      checkers
 	began       time.Time
-	ctx         context.Context // of all that runs
+	ctx         context.Context // ends with the play
 	cancel      context.CancelFunc
-	running     sync.WaitGroup // of what the simulator itself runs
+	running     sync.WaitGroup // goroutines of the simulator itself
 	load        sync.WaitGroup // goroutines of operators and clients
-	loadStopped chan struct{}  // closed when no more load is to begin
+	loadStopped chan struct{}  // closed when operators and clients are to stop
 
 	mu                 sync.Mutex
 	machines           map[string]*machine
-	addresses          map[string]int // next of each kind
+	addresses          map[string]int // last number in use, by address prefix
 	underFault         map[string]bool
-	partitionedCore    map[string]int // machines of the control plane that are partitioned, and by how many faults
-	busyOperatorFaults int            // faults during which operators change the configuration without rest
+	partitionedCore    map[string]int // number of faults that partition a control-plane machine, by its name
+	busyOperatorFaults int            // active faults during which operators change the configuration without pause
 	violation          *Violation
 	retiringNode       string // the machine whose retirement was acknowledged
-	retired            bool   // it is empty, and was removed
+	retired            bool   // the retirement of retiringNode has completed
 	bootstrap          bool
 }
 
-// newWorld returns a world whose machines are to be added.
+// newWorld returns a world without machines.
 func newWorld(script Script, options Options) *world {
 	w := &world{script: script, options: options, network: newNetwork(script.Seed), began: time.Now(), machines: map[string]*machine{},
 		addresses: map[string]int{}, underFault: map[string]bool{}, partitionedCore: map[string]int{},
@@ -97,7 +97,7 @@
 // now is the virtual time since the start of the play.
 func (w *world) now() time.Duration { return time.Since(w.began) }
 
-// ending reports whether the play ends: a rule was broken, or all is checked.
+// ending reports whether the play ends: a rule was broken, or all checks are done.
 func (w *world) ending() bool { return w.ctx.Err() != nil }
 
 // loadRunning reports whether operators and clients are to continue.
@@ -162,14 +162,14 @@
 	return len(line), nil
 }
 
-// randomFor returns the random source of a name: the same for the same seed.
+// randomFor returns a random source that is seeded by the seed of the script and a name.
 func (w *world) randomFor(name string) *rand.Rand {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, name)
 	return rand.New(rand.NewPCG(w.script.Seed, h.Sum64()))
 }
 
-// addMachine makes a machine of a kind at the next address, in the place of one of the same name.
+// addMachine creates a machine of a kind at the next address. It replaces a machine of the same name.
 func (w *world) addMachine(name string, kind roleName, zone int) *machine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -179,7 +179,7 @@
 	return w.addMachineAt(name, kind, ip, zone%w.script.zones())
 }
 
-// addMachineAt makes a machine. The caller holds mu.
+// addMachineAt creates a machine at an address. The caller holds mu.
 func (w *world) addMachineAt(name string, kind roleName, ip string, zone int) *machine {
 	random := w.randomFor(name + "@" + ip)
 	m := &machine{world: w, name: name, ip: ip, zone: zone, kind: kind, random: random, disk: newDisk(random.Uint64())}
@@ -203,21 +203,21 @@
 	return m
 }
 
-// addOutsideMachine makes a machine that no fault is injected into.
+// addOutsideMachine creates a machine that no fault is injected into.
 func (w *world) addOutsideMachine(name, ip string) *machine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.addMachineAt(name, roleOutside, ip, 0)
 }
 
-// machine returns the machine of a name, or nil.
+// machine returns the machine with a name, or nil.
 func (w *world) machine(name string) *machine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.machines[name]
 }
 
-// machinesOfKind returns the machines of a kind that are there, by number.
+// machinesOfKind returns the machines of a kind, sorted by number.
 func (w *world) machinesOfKind(kind roleName) (list []*machine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -232,7 +232,7 @@
 	return list
 }
 
-// role makes the role of a new process, with the settings of its start.
+// role creates the role of a new process, and sets the seeds and the bootstrap flag in the machine's settings.
 func (w *world) role(m *machine) role {
 	w.mu.Lock()
 	cutOff := m.seedsPartitioned && len(w.partitionedCore) > 0
@@ -261,7 +261,8 @@
 	}
 }
 
-// nextCoreName returns the name of another machine of the control plane. Addresses are never used again, so that no name is.
+// nextCoreName returns the name of an additional control-plane machine. Names are never reused, as the addresses by which they are
+// numbered are never reused.
 func (w *world) nextCoreName() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
