--- a/internal/tier/simulation/applications_test.go
+++ b/internal/tier/simulation/applications_test.go
@@ -17,8 +17,8 @@
 	"saffronyard.example/saffronyard/internal/tier/simulation/virtualtime"
 )
 
-// Applications beside operators and clients: they take locks, numbers and keys, and watch, through the faults of generated scripts, with the
-// real consensus below; what they have seen is judged by the rules of the operators' page.
+// Applications run next to operators and clients: they acquire locks, draw numbers, put and read keys, and watch keys during the faults
+// of generated scripts, on the real consensus. Their observations are checked against the rules of the operators' page.
 
 const (
 	applicationCount    = 3
@@ -27,22 +27,22 @@
 	maxApplicationIdle  = 250 * time.Millisecond
 )
 
-// applicationChecker judges what all applications have seen.
+// applicationChecker checks the observations of all applications.
 type applicationChecker struct {
 	mu         sync.Mutex
 	broken     []string
 	answered   map[string]int
-	ownedUntil map[string]time.Duration // of the one lock, by the owner's count
+	ownedUntil map[string]time.Duration // by owner: until when it may consider the single lock its own
 	fences     []observedValue
 	numbers    []observedValue
-	putValues  map[string]bool   // by key and value: it was sent
-	rejected   map[string]bool   // by key and value
-	revisionOf map[string]uint64 // by key and value: as seen first
-	valueAt    map[uint64]string // of the one group
+	putValues  map[string]bool   // by key and value: a put was sent
+	rejected   map[string]bool   // by key and value: the put was rejected
+	revisionOf map[string]uint64 // by key and value: the observed revision
+	valueAt    map[uint64]string // key and value, by revision of the single group
 	putAcks    map[string][]observedValue
 }
 
-// observedValue is a value with the time at which it was received, and by whom.
+// observedValue is a value with its receiver and the time of its receipt.
 type observedValue struct {
 	by    string
 	value uint64
@@ -58,7 +58,8 @@
 	c.broken = append(c.broken, fmt.Sprintf(format, args...))
 }
 
-// granted checks a lock that was granted to an owner until a time, by its count, for a call that was sent before.
+// granted checks a grant of the lock to an owner, by a call that began at the time sent. The owner considers the lock its own until the
+// time until.
 func (c *applicationChecker) granted(owner string, fence uint64, sent, now, until time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,7 +134,7 @@
 	case http.StatusPreconditionFailed:
 		c.answered["conflict"]++
 		if id := key + "=" + value; c.revisionOf[id] != 0 {
-			c.reportBroken("REFUSED at %v: %s was shown and then rejected", now, id)
+			c.reportBroken("REFUSED at %v: %s was visible and then rejected", now, id)
 		}
 		c.rejected[key+"="+value] = true
 	}
@@ -167,28 +168,28 @@
 	defer c.mu.Unlock()
 	c.answered["watch"]++
 	if status == http.StatusGone {
-		c.reportBroken("LOST at %v: a watch at %d is gone", now, after)
+		c.reportBroken("LOST at %v: a watch after %d was answered 410 Gone", now, after)
 		return
 	}
 	for i, event := range response.Events {
 		if event.ETag != after+uint64(i)+1 {
-			c.reportBroken("ORDER at %v: a watch at %d tells %d as number %d", now, after, event.ETag, i)
+			c.reportBroken("ORDER at %v: a watch after %d returned revision %d as event %d", now, after, event.ETag, i)
 		}
 		c.checkValue(event.Name, event.Value, event.ETag, now)
 	}
 	if after > 0 && response.ETag != after+uint64(len(response.Events)) {
-		c.reportBroken("ORDER at %v: a watch at %d tells %d puts up to %d", now, after, len(response.Events), response.ETag)
+		c.reportBroken("ORDER at %v: a watch after %d returned %d events up to revision %d", now, after, len(response.Events), response.ETag)
 	}
 }
 
-// application is one caller. Its name is that of the owner of its locks.
+// application is one caller. Its name identifies it as the owner of its locks.
 type application struct {
 	*operator
 	check  *applicationChecker
 	random *rand.Rand
 }
 
-// callNext makes a call at the next control-plane process; status 0: no clear answer.
+// callNext makes a call to the next control-plane process. Status 0 means that there was no definitive response.
 func (a *application) callNext(method, path string, body, into any) (status int) {
 	raw := []byte{}
 	if body != nil {
@@ -212,7 +213,7 @@
 	a.world.sleep(minApplicationIdle + time.Duration(a.random.Int64N(int64(maxApplicationIdle-minApplicationIdle))))
 }
 
-// run takes turns with all kinds of calls until the load stops.
+// run makes calls of random kinds until the load stops.
 func (a *application) run() {
 	revisions := map[string]uint64{}
 	for n := 0; a.world.loadRunning(); n++ {
@@ -232,7 +233,7 @@
 	}
 }
 
-// ownLock takes the lock, renews it a few times, and gives it back or leaves it.
+// ownLock acquires the lock, renews it a few times, and releases it or lets it expire.
 func (a *application) ownLock() {
 	hold := 300*time.Millisecond + time.Duration(a.random.Int64N(int64(3*time.Second)))
 	body := map[string]any{"holder": a.name, "hold_time_ms": hold.Milliseconds()}
@@ -259,14 +260,14 @@
 	}
 }
 
-// putAndRead puts a key, again while there is no clear answer, and reads it.
+// putAndRead puts a key, up to three times while there is no definitive response, and reads it.
 func (a *application) putAndRead(key, value string, revisions map[string]uint64) {
 	body := map[string]any{"value": value}
 	if a.random.IntN(2) == 0 {
 		body["enabled"] = revisions[key]
 	}
 	a.check.putSent(key, value)
-	firstSent := a.world.now() // a repeat gets the revision of the first time
+	firstSent := a.world.now() // a retry returns the revision of the first put
 	for range 3 {
 		var written struct{ ETag uint64 }
 		if status := a.callNext(http.MethodPost, "Cells.Replace/"+key, body, &written); status != 0 {
@@ -286,7 +287,7 @@
 	}
 }
 
-// runWatch watches the group until the load stops.
+// runWatch watches the group of keys until the load stops.
 func (a *application) runWatch() {
 	after := uint64(0)
 	for a.world.loadRunning() {
@@ -300,7 +301,7 @@
 	}
 }
 
-// playApplications plays a script with applications, and returns the rules that they saw broken.
+// playApplications plays a script with applications, and returns the violations that were found.
 func playApplications(t *testing.T, script Script, options Options) (broken []string, check *applicationChecker) {
 	t.Helper()
 	check = newApplicationChecker()
@@ -321,7 +322,7 @@
 				run = a.runWatch
 			}
 			w.load.Go(func() {
-				w.sleep(time.Second) // until machines are there
+				w.sleep(time.Second) // until the machines are started
 				run()
 			})
 		}
@@ -336,7 +337,7 @@
 	return check.broken, check
 }
 
-// All that applications are promised holds through the faults of generated scripts, and so does all else.
+// The guarantees to applications hold during the faults of generated scripts, and so do all rules of the simulation.
 func TestApplications_GeneratedFaults(t *testing.T) {
 	seeds := uint64(24)
 	if testing.Short() || raceDetector {
@@ -354,13 +355,13 @@
 	}
 	for _, what := range []string{"lock", "number", "put", "conflict", "read", "watch"} {
 		if total[what] < 20 {
-			t.Errorf("%s: answered %d times only", what, total[what])
+			t.Errorf("%s: answered only %d times", what, total[what])
 		}
 	}
 	t.Logf("answered: %v", total)
 }
 
-// unconfirmedStore is a control state that confirms reads without a round trip, and whose lease never ends.
+// unconfirmedStore is a control state that confirms reads without a round trip, and whose lease never expires.
 type unconfirmedStore struct {
 	controlplane.Store
 	mu    sync.Mutex
@@ -378,7 +379,7 @@
 
 func (s *unconfirmedStore) Confirm(context.Context, uint64) error { return nil }
 
-// The checker finds a primary that goes on answering after it was deposed.
+// The checker finds a primary that continues to serve calls after it was deposed.
 func TestApplications_InjectedFault_UnconfirmedReads(t *testing.T) {
 	if testing.Short() || raceDetector {
 		t.Skip("many seeds: played without -short and -race")
--- a/internal/tier/simulation/check_configuration.go
+++ b/internal/tier/simulation/check_configuration.go
@@ -9,14 +9,14 @@
 )
 
 // configurationChecker checks the changes and reads of operators against a model: each change names the revision that it replaces,
-// revisions increase, and so all that was ever in force is one chain.
+// revisions increase, so that all configurations that were ever in force form one chain.
 type configurationChecker struct {
 	report reporter
 
 	mu        sync.Mutex
 	changes   []*configurationChange
 	byBody    map[string]*configurationChange
-	byBase    map[int64]*configurationChange // in force once, by the revision it replaced
+	byBase    map[int64]*configurationChange // changes that were in force, by the revision that they replaced
 	floors    []floor                        // increasing in both fields
 	confirmed int
 }
@@ -131,7 +131,8 @@
 	return 0
 }
 
-// recordRead records what was read back (empty: no configuration) by a call that began at a floor, and returns its revision.
+// recordRead records the body of a read (empty: no configuration), and returns its revision. floor was the minimum revision in force
+// when the read began.
 func (c *configurationChecker) recordRead(now time.Duration, floor int64, body string) (revision int64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,8 +166,8 @@
 	return o.revision
 }
 
-// checkStaleness checks that a gateway which holds a revision, and was last in contact with the primary at a time, holds what had been
-// acknowledged bound before that.
+// checkStaleness checks that the revision that a gateway holds is not older than the one that had been acknowledged bound before the
+// gateway's last contact with the primary.
 func (c *configurationChecker) checkStaleness(gateway string, revision int64, lastContact, bound time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,7 +188,7 @@
 	return list
 }
 
-// checkFinalRevision checks that all that was acknowledged leads up to the revision in force at the end.
+// checkFinalRevision checks that all acknowledged changes are in the chain that leads to the revision in force at the end.
 func (c *configurationChecker) checkFinalRevision(revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,7 +209,7 @@
 	}
 }
 
-// configuration returns the document of a revision that names a service.
+// configuration returns the configuration document with a revision and the name of its service.
 func configuration(revision int64, service string) string {
 	return fmt.Sprintf(`{"revision":%d,"routes":[{"name":"r","hostname":"h.example","path_prefix":"/a/","route_type":"idempotent",`+
 		`"timeout_ms":1000,"target_latency_ms":100,"priority":1,"service_name":%q,"max_attempts":2}],`+
--- a/internal/tier/simulation/check_configuration_test.go
+++ b/internal/tier/simulation/check_configuration_test.go
@@ -30,32 +30,32 @@
 			c.recordResponse(second, c.begin(0, 0, 1), 200)
 			c.recordResponse(second, c.begin(0, 0, 2), 412)
 		}, nil},
-		"refused for nothing": {func(c *configurationChecker) { c.recordResponse(second, c.begin(0, 0, 1), 412) }, []Rule{RuleRejection}},
-		"refused when it came again": {func(c *configurationChecker) {
+		"rejected without a competing change": {func(c *configurationChecker) { c.recordResponse(second, c.begin(0, 0, 1), 412) }, []Rule{RuleRejection}},
+		"rejected when sent again": {func(c *configurationChecker) {
 			a := c.begin(0, 0, 1)
 			c.recordResponse(second, a, 200)
 			c.recordResponse(second, a, 412)
 		}, []Rule{RuleIdempotent}},
-		"refused and taken": {func(c *configurationChecker) {
+		"rejected and in force": {func(c *configurationChecker) {
 			a := c.begin(0, 0, 1)
 			c.begin(0, 0, 2)
 			c.recordResponse(second, a, 412)
 			c.recordReceived(a.body)
 		}, []Rule{RuleRejection}},
-		"read of the past": {func(c *configurationChecker) {
+		"stale read": {func(c *configurationChecker) {
 			a, b := c.begin(0, 0, 1), c.begin(0, 1, 2)
 			c.recordResponse(second, a, 200)
 			c.recordResponse(second, b, 200)
 			c.recordRead(2*second, c.floor(), a.body)
 		}, []Rule{RuleRead}},
-		"read beside an order": {func(c *configurationChecker) {
+		"read concurrent with a change": {func(c *configurationChecker) {
 			a, b := c.begin(0, 0, 1), c.begin(0, 1, 2)
 			c.recordResponse(second, a, 200)
 			floor := c.floor()
 			c.recordResponse(second, b, 200)
 			c.recordRead(2*second, floor, a.body)
 		}, nil},
-		"lost": {func(c *configurationChecker) {
+		"acknowledged change lost": {func(c *configurationChecker) {
 			c.recordResponse(second, c.begin(0, 0, 1), 200)
 			c.checkFinalRevision(0)
 		}, []Rule{RuleChain}},
@@ -64,7 +64,7 @@
 			c.checkStaleness("g", 0, 2*second, 2*second)
 			c.checkStaleness("g", 0, 4*second, 2*second)
 		}, []Rule{RuleStale}},
-		"not ordered": {func(c *configurationChecker) { c.recordReceived("x") }, []Rule{RuleKnownConfiguration}},
+		"unknown configuration": {func(c *configurationChecker) { c.recordReceived("x") }, []Rule{RuleKnownConfiguration}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var f recordedRules
--- a/internal/tier/simulation/check_recovery.go
+++ b/internal/tier/simulation/check_recovery.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// checkIdempotence checks that changes which were acknowledged are acknowledged again, though others have replaced them.
+// checkIdempotence checks that changes which were acknowledged are acknowledged again, although later ones have replaced them.
 func (w *world) checkIdempotence(o *operator) {
 	for _, old := range w.checks.configuration.newestAcknowledged(changesRepeated) {
 		if !o.send(old) && !w.ending() {
@@ -42,8 +42,8 @@
 	}
 }
 
-// checkMembers checks that the control plane has all its members, and tolerates again what it has to: whatever is lost, a majority of the
-// members is left, and one of the primary and its backups.
+// checkMembers checks that the control plane has all its members, and again tolerates the losses of the script: after any of these, a
+// majority of the members is left, and at least one of the primary and its backups.
 func (w *world) checkMembers() {
 	leader := w.leader()
 	if leader == nil {
@@ -89,8 +89,8 @@
 	return sum
 }
 
-// checkReplicas checks that each partition of the newest map has its replicas, all on turn stores that are there, and in as many zones
-// or regions where these are lost.
+// checkReplicas checks that each partition of the newest map has its replicas on running turn stores, and in as many zones or regions
+// where these are lost. It also checks that each running turn store holds replicas unless it is being retired.
 func (w *world) checkReplicas() {
 	ctx, cancel := context.WithTimeout(w.ctx, callTimeout)
 	defer cancel()
@@ -105,7 +105,7 @@
 		w.reportViolation(RuleRecovery, "the primary shows no map: %v", err)
 		return
 	}
-	alive, holdsReplica := map[string]string{}, map[string]bool{} // domains of folders that are there
+	alive, holdsReplica := map[string]string{}, map[string]bool{} // alive: failure domains of the folders of running turn stores
 	for _, m := range w.machinesOfKind(roleTurnStore) {
 		if p, _ := m.process(); p != nil {
 			alive[p.role.(*turnStoreRole).store.Folder()] = m.failureDomain()
@@ -113,7 +113,7 @@
 	}
 	underReplicated := 0
 	for _, p := range status.PartitionMap.Partitions {
-		synced := map[string]bool{} // domains
+		synced := map[string]bool{} // failure domains
 		holdsReplica[p.Primary] = true
 		for _, c := range p.Backups {
 			holdsReplica[c.Folder] = true
@@ -139,7 +139,7 @@
 	}
 }
 
-// nodeOfFolder returns the machine on which a folder is.
+// nodeOfFolder returns the name of the running turn store with a folder, or "".
 func (w *world) nodeOfFolder(folder string) string {
 	for _, m := range w.machinesOfKind(roleTurnStore) {
 		if p, _ := m.process(); p != nil && p.role.(*turnStoreRole).store.Folder() == folder {
@@ -149,7 +149,7 @@
 	return ""
 }
 
-// checkTurns checks that all stored turns are still there, and that all that is charged still is.
+// checkTurns checks that all stored turns are still found, and that all charged tokens are still charged.
 func (w *world) checkTurns() {
 	gateways := w.machinesOfKind(roleGateway)
 	p, _ := gateways[0].process()
--- a/internal/tier/simulation/check_turns.go
+++ b/internal/tier/simulation/check_turns.go
@@ -9,7 +9,7 @@
 )
 
 // turnChecker checks the replies of turn stores to gateways: no stored turn is missing or changed, no budget is exceeded, and none is
-// called exhausted that is not.
+// reported as exhausted while it has room.
 type turnChecker struct {
 	report reporter
 
@@ -19,8 +19,8 @@
 	number      int
 	events      int // sequence number of the last begin or settlement
 	turnsServed int
-	answered    int            // by endpoints
-	runs        map[string]int // of endpoints, by attempt
+	answered    int            // responses of endpoints
+	runs        map[string]int // runs at endpoints, by attempt
 }
 
 // program is a budget and the attempts charged to it.
@@ -62,7 +62,7 @@
 	return &turnChecker{report: report, programs: map[string]*program{}, attempts: map[string]*attempt{}, runs: map[string]int{}}
 }
 
-// program returns the newest generation of a program: where the budget of one is exhausted, another follows.
+// program returns the newest generation of a program: when the budget of a generation is exhausted, the next one begins.
 func (c *turnChecker) program(index int) *program {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,7 +127,7 @@
 	}
 }
 
-// checkChain checks that all turns before an attempt came with it. The caller holds mu.
+// checkChain checks that the reply to an attempt has all turns before the attempt, in their order. The caller holds mu.
 func (c *turnChecker) checkChain(a *attempt, chain []*tierv1.Turn) {
 	var want, got []string
 	for at := c.attempts[a.previous]; at != nil; at = c.attempts[at.previous] {
@@ -155,8 +155,8 @@
 	return sum
 }
 
-// maxCharge returns the maximum of the tokens that may have been charged to a program, but for one attempt, since that began. The
-// caller holds mu.
+// maxCharge returns the maximum of the tokens that may have been charged to a program at any time since an attempt began, without those
+// of the attempt itself. The caller holds mu.
 func (p *program) maxCharge(excluded *attempt) (sum uint64) {
 	for _, a := range p.attempts {
 		switch {
@@ -186,7 +186,7 @@
 	c.turnsServed++
 }
 
-// recordRun records that an endpoint runs an attempt, which may never be sent twice.
+// recordRun records that an endpoint runs an attempt, which must be sent at most once.
 func (c *turnChecker) recordRun(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/tier/simulation/check_turns_test.go
+++ b/internal/tier/simulation/check_turns_test.go
@@ -30,7 +30,7 @@
 			c.recordVerdict(c.begin(p, "", 300, 10), tierv1.Verdict_SPENT, nil)
 		}, nil},
 		"not spent": {func(c *turnChecker, p *program) { c.recordVerdict(c.begin(p, "", 300, 10), tierv1.Verdict_SPENT, nil) }, []Rule{RuleBudgetExhausted}},
-		"lost": {func(c *turnChecker, p *program) {
+		"stored turn lost": {func(c *turnChecker, p *program) {
 			a := c.begin(p, "", 30, 10)
 			c.recordVerdict(a, tierv1.Verdict_OK, nil)
 			c.recordSettling(a, true, 10)
@@ -38,8 +38,8 @@
 			c.recordVerdict(c.begin(p, a.id, 30, 10), tierv1.Verdict_UNKNOWN, nil)
 			c.recordVerdict(c.begin(p, a.id, 30, 10), tierv1.Verdict_OK, nil)
 		}, []Rule{RuleTurn, RuleTurn}},
-		"twice at an endpoint": {func(c *turnChecker, p *program) { c.recordRun("a"); c.recordRun("a") }, []Rule{RuleOnce}},
-		"another's answer":     {func(c *turnChecker, p *program) { c.recordResponse(c.begin(p, "", 1, 1), "out of x\n") }, []Rule{RuleCaller}},
+		"twice at an endpoint":        {func(c *turnChecker, p *program) { c.recordRun("a"); c.recordRun("a") }, []Rule{RuleOnce}},
+		"response of another attempt": {func(c *turnChecker, p *program) { c.recordResponse(c.begin(p, "", 1, 1), "out of x\n") }, []Rule{RuleCaller}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var f recordedRules
--- a/internal/tier/simulation/check_views.go
+++ b/internal/tier/simulation/check_views.go
@@ -10,7 +10,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// viewChecker checks what processes receive: versions increase within an incarnation, one version is one value everywhere, and one
+// viewChecker checks what processes receive: versions increase within an incarnation, one version has the same value everywhere, and one
 // epoch of a partition has one primary and one set of replicas.
 type viewChecker struct {
 	report reporter
@@ -20,7 +20,7 @@
 	last               map[*process][2]uint64 // versions of the configuration and the map
 	revision           map[*process]int64
 	epochs             map[string]string // partition and epoch to replicas
-	highestReceived    [2]uint64         // highest versions of the configuration and the map that anyone was shown
+	highestReceived    [2]uint64         // highest versions of the configuration and the map that any process received
 	newestPartitionMap *tierv1.PartitionMap
 }
 
@@ -30,21 +30,21 @@
 		epochs: map[string]string{}}
 }
 
-// highest returns the highest versions of the configuration and the map that anyone was shown.
+// highest returns the highest versions of the configuration and the map that any process received.
 func (v *viewChecker) highest() [2]uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.highestReceived
 }
 
-// newestMap is the newest map of the partitions that anyone was shown.
+// newestMap returns the newest partition map that any process received.
 func (v *viewChecker) newestMap() *tierv1.PartitionMap {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.newestPartitionMap
 }
 
-// checkOneValue checks that a version was never another value. The caller holds mu.
+// checkOneValue checks that a version never had another value. The caller holds mu.
 func (v *viewChecker) checkOneValue(kind string, version uint64, value string) {
 	key := fmt.Sprint(kind, " ", version)
 	if before, ok := v.versions[key]; ok && before != value {
@@ -53,8 +53,8 @@
 	v.versions[key] = value
 }
 
-// checkMonotonic checks that a version is above the one before in an incarnation of a process, and that the first one is not older
-// than what any process had received when that began. The caller holds mu.
+// checkMonotonic checks that a version is higher than the previous one of a process, and that the first version of a process is not lower
+// than any version that any process had received before this process began. The caller holds mu.
 func (v *viewChecker) checkMonotonic(name string, p *process, kind int, version uint64) {
 	last := v.last[p]
 	if last[kind] == 0 && version < p.receivedBefore[kind] {
@@ -68,7 +68,7 @@
 	v.highestReceived[kind] = max(v.highestReceived[kind], version)
 }
 
-// recordConfiguration records what a gateway was shown.
+// recordConfiguration records a configuration that a gateway received.
 func (v *viewChecker) recordConfiguration(name string, p *process, c *tierv1.Configuration, revision int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/tier/simulation/check_views_test.go
+++ b/internal/tier/simulation/check_views_test.go
@@ -20,7 +20,7 @@
 	v.recordPartitionMap("one", one, part(2, "b"))
 	v.recordPartitionMap("two", two, part(1, "a"))
 	assert.Equal(t, len(f.rules), 0)
-	v.recordPartitionMap("two", two, part(2, "c")) // another value of a version, and of an epoch
+	v.recordPartitionMap("two", two, part(2, "c")) // another value of the version, and of the epoch
 	v.recordPartitionMap("one", one, part(1, "a"))
 	assert.DeepEqual(t, f.rules, []Rule{RuleOneValue, RuleOneValue, RuleMonotonic})
 	v.recordConfiguration("one", one, &tierv1.Configuration{Version: 5, Body: []byte("x")}, 3)
@@ -28,7 +28,7 @@
 	assert.DeepEqual(t, f.rules[3:], []Rule{RuleMonotonic})
 }
 
-// A new process is first shown what stood when it began, or later.
+// The first version and revision that a new process receives must not be older than those in force when the process began.
 func TestViewChecker_FirstView(t *testing.T) {
 	var f recordedRules
 	v := newViewChecker(f.report)
--- a/internal/tier/simulation/injected_accounts_test.go
+++ b/internal/tier/simulation/injected_accounts_test.go
@@ -8,13 +8,13 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// lossyTurnStore is a turn store that forgets what some of its calls charge.
+// lossyTurnStore is a turn store that does not charge the tokens of some settlements.
 type lossyTurnStore struct {
 	tierv1.TurnStore
 	calls *atomic.Int64
 }
 
-// Settle confirms some settlements of turns that are not kept as if nothing had been handed out.
+// Settle settles some turns that are not stored with 0 tokens.
 func (f lossyTurnStore) Settle(ctx context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
 	if !req.Stored && f.calls.Add(1)%5 == 0 {
 		req.Tokens = 0
@@ -22,13 +22,13 @@
 	return f.TurnStore.Settle(ctx, req)
 }
 
-// Accounts: a settlement of a turn that is not kept is lost, and its budget is spent again.
+// Token accounting: the settlement of a turn that is not stored is lost, so that its tokens can be spent again.
 func TestInjectedFault_LostSettlement(t *testing.T) {
 	var calls atomic.Int64
 	expectFound(t, Hooks{Serve: func(inner tierv1.TurnStore) tierv1.TurnStore { return lossyTurnStore{inner, &calls} }}, RuleBudget)
 }
 
-// ignoringTurnStore is a turn store that confirms releases and does not take them.
+// ignoringTurnStore is a turn store that acknowledges settlements of turns that are not stored, without applying them.
 type ignoringTurnStore struct{ tierv1.TurnStore }
 
 func (d ignoringTurnStore) Settle(ctx context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
@@ -38,7 +38,7 @@
 	return d.TurnStore.Settle(ctx, req)
 }
 
-// Accounts: reservations that were ended still count at their most, and a budget with room is called spent.
+// Token accounting: settled reservations still count with their maximum, so that a budget with room is reported as spent.
 func TestInjectedFault_BudgetFalselyExhausted(t *testing.T) {
 	expectFound(t, Hooks{Serve: func(inner tierv1.TurnStore) tierv1.TurnStore { return ignoringTurnStore{inner} }}, RuleBudgetExhausted)
 }
--- a/internal/tier/simulation/injected_faults_test.go
+++ b/internal/tier/simulation/injected_faults_test.go
@@ -19,7 +19,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// injectedFaultSeeds is in how many seeds a injected fault has to be found.
+// injectedFaultSeeds is the number of seeds within which an injected fault has to be found.
 const injectedFaultSeeds = 200
 
 // expectFound plays seeds until one breaks one of the rules.
@@ -56,7 +56,7 @@
 	t.Errorf("found by rule %s, not by one of %v", hit.Violation.Rule, rules)
 }
 
-// endlessLeaseStore is a control state whose lease never ends, and that confirms nothing by a round trip.
+// endlessLeaseStore is a control state whose lease never expires, and that confirms reads without a round trip.
 type endlessLeaseStore struct {
 	controlplane.Store
 	epoch atomic.Uint64
@@ -68,7 +68,7 @@
 		s.epoch.Store(epoch)
 		return epoch, true
 	}
-	if last := s.epoch.Load(); last != 0 && s.Store.View().GetEpoch() <= last { // it has heard of no other
+	if last := s.epoch.Load(); last != 0 && s.Store.View().GetEpoch() <= last { // this process has not received a higher epoch
 		return last, true
 	}
 	return epoch, false
@@ -76,16 +76,16 @@
 
 func (s *endlessLeaseStore) Confirm(context.Context, uint64) error { return nil }
 
-// Point 1: a primary that was partitioned goes on as if it were in touch.
+// Point 1: a partitioned primary continues as if it were still in contact with a quorum.
 func TestInjectedFault_EndlessLease(t *testing.T) {
 	expectFound(t, Hooks{Store: func(s controlplane.Store) controlplane.Store { return &endlessLeaseStore{Store: s} }},
 		RuleRead, RuleStale, RuleMonotonic, RuleRejection, RuleIdempotent)
 }
 
-// orderRecord is the part of the name of the keys under which the control plane remembers orders.
+// orderRecord is a part of the keys under which the control plane records accepted changes.
 const orderRecord = "order"
 
-// hidingStore drops what the control plane remembers of orders that were taken.
+// hidingStore hides the control plane's records of accepted changes.
 type hidingStore struct{ controlplane.Store }
 
 func (s hidingStore) Get(key string) ([]byte, uint64) {
@@ -95,12 +95,12 @@
 	return s.Store.Get(key)
 }
 
-// Point 2: the record of orders that were taken is lost, and one that comes again is rejected.
+// Point 2: the records of accepted changes are lost, so that an accepted change is rejected when it is sent again.
 func TestInjectedFault_ForgottenChanges(t *testing.T) {
 	expectFound(t, Hooks{Store: func(s controlplane.Store) controlplane.Store { return hidingStore{s} }}, RuleIdempotent, RuleRejection)
 }
 
-// Point 3: a primary reports replicas as whole that have not been compared.
+// Point 3: a primary reports replicas as synced that it has not compared.
 func TestInjectedFault_EarlySynced(t *testing.T) {
 	var mu sync.Mutex
 	maps := map[*turnstore.TurnStore]*tierv1.PartitionMap{}
@@ -111,7 +111,7 @@
 			maps[store] = m
 		},
 		TamperReply: func(d *Delivery) {
-			if strings.HasSuffix(d.Path, "/Held") { // what is lacking never becomes known
+			if strings.HasSuffix(d.Path, "/Held") { // the facts that a replica lacks never become known
 				d.Reply = []byte{0xff}
 			}
 		},
@@ -142,7 +142,7 @@
 // partitionMapKey is the key under which the control plane keeps the map of partitions.
 const partitionMapKey = "turnstores"
 
-// unretainingStore forgets the replicas that control took out of the map while they were silent.
+// unretainingStore drops the replicas that the control plane took out of the map while their turn stores had no session.
 type unretainingStore struct{ controlplane.Store }
 
 func (s unretainingStore) Get(key string) ([]byte, uint64) {
@@ -177,8 +177,8 @@
 	return changed
 }
 
-// Point 3: control forgets replicas that were taken out while they were silent, and the machine that holds the only synced ones
-// loses its disk.
+// Point 3: the control plane drops replicas that were taken out of the map while their turn stores had no session, and then the machine
+// with the only synced replicas loses its disk.
 func TestInjectedFault_ForgottenReplicas(t *testing.T) {
 	if testing.Short() || raceDetector {
 		t.Skip("many seeds: played without -short and -race")
@@ -219,7 +219,7 @@
 	return unsyncedHandle{h}, nil
 }
 
-// Point 4: a member that comes back has forgotten its promises and its replica.
+// Point 4: a member that restarts has lost its promises and its replica.
 func TestInjectedFault_ForgottenPromise(t *testing.T) {
 	expectFound(t, Hooks{Files: func(machine string, files wal.FS) wal.FS {
 		if !strings.HasPrefix(machine, "core-") {
@@ -229,7 +229,7 @@
 	}}, RuleChain, RuleRead, RuleStale, RuleMonotonic, RuleOneValue, RuleRejection, RuleRecovery)
 }
 
-// Point 5: an answer comes to another caller.
+// Point 5: a caller receives the response to another caller's request.
 func TestInjectedFault_WrongCaller(t *testing.T) {
 	var mu sync.Mutex
 	n := 0
@@ -247,7 +247,7 @@
 	}}, RuleCaller)
 }
 
-// Point 5: a call that may not be repeated is made twice.
+// Point 5: a call that is not idempotent is made twice.
 func TestInjectedFault_SecondCall(t *testing.T) {
 	var n atomic.Int64
 	expectFound(t, Hooks{TamperReply: func(d *Delivery) {
@@ -257,14 +257,14 @@
 	}}, RuleOnce)
 }
 
-// Copies and members are spread over machines, and zones and regions are lost.
+// Replicas and members are spread over machines only, while zones and regions are lost.
 func TestInjectedFault_ReplicasSpreadOverMachines(t *testing.T) {
 	expectFound(t, Hooks{Settings: func(s *settings.Settings) {
 		s.MachineFailures, s.ZoneFailures, s.RegionFailures = s.Losses(), 0, 0
 	}}, RuleRecovery, RuleTurn, RuleBudget)
 }
 
-// Members of the control plane are spread over machines, and replicas over zones.
+// Control-plane members are spread over machines only, while replicas are spread over zones.
 func TestInjectedFault_MembersInOneZone(t *testing.T) {
 	expectFound(t, Hooks{Settings: func(s *settings.Settings) {
 		if s.ZoneFailures > 0 && strings.HasPrefix(s.Node, "core-") {
--- a/internal/tier/simulation/injected_late_repair_test.go
+++ b/internal/tier/simulation/injected_late_repair_test.go
@@ -10,15 +10,15 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// lateReports is how late a turn store reports synced replicas: later than the next loss may come.
+// lateReports is the delay of a turn store's reports of synced replicas: longer than the time until the next loss may begin.
 const lateReports = syncTime + 2*time.Second
 
-// lateSyncedReports has reports of synced replicas come late.
+// lateSyncedReports delays reports of synced replicas.
 type lateSyncedReports struct {
 	synced SyncedFunc
 
 	mu    sync.Mutex
-	since map[string]time.Time // when each was first reported
+	since map[string]time.Time // when each replica was first reported
 }
 
 func (l *lateSyncedReports) reports() ([]*tierv1.SyncedReplica, <-chan struct{}) {
@@ -44,8 +44,8 @@
 	return list, changed
 }
 
-// Point 3: replicas that were made anew count only after the next loss may have come. It is found without the rule that all replicas are there in
-// the end, by what the next loss takes.
+// Point 3: replicas that were recreated count as synced only after the next loss may have begun. The fault is also found without
+// RuleRecovery, the check of the replicas at the end of a play, through the data that the next loss destroys.
 func TestInjectedFault_LateRepair(t *testing.T) {
 	hooks := Hooks{Synced: func(_ *turnstore.TurnStore, synced SyncedFunc) SyncedFunc {
 		l := &lateSyncedReports{synced: synced}
