--- a/internal/tier/simulation/check_configuration.go
+++ b/internal/tier/simulation/check_configuration.go
@@ -9,14 +9,14 @@
 )
 
 // configurationChecker checks the changes and reads of operators against a model: each change names the revision that it replaces,
-// revisions increase, and so all that was ever in force is one chain.
+// revisions increase, so that all configurations that were ever in force form one chain.
 type configurationChecker struct {
 	report reporter
 
 	mu        sync.Mutex
-	all       []*configurationChange
+	changes   []*configurationChange
 	byBody    map[string]*configurationChange
-	byBase    map[int64]*configurationChange // in force once, by the revision it replaced
+	byBase    map[int64]*configurationChange // changes that were in force, by the revision that they replaced
 	floors    []floor                        // increasing in both fields
 	confirmed int
 }
@@ -52,9 +52,9 @@
 func (c *configurationChecker) begin(now time.Duration, base, revision int64) *configurationChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o := &configurationChange{id: len(c.all) + 1, base: base, revision: revision, began: now}
+	o := &configurationChange{id: len(c.changes) + 1, base: base, revision: revision, began: now}
 	o.body = configuration(revision, fmt.Sprint("order-", o.id))
-	c.all = append(c.all, o)
+	c.changes = append(c.changes, o)
 	c.byBody[o.body] = o
 	return o
 }
@@ -83,7 +83,7 @@
 
 // checkRejection checks that another change may have been in force in the place of one that was rejected.
 func (c *configurationChecker) checkRejection(o *configurationChange) {
-	for _, other := range c.all {
+	for _, other := range c.changes {
 		if other != o && other.base == o.base {
 			return
 		}
@@ -131,7 +131,8 @@
 	return 0
 }
 
-// recordRead records what was read back (empty: no configuration) by a call that began at a floor, and returns its revision.
+// recordRead records the body of a read (empty: no configuration), and returns its revision. floor was the minimum revision in force
+// when the read began.
 func (c *configurationChecker) recordRead(now time.Duration, floor int64, body string) (revision int64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,8 +153,8 @@
 	return revision, true
 }
 
-// recordShown records a configuration that a gateway received, and returns its revision.
-func (c *configurationChecker) recordShown(body string) int64 {
+// recordReceived records a configuration that a gateway received, and returns its revision.
+func (c *configurationChecker) recordReceived(body string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o := c.byBody[body]
@@ -165,8 +166,8 @@
 	return o.revision
 }
 
-// checkStaleness checks that a gateway which holds a revision, and was last in contact with the primary at a time, holds what had been
-// acknowledged bound before that.
+// checkStaleness checks that the revision that a gateway holds is not older than the one that had been acknowledged bound before the
+// gateway's last contact with the primary.
 func (c *configurationChecker) checkStaleness(gateway string, revision int64, lastContact, bound time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,21 +180,21 @@
 func (c *configurationChecker) newestAcknowledged(maximum int) (list []*configurationChange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i := len(c.all) - 1; i >= 0 && len(list) < maximum; i-- {
-		if c.all[i].acknowledged {
-			list = append(list, c.all[i])
+	for i := len(c.changes) - 1; i >= 0 && len(list) < maximum; i-- {
+		if c.changes[i].acknowledged {
+			list = append(list, c.changes[i])
 		}
 	}
 	return list
 }
 
-// checkFinalRevision checks that all that was acknowledged leads up to the revision in force at the end.
+// checkFinalRevision checks that all acknowledged changes are in the chain that leads to the revision in force at the end.
 func (c *configurationChecker) checkFinalRevision(revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	reached := map[*configurationChange]bool{}
 	byRevision := map[int64]*configurationChange{}
-	for _, o := range c.all {
+	for _, o := range c.changes {
 		if o.inForce || byRevision[o.revision] == nil {
 			byRevision[o.revision] = o
 		}
@@ -201,14 +202,14 @@
 	for at := byRevision[revision]; at != nil; at = byRevision[at.base] {
 		reached[at] = true
 	}
-	for _, o := range c.all {
+	for _, o := range c.changes {
 		if o.acknowledged && !reached[o] {
 			c.report(RuleChain, "%v was acknowledged, and what is in force at the end (%d) does not follow it", o, revision)
 		}
 	}
 }
 
-// configuration returns the document of a revision that names a service.
+// configuration returns the configuration document with a revision and the name of its service.
 func configuration(revision int64, service string) string {
 	return fmt.Sprintf(`{"revision":%d,"routes":[{"name":"r","hostname":"h.example","path_prefix":"/a/","route_type":"idempotent",`+
 		`"timeout_ms":1000,"target_latency_ms":100,"priority":1,"service_name":%q,"max_attempts":2}],`+
--- a/internal/tier/simulation/check_turns.go
+++ b/internal/tier/simulation/check_turns.go
@@ -9,7 +9,7 @@
 )
 
 // turnChecker checks the replies of turn stores to gateways: no stored turn is missing or changed, no budget is exceeded, and none is
-// called exhausted that is not.
+// reported as exhausted while it has room.
 type turnChecker struct {
 	report reporter
 
@@ -19,8 +19,8 @@
 	number      int
 	events      int // sequence number of the last begin or settlement
 	turnsServed int
-	answered    int            // by endpoints
-	runs        map[string]int // of endpoints, by attempt
+	answered    int            // responses of endpoints
+	runs        map[string]int // runs at endpoints, by attempt
 }
 
 // program is a budget and the attempts charged to it.
@@ -62,12 +62,12 @@
 	return &turnChecker{report: report, programs: map[string]*program{}, attempts: map[string]*attempt{}, runs: map[string]int{}}
 }
 
-// program returns the newest generation of a program: where the budget of one is exhausted, another follows.
-func (c *turnChecker) program(place int) *program {
+// program returns the newest generation of a program: when the budget of a generation is exhausted, the next one begins.
+func (c *turnChecker) program(index int) *program {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for generation := 0; ; generation++ {
-		name := fmt.Sprintf("program-%d-%d", place, generation)
+		name := fmt.Sprintf("program-%d-%d", index, generation)
 		p := c.programs[name]
 		if p == nil {
 			p = &program{name: name, budget: programBudget}
@@ -127,7 +127,7 @@
 	}
 }
 
-// checkChain checks that all turns before an attempt came with it. The caller holds mu.
+// checkChain checks that the reply to an attempt has all turns before the attempt, in their order. The caller holds mu.
 func (c *turnChecker) checkChain(a *attempt, chain []*tierv1.Turn) {
 	var want, got []string
 	for at := c.attempts[a.previous]; at != nil; at = c.attempts[at.previous] {
@@ -155,13 +155,13 @@
 	return sum
 }
 
-// maxCharge returns the maximum of the tokens that may have been charged to a program, but for one attempt, since that began. The
-// caller holds mu.
-func (p *program) maxCharge(but *attempt) (sum uint64) {
+// maxCharge returns the maximum of the tokens that may have been charged to a program at any time since an attempt began, without those
+// of the attempt itself. The caller holds mu.
+func (p *program) maxCharge(excluded *attempt) (sum uint64) {
 	for _, a := range p.attempts {
 		switch {
-		case a == but:
-		case a.settleAcknowledged && a.ended < but.began:
+		case a == excluded:
+		case a.settleAcknowledged && a.ended < excluded.began:
 			sum += a.tokens
 		default:
 			sum += a.maxTokens
@@ -186,7 +186,7 @@
 	c.turnsServed++
 }
 
-// recordRun records that an endpoint runs an attempt, which may never be sent twice.
+// recordRun records that an endpoint runs an attempt, which must be sent at most once.
 func (c *turnChecker) recordRun(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -216,8 +216,8 @@
 // newestStoredTurns returns the last stored turn of each program.
 func (c *turnChecker) newestStoredTurns() (ids []string) {
 	for _, p := range c.allPrograms() {
-		if kept := c.storedTurns(p); len(kept) > 0 {
-			ids = append(ids, kept[len(kept)-1])
+		if stored := c.storedTurns(p); len(stored) > 0 {
+			ids = append(ids, stored[len(stored)-1])
 		}
 	}
 	return ids
--- a/internal/tier/simulation/check_views_test.go
+++ b/internal/tier/simulation/check_views_test.go
@@ -20,7 +20,7 @@
 	v.recordPartitionMap("one", one, part(2, "b"))
 	v.recordPartitionMap("two", two, part(1, "a"))
 	assert.Equal(t, len(f.rules), 0)
-	v.recordPartitionMap("two", two, part(2, "c")) // another value of a version, and of an epoch
+	v.recordPartitionMap("two", two, part(2, "c")) // another value of the version, and of the epoch
 	v.recordPartitionMap("one", one, part(1, "a"))
 	assert.DeepEqual(t, f.rules, []Rule{RuleOneValue, RuleOneValue, RuleMonotonic})
 	v.recordConfiguration("one", one, &tierv1.Configuration{Version: 5, Body: []byte("x")}, 3)
@@ -28,7 +28,7 @@
 	assert.DeepEqual(t, f.rules[3:], []Rule{RuleMonotonic})
 }
 
-// A new process is first shown what stood when it began, or later.
+// The first version and revision that a new process receives must not be older than those in force when the process began.
 func TestViewChecker_FirstView(t *testing.T) {
 	var f recordedRules
 	v := newViewChecker(f.report)
@@ -37,11 +37,11 @@
 	}
 	show(&process{}, 7, 3)
 	assert.Equal(t, v.highest(), [2]uint64{7, 0})
-	show(&process{floor: 3, shownBefore: v.highest()}, 7, 3)
+	show(&process{floor: 3, receivedBefore: v.highest()}, 7, 3)
 	assert.Equal(t, len(f.rules), 0)
-	show(&process{floor: 3, shownBefore: v.highest()}, 6, 3)
+	show(&process{floor: 3, receivedBefore: v.highest()}, 6, 3)
 	show(&process{floor: 4}, 8, 3)
 	assert.DeepEqual(t, f.rules, []Rule{RuleStale, RuleStale})
-	v.recordPartitionMap("s", &process{shownBefore: [2]uint64{0, 5}}, &tierv1.PartitionMap{Version: 4})
+	v.recordPartitionMap("s", &process{receivedBefore: [2]uint64{0, 5}}, &tierv1.PartitionMap{Version: 4})
 	assert.DeepEqual(t, f.rules[2:], []Rule{RuleStale})
 }
--- a/internal/tier/simulation/inject_faults.go
+++ b/internal/tier/simulation/inject_faults.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// injectIntoMachine injects a fault of one machine, unless that is under another fault.
+// injectIntoMachine injects a fault into one machine, unless the machine is under another fault.
 func (w *world) injectIntoMachine(f Fault) {
 	m := w.resolveMachine(f.Machine)
 	if m == nil || !w.claim(m.name) {
@@ -52,7 +52,7 @@
 	w.trace("%s %s is over", f.Kind, m.name)
 }
 
-// injectNetworkFault has a fault of the network on for its duration.
+// injectNetworkFault enables a fault of the network for its duration.
 func (w *world) injectNetworkFault(f Fault, set func(on bool)) {
 	w.trace("%s", f.Kind)
 	w.network.update(func() { set(true) })
@@ -85,7 +85,7 @@
 	w.trace("%s is over", f.Kind)
 }
 
-// injectMachineFault injects a fault of one machine, and returns after its end.
+// injectMachineFault injects a fault into one machine, and returns after its end.
 func (w *world) injectMachineFault(f Fault, m *machine) {
 	n := w.network
 	switch f.Kind {
@@ -106,7 +106,7 @@
 		w.addMachine(m.name, m.kind, m.zone).start()
 		return
 	case Move:
-		w.addMachine(w.nextCore(), m.kind, m.zone).start()
+		w.addMachine(w.nextCoreName(), m.kind, m.zone).start()
 		w.sleep(f.duration())
 		m.wipe()
 		w.mu.Lock()
@@ -137,16 +137,16 @@
 	m.start()
 }
 
-// retire has an operator retire a turn store, and removes its machine when that is empty.
+// retire has an operator retire a turn store, and removes its machine when the turn store is empty.
 func (w *world) retire(name string) {
 	o := newOperator(w, operatorPrefix+"retire", outsideNet+"100")
-	status, _ := o.untilClear(func(ctx context.Context, at string) (int, string, error) {
-		return o.call(ctx, at, operatorCall{method: http.MethodPost, path: retirePath + name, body: `{"duration_s":30}`})
+	status, _ := o.callUntilDefinitive(func(ctx context.Context, ip string) (int, string, error) {
+		return o.call(ctx, ip, operatorCall{method: http.MethodPost, path: retirePath + name, body: `{"duration_s":30}`})
 	}, retireTimeout)
 	w.trace("the order to empty %s: %d", name, status)
 	switch status {
 	case 200:
-	case 0, 409: // no clear answer, or too few would remain
+	case 0, 409: // no definitive response, or too few turn stores would remain
 		return
 	default:
 		w.reportViolation(RuleResponse, "the order to empty %s was answered %d", name, status)
@@ -157,8 +157,8 @@
 	w.mu.Unlock()
 	for begun := w.now(); !w.ending(); w.sleep(500 * time.Millisecond) {
 		state := ""
-		status, state = o.untilClear(func(ctx context.Context, at string) (int, string, error) {
-			return o.call(ctx, at, operatorCall{method: http.MethodGet, path: retiredPath + name})
+		status, state = o.callUntilDefinitive(func(ctx context.Context, ip string) (int, string, error) {
+			return o.call(ctx, ip, operatorCall{method: http.MethodGet, path: retiredPath + name})
 		}, changeTimeout)
 		if status == 200 && state == `{"lifecycle_state":"completed"}` {
 			w.trace("%s is empty after %v", name, w.now()-begun)
@@ -173,7 +173,7 @@
 		}
 	}
 	if m := w.machine(name); m != nil && !w.ending() && w.claim(name) {
-		m.wipe() // it stays claimed: no further fault is injected into it
+		m.wipe() // the machine stays claimed: no further fault is injected into it
 		w.mu.Lock()
 		delete(w.machines, name)
 		w.mu.Unlock()
--- a/internal/tier/simulation/network.go
+++ b/internal/tier/simulation/network.go
@@ -15,12 +15,12 @@
 const (
 	minDelay          = 100 * time.Microsecond
 	maxDelay          = 3 * time.Millisecond
-	lostCallTimeout   = time.Second           // after which a call fails that was lost: across a partition, or to a machine without power
+	lostCallTimeout   = time.Second           // after which a lost call fails, as across a partition or to a machine without power
 	maxMessageDelay   = 40 * time.Millisecond // of a delayed message
 	maxDuplicateDelay = 3 * time.Second       // from a message to its duplicate
 )
 
-// One of so many messages is lost, duplicated or delayed, where such a fault is injected.
+// While such a fault is injected, one in this many messages is lost, duplicated or delayed.
 const (
 	lostOneIn       = 16
 	duplicatedOneIn = 8
@@ -33,23 +33,23 @@
 	errReset   = errors.New("simulation: connection reset")
 )
 
-// network carries calls between processes. All state is that of its links; it knows nothing of what the calls mean.
+// network carries calls between processes. It keeps the state of the links, and does not interpret the calls.
 type network struct {
 	seed        uint64
-	tamperReply func(*Delivery) // of an injected fault; nil: none
+	tamperReply func(*Delivery) // changes replies for an injected fault; nil: none
 
 	mu            sync.Mutex
 	machines      map[string]*machine // by IP
-	partitioned   map[[2]string]int   // how many faults block a link, by names: from, to
+	partitioned   map[[2]string]int   // number of faults that block a link, by the names of sender and receiver
 	frozen        map[string]bool     // by name
 	loseResponses bool
 	reorder       bool
 	loseMessages  bool
 	sent          map[[2]string]uint64
 	messages      int
-	changed       chan struct{} // closed when a link has opened or closed
+	changed       chan struct{} // closed and replaced by each update
 	closed        bool
-	changeBegun   map[string]chan struct{} // closed when the machine has begun to serve a change; by name
+	changeBegun   map[string]chan struct{} // by machine name; closed when the machine begins to serve a change
 }
 
 // newNetwork returns a network without machines, whose delays and losses are drawn from a seed.
@@ -82,14 +82,15 @@
 	Repeat func() // serves the call once more
 }
 
-// fate is what happens to one call on the network.
-type fate struct {
+// callOutcome is the outcome of one call on the network: its delays, losses and duplicates.
+type callOutcome struct {
 	requestDelay, replyDelay, duplicateDelay time.Duration
 	loseRequest, loseReply, duplicate        bool
 }
 
-// drawFate returns the fate of the next call on a link. It depends on the seed, the link and the number of calls on it alone.
-func (n *network) drawFate(from, to string, doublable bool) fate {
+// drawOutcome draws the outcome of the next call on a link. It depends only on the seed, the link, the number of calls on the link and the
+// injected faults.
+func (n *network) drawOutcome(from, to string, mayDuplicate bool) callOutcome {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	key := [2]string{from, to}
@@ -99,7 +100,7 @@
 	_, _ = io.WriteString(h, from+">"+to)
 	r := rand.New(rand.NewPCG(n.seed^h.Sum64(), n.sent[key]))
 	delay := func() time.Duration { return minDelay + time.Duration(r.Int64N(int64(maxDelay-minDelay))) }
-	f := fate{requestDelay: delay(), replyDelay: delay()}
+	f := callOutcome{requestDelay: delay(), replyDelay: delay()}
 	if n.loseResponses && strings.HasPrefix(from, operatorPrefix) {
 		f.loseReply = r.IntN(2) == 0
 	}
@@ -108,7 +109,7 @@
 		f.loseReply = f.loseReply || r.IntN(lostOneIn) == 0
 	}
 	if n.reorder {
-		f.duplicate, f.duplicateDelay = doublable && r.IntN(duplicatedOneIn) == 0, time.Duration(r.Int64N(int64(maxDuplicateDelay)))
+		f.duplicate, f.duplicateDelay = mayDuplicate && r.IntN(duplicatedOneIn) == 0, time.Duration(r.Int64N(int64(maxDuplicateDelay)))
 		if r.IntN(delayedOneIn) == 0 {
 			f.requestDelay += time.Duration(r.Int64N(int64(maxMessageDelay)))
 			f.replyDelay += time.Duration(r.Int64N(int64(maxMessageDelay)))
@@ -117,22 +118,22 @@
 	return f
 }
 
-// deliver waits until a message that is sent now is delivered, and reports whether it is: it is lost where the link is partitioned for
-// longer than lostCallTimeout. A frozen side delays it.
+// deliver waits until a message that is sent now is delivered, and reports whether it was. A message is lost if the link is partitioned
+// for longer than lostCallTimeout. A frozen sender or receiver delays the message.
 func (n *network) deliver(from, to string, delay time.Duration) bool {
 	time.Sleep(delay)
 	var limit <-chan time.Time
 	for {
 		n.mu.Lock()
-		cut, frozen, changed, closed := n.partitioned[[2]string{from, to}] > 0, n.frozen[from] || n.frozen[to], n.changed, n.closed
+		partitioned, frozen, changed, closed := n.partitioned[[2]string{from, to}] > 0, n.frozen[from] || n.frozen[to], n.changed, n.closed
 		n.mu.Unlock()
 		if closed {
 			return false
 		}
-		if !cut && !frozen {
+		if !partitioned && !frozen {
 			return true
 		}
-		if cut && limit == nil {
+		if partitioned && limit == nil {
 			timer := time.NewTimer(lostCallTimeout)
 			defer timer.Stop()
 			limit = timer.C
@@ -145,7 +146,8 @@
 	}
 }
 
-// awaitChange returns a channel that is closed when a machine has begun to serve a change. One at a time waits for a machine.
+// awaitChange returns a channel that is closed when a machine has begun to serve a change. At most one caller
+// at a time may wait for a machine.
 func (n *network) awaitChange(name string) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -157,8 +159,8 @@
 func (n *network) recordChange(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if ordered := n.changeBegun[name]; ordered != nil {
-		close(ordered)
+	if begun := n.changeBegun[name]; begun != nil {
+		close(begun)
 		delete(n.changeBegun, name)
 	}
 }
--- a/internal/tier/simulation/shrink.go
+++ b/internal/tier/simulation/shrink.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// FailsFunc reports whether a script breaks a rule. As no play is quite like another, it may play the script several times.
+// FailsFunc reports whether a script breaks a rule. As plays of one script may differ, it may play the script several times.
 type FailsFunc func(Script) bool
 
 // Shrink returns a shorter script that still fails: faults are dropped, then made shorter.
@@ -20,7 +20,7 @@
 		}
 	}
 	for i := range script.Faults {
-		for script.Faults[i].DurationMS > minFaultDuration {
+		for script.Faults[i].DurationMS > minFaultDurationMS {
 			shorter := script
 			shorter.Faults = slices.Clone(script.Faults)
 			shorter.Faults[i].DurationMS /= 2
@@ -33,5 +33,5 @@
 	return script
 }
 
-// minFaultDuration is the duration of a fault, in milliseconds, from which on no shorter one is tried.
-const minFaultDuration = 200
+// minFaultDurationMS is the duration in milliseconds at or below which a fault is not shortened further.
+const minFaultDurationMS = 200
