--- a/cmd/scenario-fuzz/main.go
+++ b/cmd/scenario-fuzz/main.go
@@ -1,4 +1,4 @@
-// Command fuzzdays plays days of deployments that nobody has seen and keeps those that break a rule.
+// Command scenario-fuzz generates deployments and days from seeds, plays them, and keeps those that break a rule.
 package main
 
 import (
@@ -19,14 +19,14 @@
 	"saffronyard.example/saffronyard/internal/faulttest/scenariofuzz"
 )
 
-// failuresInARow is how many plays may fail one after another, as they do where the tier does not build, before no
-// further one is started.
-const failuresInARow = 3
+// maxConsecutiveFailures is the number of consecutive failed plays after which no further one is started. Plays fail one after
+// another if, for example, the tier does not build.
+const maxConsecutiveFailures = 3
 
-// longestWhy is how long a line for the journal may be.
-const longestWhy = 120
+// reasonLimit is the length that a line for the journal must stay below.
+const reasonLimit = 120
 
-// command holds the flags of one call.
+// command holds the command line.
 type command struct {
 	Bench     string        `type:"path" help:"Program that plays a day: PROGRAM run SITE DAY --report FILE. Needed unless --draw is given."`
 	Repo      string        `default:"." type:"path" help:"Repository that is played; its journal gets the entries."`
@@ -54,7 +54,7 @@
 	parser.FatalIfErrorf(c.run())
 }
 
-// unknownFlags names all arguments that look like flags and are none.
+// unknownFlags returns all arguments that look like flags but are not defined.
 func unknownFlags(parser *kong.Kong, arguments []string) []string {
 	known := []string{"--help"}
 	for _, group := range parser.Model.AllFlags(true) {
@@ -72,42 +72,42 @@
 	return unknown
 }
 
-// check tells everything that is wrong with the flags at once.
+// check returns all errors in the flags together.
 func (c *command) check() error {
 	if c.Scenarios {
 		return nil
 	}
-	var wrong []error
-	refuse := func(is bool, format string, values ...any) {
-		if is {
-			wrong = append(wrong, errorx.IllegalArgument.New(format, values...))
+	var problems []error
+	rejectIf := func(invalid bool, format string, values ...any) {
+		if invalid {
+			problems = append(problems, errorx.IllegalArgument.New(format, values...))
 		}
 	}
-	refuse(c.Bench == "" && !c.Draw, "--bench is needed to play")
-	refuse(len(c.Sites) == 0, "no site file is given")
+	rejectIf(c.Bench == "" && !c.Draw, "--bench is needed to play")
+	rejectIf(len(c.Sites) == 0, "no site file is given")
 	for _, path := range c.Sites {
 		_, err := os.Stat(path)
-		refuse(err != nil, "site file %s can't be read", path)
+		rejectIf(err != nil, "site file %s can't be read", path)
 	}
-	refuse(c.Days < 1, "--days is %d, must be 1 or more", c.Days)
-	refuse(c.Jobs < 1 || c.Jobs > 64, "--jobs is %d, must be 1 to 64", c.Jobs)
-	refuse(c.Until <= 0, "--until is %v, must be above 0", c.Until)
+	rejectIf(c.Days < 1, "--days is %d, must be 1 or more", c.Days)
+	rejectIf(c.Jobs < 1 || c.Jobs > 64, "--jobs is %d, must be 1 to 64", c.Jobs)
+	rejectIf(c.Until <= 0, "--until is %v, must be above 0", c.Until)
 	names := scenariofuzz.ScenarioNames()
-	refuse(c.Scenario != "" && !slices.Contains(names, c.Scenario), "no scenario is called %q; --scenarios lists them", c.Scenario)
+	rejectIf(c.Scenario != "" && !slices.Contains(names, c.Scenario), "no scenario is called %q; --scenarios lists them", c.Scenario)
 	if c.Scenario != "" {
 		names = []string{c.Scenario}
 	}
 	for _, name := range names {
 		why := c.reason(c.Seed+int64(c.Days), name)
-		if len(why) >= longestWhy {
-			refuse(true, "--why with seed and scenario has %d characters, must have fewer than %d: %s", len(why), longestWhy, why)
+		if len(why) >= reasonLimit {
+			rejectIf(true, "--why with seed and scenario has %d characters, must have fewer than %d: %s", len(why), reasonLimit, why)
 			break
 		}
 	}
-	return errors.Join(wrong...)
+	return errors.Join(problems...)
 }
 
-// reason is the line for the journal of one play.
+// reason returns the line for the journal of one play.
 func (c *command) reason(seed int64, scenario string) string {
 	return fmt.Sprintf("%s (seed %d: %s)", c.Why, seed, scenario)
 }
@@ -124,7 +124,7 @@
 	seeds := make(chan int64)
 	var wait sync.WaitGroup
 	var mutex sync.Mutex
-	var played, found, inARow int
+	var played, found, consecutiveFailures int
 	var failures []error
 	for range c.Jobs {
 		wait.Add(1)
@@ -135,11 +135,11 @@
 				mutex.Lock()
 				if err != nil {
 					failures = append(failures, errorx.Decorate(err, "seed %d", seed))
-					inARow++
+					consecutiveFailures++
 					fmt.Printf("seed %d: %v\n", seed, err)
 				} else {
 					played++
-					inARow = 0
+					consecutiveFailures = 0
 					fmt.Println(line)
 				}
 				if finding {
@@ -151,7 +151,7 @@
 	}
 	for i := range c.Days {
 		mutex.Lock()
-		stop := time.Since(began) > c.Until || inARow >= failuresInARow
+		stop := time.Since(began) > c.Until || consecutiveFailures >= maxConsecutiveFailures
 		mutex.Unlock()
 		if stop {
 			break
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// play draws, plays and judges one day; a clean day's files are removed.
+// play draws, plays and judges one day. It removes the files of a day without findings.
 func (c *command) play(seed int64) (line string, finding bool, err error) {
 	path := c.Sites[int(uint64(seed)%uint64(len(c.Sites)))]
 	text, err := os.ReadFile(path)
@@ -196,7 +196,7 @@
 	}
 	raw, err := os.ReadFile(report)
 	if err != nil {
-		return "", false, errorx.ExternalError.New("no report (%v): %s", playErr, lastOf(string(out), 400))
+		return "", false, errorx.ExternalError.New("no report (%v): %s", playErr, tail(string(out), 400))
 	}
 	r, err := scenariofuzz.ParseReport(raw)
 	if err != nil {
@@ -212,12 +212,12 @@
 	return line + "\n    " + strings.Join(findings, "\n    ") + "\n" + r.Evidence(), true, nil
 }
 
-// write puts the files of a drawn day into a folder, with the wire file that stands beside the site file.
-func write(folder, beside string, drawn *scenariofuzz.DrawnDay) error {
+// write writes the files of a drawn day and a copy of the site's wire file into folder. The wire file is in siteFolder.
+func write(folder, siteFolder string, drawn *scenariofuzz.DrawnDay) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return errorx.ExternalError.Wrap(err, "scratch folder")
 	}
-	wire, err := os.ReadFile(filepath.Join(beside, "wire.json"))
+	wire, err := os.ReadFile(filepath.Join(siteFolder, "wire.json"))
 	if err != nil {
 		return errorx.ExternalError.Wrap(err, "wire file")
 	}
@@ -235,8 +235,8 @@
 	return nil
 }
 
-// lastOf gives the end of a text, of at most so many bytes.
-func lastOf(text string, bytes int) string {
+// tail returns the last bytes of a text, at most the given number.
+func tail(text string, bytes int) string {
 	text = strings.TrimSpace(text)
 	return text[max(0, len(text)-bytes):]
 }
--- a/cmd/scenario-fuzz/main_test.go
+++ b/cmd/scenario-fuzz/main_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func parsed(t *testing.T, arguments ...string) *command {
+func parse(t *testing.T, arguments ...string) *command {
 	var c command
 	parser, err := kong.New(&c)
 	assert.NilError(t, err)
@@ -17,15 +17,15 @@
 }
 
 func TestCheck_ReportsAllInvalidFlagsTogether(t *testing.T) {
-	err := parsed(t, "--days=0", "--jobs=0", "--until=0s", "--scenario=none", "missing.toml").check()
+	err := parse(t, "--days=0", "--jobs=0", "--until=0s", "--scenario=none", "missing.toml").check()
 	for _, part := range []string{"--bench", "missing.toml", "--days is 0", "--jobs is 0", "--until is 0s", `"none"`} {
 		assert.ErrorContains(t, err, part)
 	}
 }
 
 func TestTheLineForTheJournalStaysShort(t *testing.T) {
-	assert.NilError(t, parsed(t, "--draw", "--seed=99999", "main.go").check())
-	err := parsed(t, "--draw", "--why=Drawn deployments and days, with all that the list of troubles names, to find broken rules in them", "main.go").check()
+	assert.NilError(t, parse(t, "--draw", "--seed=99999", "main.go").check())
+	err := parse(t, "--draw", "--why=Drawn deployments and days, with all that the list of troubles names, to find broken rules in them", "main.go").check()
 	assert.ErrorContains(t, err, "fewer than 120")
 }
 
@@ -36,6 +36,6 @@
 }
 
 func TestTheEndOfAnOutput(t *testing.T) {
-	assert.Equal(t, lastOf(" abc\n", 2), "bc")
-	assert.Equal(t, lastOf("abc", 9), "abc")
+	assert.Equal(t, tail(" abc\n", 2), "bc")
+	assert.Equal(t, tail("abc", 9), "abc")
 }
--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -17,7 +17,7 @@
 	brain          *brain.Brain
 	remainingField int // index in a load report of the share of the allowance that is left, -1 if absent
 	limitField     int // index in a load report of the rate limit, -1 if absent
-	classes        int // how many its settings have
+	classes        int // number of classes in its settings
 	events         []brain.Event
 	inBatch        bool // it has events in this batch
 }
@@ -34,7 +34,7 @@
 	return &host{instances: map[uint16]*instance{}, pages: map[uint32][]wire.Endpoint{}}
 }
 
-// milliseconds is a duration as the wire has it.
+// milliseconds converts a duration to the wire's unit.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // serveBatch reads one batch, steps the instances that have events in it, and writes the reply. It returns false when the
@@ -64,7 +64,7 @@
 	return true, h.reply.Flush(w)
 }
 
-// record hands one record to its instance.
+// record processes one record: it stores a page, starts or removes an instance, or queues an event for its instance.
 func (h *host) record(e *wire.Event) error {
 	switch e.Code {
 	case wire.CodeEndpointPage:
--- a/cmd/simulator-adapter/host_test.go
+++ b/cmd/simulator-adapter/host_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-func rec(code uint16, fields ...any) []byte {
+func record(code uint16, fields ...any) []byte {
 	var b, out bytes.Buffer
 	for _, f := range fields {
 		if s, ok := f.(string); ok {
@@ -38,18 +38,18 @@
 	"limits.mostHeld=50\nlimits.maxAttempts=6\nstep=5.0\nservices.count=1\nservices.0.slo=1000\nservices.0.giveUp=8000\n" +
 	"services.0.effect=read_like\nservices.0.worth=1\nservices.0.lateValue=0.5\ntelemetry.fields=x0,x1\nsomething.new=1\n"
 
-func hello(i uint16, env string) []byte { return rec(1, i, uint64(9), uint32(len(env)), env) }
+func hello(i uint16, env string) []byte { return record(1, i, uint64(9), uint32(len(env)), env) }
 
 func list(i uint16) []byte {
-	page := rec(11, uint32(2), uint32(1), uint16(0), uint32(70), float32(1), uint16(4), uint8(1), uint8(0), float64(0))
-	return append(page, rec(2, i, uint8(2), uint32(1), uint32(2))...)
+	page := record(11, uint32(2), uint32(1), uint16(0), uint32(70), float32(1), uint16(4), uint8(1), uint8(0), float64(0))
+	return append(page, record(2, i, uint8(2), uint32(1), uint32(2))...)
 }
 
 func submit(i uint16, call uint64) []byte {
-	return rec(3, i, call, 0.0, uint16(0), uint64(0), uint8(0), float32(4), uint8(0), 9000.0)
+	return record(3, i, call, 0.0, uint16(0), uint64(0), uint8(0), float32(4), uint8(0), 9000.0)
 }
 
-// join makes one batch of records; a list counts as two.
+// join makes one batch of records; each part may contain several records.
 func join(clock float64, parts ...[]byte) []byte {
 	var all [][]byte
 	for _, p := range parts {
@@ -62,7 +62,7 @@
 	return frame(clock, all...)
 }
 
-// build makes the adapter once for a test.
+// build builds the adapter's program for a test.
 func build(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "simulator-adapter")
@@ -113,8 +113,8 @@
 	if len(codes) < 2 || codes[0] != 1 || binary.LittleEndian.Uint64(body[8:]) != 5 || binary.LittleEndian.Uint32(body[24:]) != 70 {
 		t.Errorf("submit: %v %x", codes, body)
 	}
-	in.Write(join(1100, rec(5, uint16(0), uint64(5), uint8(0), uint32(70), uint8(10), 100.0, uint8(1), uint32(0), uint8(0)),
-		rec(10, uint16(1)), hello(1, env), list(1), submit(1, 6)))
+	in.Write(join(1100, record(5, uint16(0), uint64(5), uint8(0), uint32(70), uint8(10), 100.0, uint8(1), uint32(0), uint8(0)),
+		record(10, uint16(1)), hello(1, env), list(1), submit(1, 6)))
 	if codes, body := reply(t, out); len(codes) < 1 || codes[0] != 1 || binary.LittleEndian.Uint16(body[6:]) != 1 {
 		t.Errorf("after a restart: %v", codes)
 	}
@@ -129,14 +129,14 @@
 	good := join(1000, hello(0, env), list(0))
 	for name, c := range map[string]struct {
 		in   []byte
-		says string
+		want string
 	}{
 		"short frame":        {good[:20], "batch 0: frame body"},
 		"unknown instance":   {join(1, submit(7, 1)), "instance 7 is not running"},
 		"unreadable setting": {join(1, hello(0, strings.Replace(env, "=8000", "=soon", 1))), "setting services.0.giveUp"},
-		"unknown class":      {append(good[:len(good):len(good)], join(1001, rec(3, uint16(0), uint64(1), 0.0, uint16(0), uint64(0), uint8(3), float32(4), uint8(0), 9000.0))...), "batch 1: record 0 at offset 0 (code 3): class 3"},
-		"unknown result":     {append(good[:len(good):len(good)], join(1001, rec(5, uint16(0), uint64(1), uint8(0), uint32(70), uint8(11), 1.0, uint8(0), uint32(0), uint8(0)))...), "result 11"},
-		"list never sent":    {join(1, hello(0, env), rec(2, uint16(0), uint8(2), uint32(1), uint32(9))), "catalog 9"},
+		"unknown class":      {append(good[:len(good):len(good)], join(1001, record(3, uint16(0), uint64(1), 0.0, uint16(0), uint64(0), uint8(3), float32(4), uint8(0), 9000.0))...), "batch 1: record 0 at offset 0 (code 3): class 3"},
+		"unknown result":     {append(good[:len(good):len(good)], join(1001, record(5, uint16(0), uint64(1), uint8(0), uint32(70), uint8(11), 1.0, uint8(0), uint32(0), uint8(0)))...), "result 11"},
+		"list never sent":    {join(1, hello(0, env), record(2, uint16(0), uint8(2), uint32(1), uint32(9))), "catalog 9"},
 	} {
 		cmd := exec.Command(bin)
 		cmd.Stdin = bytes.NewReader(c.in)
@@ -144,7 +144,7 @@
 		cmd.Stderr = &errs
 		err := cmd.Run()
 		line := errs.String()
-		if err == nil || !strings.Contains(line, c.says) || strings.Count(line, "\n") != 1 {
+		if err == nil || !strings.Contains(line, c.want) || strings.Count(line, "\n") != 1 {
 			t.Errorf("%s: %v: %q", name, err, line)
 		}
 	}
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,5 +1,5 @@
-// Command simulator-adapter hosts instances of the decision module on the simulator's wire: batches come on
-// standard input, replies go to standard output. It translates and decides nothing.
+// Command simulator-adapter hosts instances of the decision module for the simulator: it reads batches of the wire protocol from
+// standard input and writes replies to standard output. It only translates and makes no decisions.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	}
 }
 
-// run serves batches until the input ends. Its errors tell the number of the batch, from 0.
+// run serves batches until the input ends. Its errors contain the number of the batch, counted from 0.
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<16)
 	w := bufio.NewWriterSize(out, 1<<16)
--- a/cmd/simulator-adapter/translate.go
+++ b/cmd/simulator-adapter/translate.go
@@ -12,7 +12,7 @@
 
 // Scopes of an endpoint update on the wire.
 const (
-	scopeChange = 0 // any other one up to scopeFailed is the complete list
+	scopeChange = 0 // any other scope below scopeFailed is the complete list
 	scopeFailed = 3
 )
 
@@ -31,7 +31,7 @@
 	80: brain.NotSent,
 }
 
-// fieldError says that a field of a record has a value that makes no sense. Field is the page's word for it.
+// fieldError reports an invalid value of a field of a record. Its field name is the one in the documentation of the wire protocol.
 type fieldError struct {
 	field  string
 	value  any
@@ -41,7 +41,7 @@
 // Error implements error.
 func (e *fieldError) Error() string { return fmt.Sprintf("%s %v %s", e.field, e.value, e.reason) }
 
-// translate translates one record; nil for those that the decision module has no use for.
+// translate translates one record. It returns nil for a record that the decision module does not need.
 func (h *host) translate(in *instance, e *wire.Event) (brain.Event, error) {
 	switch e.Code {
 	case wire.CodeEndpointUpdate:
@@ -63,7 +63,7 @@
 		return nil, &fieldError{"scope", e.Scope, "is unknown"}
 	}
 	if e.Scope == scopeFailed {
-		// The wire does not say why it failed, so the more costly cause is assumed.
+		// The wire protocol does not contain the cause of the failure, so the more costly cause is assumed.
 		return brain.EndpointUpdate{Failed: true, Overloaded: true}, nil
 	}
 	page, ok := h.pages[e.Page]
--- a/internal/tier/cli/check_golden_test.go
+++ b/internal/tier/cli/check_golden_test.go
@@ -8,8 +8,8 @@
 	"saffronyard.example/saffronyard/internal/tier/settings"
 )
 
-// TestCheckTable_Golden compares the table of settings, as check --table prints it, with that of the operators' pages: names, types,
-// defaults and meanings of settings are theirs.
+// TestCheckTable_Golden compares the table of settings that check --table prints with the table in the operators' pages: names, types,
+// defaults and meanings of settings must stay the same.
 func TestCheckTable_Golden(t *testing.T) {
 	golden.Assert(t, settings.Describe(), "settings_table.golden")
 }
--- a/internal/tier/cli/demo.go
+++ b/internal/tier/cli/demo.go
@@ -23,7 +23,7 @@
 	Log    string        `help:"Write what the processes of the tier log." type:"path" placeholder:"FILE"`
 }
 
-// Run implements the command. Its error says what was broken.
+// Run implements the command. It returns an error if a rule was broken, the demo was interrupted or no program completed.
 func (command demoCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -36,7 +36,7 @@
 		defer file.Close()
 		options.Log = file
 	}
-	if terminal(os.Stderr) {
+	if isTerminal(os.Stderr) {
 		progress(&options, os.Stderr)
 	}
 	report, err := tierdemo.Run(ctx, options)
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// progress prints one line that is renewed each second, and each event on a line of its own. Its functions are called from
-// several goroutines, and write once each.
+// progress makes the demo print one line of progress that is rewritten each second, and each event on a line of its own. The functions
+// that it sets are called from several goroutines and make one write per call.
 func progress(options *tierdemo.Options, out io.Writer) {
 	options.Progress = func(at time.Duration, phase string, counts tierdemo.Counts) {
 		fmt.Fprintf(out, "\r\x1b[K%3.0f s  %-8s programs %d of %d  failed %d  turns %d  first event p50 %v p99 %v", at.Seconds(), phase,
@@ -73,8 +73,8 @@
 	options.OnEvent = func(at time.Duration, what string) { fmt.Fprintf(out, "\r\x1b[K%5.1f s  %s\n", at.Seconds(), what) }
 }
 
-// terminal reports whether a file is a terminal.
-func terminal(file *os.File) bool {
+// isTerminal reports whether a file is a terminal.
+func isTerminal(file *os.File) bool {
 	_, err := unix.IoctlGetTermios(int(file.Fd()), unix.TCGETS)
 	return err == nil
 }
--- a/internal/tier/cli/main.go
+++ b/internal/tier/cli/main.go
@@ -34,11 +34,11 @@
 // programName is the name of the program in its usage and its messages.
 const programName = "serving-tier"
 
-// programDescription is what the help says of the program.
+// programDescription describes the program in its help.
 const programDescription = "The saffronyard serving tier for agent programs. Its former name, yard, works for one more release."
 
-// Main parses the arguments of the process and runs the subcommand that they name. It ends the process with exit code 1 if that
-// fails.
+// Main parses the arguments of the process and runs the subcommand that they name. It ends the process with exit code 1 if the
+// subcommand fails.
 func Main() {
 	var flags commandLine
 	parsed := kong.Parse(&flags, kong.Name(programName), kong.Description(programDescription),
@@ -49,7 +49,7 @@
 	}
 }
 
-// version returns the revision that the program was built from, as far as it is known.
+// version returns the revision that the program was built from, or the module's version if the revision is unknown.
 func version() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, setting := range info.Settings {
@@ -71,7 +71,7 @@
 }
 
 // start reads the settings, limits the heap to a part of the machine's memory, and returns a context that ends on SIGTERM or
-// SIGINT. SIGHUP has the settings checked until the process ends.
+// SIGINT. Until the process ends, each SIGHUP checks the settings file.
 func (flags *commandLine) start() (context.Context, settings.Settings, *log.Logger, error) {
 	logger := logformat.New(os.Stderr, log.ParseLevel(flags.LogLevel))
 	path := flags.settingsPath()
@@ -89,13 +89,13 @@
 	return ctx, loaded, logger, nil
 }
 
-// checkOnReload reads the settings at each SIGHUP and logs their findings. They are used at the next start.
+// checkOnReload reads the settings at each SIGHUP and logs their findings. Changed settings take effect at the next start.
 func checkOnReload(reload <-chan os.Signal, path string, logger *log.Logger) {
 	for range reload {
 		if _, err := settings.Load(path); err != nil {
-			logger.Error().Str("event", "settings").Err(err).Msg("settings file has findings, the present settings hold")
+			logger.Error().Str("event", "settings").Err(err).Msg("settings file is invalid; the current settings stay in use")
 			continue
 		}
-		logger.Info().Str("event", "settings_read").Msg("settings file is valid, it holds from the next start")
+		logger.Info().Str("event", "settings_read").Msg("settings file is valid; it takes effect at the next start")
 	}
 }
--- a/internal/tier/cli/operate.go
+++ b/internal/tier/cli/operate.go
@@ -27,7 +27,7 @@
 	Table bool     `help:"Print the table of settings: field, type, default."`
 }
 
-// Run implements the command. Its error says how many files have findings; the findings are printed.
+// Run implements the command. It prints the findings; its error contains the number of files with findings.
 func (command checkCmd) Run() error {
 	if command.Table {
 		fmt.Print(settings.Describe())
@@ -97,7 +97,7 @@
 		printStatus(os.Stdout, address, reply)
 	}
 	if len(failed) > 0 {
-		return noAnswerError{failed: failed, asked: len(addresses)}
+		return noAnswerError{failed: failed, total: len(addresses)}
 	}
 	return nil
 }
@@ -148,7 +148,7 @@
 	}
 }
 
-// roleIn returns the role of a process by the newest view that it knows.
+// roleIn returns the role of a process according to the newest view that it has.
 func roleIn(status *tierv1.StatusReply) string {
 	switch {
 	case status.Primary:
@@ -160,7 +160,7 @@
 	}
 }
 
-// printRisk prints how many losses the tier survives now, and until when these are fewer than the settings ask for.
+// printRisk prints how many losses the tier survives now and, if these are fewer than the settings require, until when.
 func printRisk(out io.Writer, risk *tierv1.Risk) {
 	changing := ""
 	if risk.ControlChanging {
--- a/internal/tier/cli/operate_test.go
+++ b/internal/tier/cli/operate_test.go
@@ -48,7 +48,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var out strings.Builder
 			printStatus(&out, "10.0.0.1:7680", c.reply)
-			text := strings.Join(strings.Fields(out.String()), " ") // columns are as wide as they need to be
+			text := strings.Join(strings.Fields(out.String()), " ") // the width of columns varies
 			for _, want := range c.want {
 				assert.Assert(t, strings.Contains(text, want), "%q is not in %s", want, out.String())
 			}
--- a/internal/tier/cli/roles.go
+++ b/internal/tier/cli/roles.go
@@ -24,7 +24,7 @@
 // Run implements the command.
 func (turnStoreCmd) Run(flags *commandLine) error { return flags.run(process.RoleTurnStore) }
 
-// run runs a process of the tier to its end. It shuts down gracefully on SIGTERM or SIGINT.
+// run runs a process of the tier until it ends. The process shuts down gracefully on SIGTERM or SIGINT.
 func (flags *commandLine) run(role string) error {
 	terminated, loaded, logger, err := flags.start()
 	if err != nil {
--- a/internal/tier/cli/simulate.go
+++ b/internal/tier/cli/simulate.go
@@ -40,19 +40,19 @@
 	Out    string   `help:"Folder for failing scripts and their traces." type:"path" placeholder:"DIR"`
 }
 
-// check returns all findings on the flags, or nil.
+// check returns all errors in the flags together, or nil.
 func (command simulateCmd) check() error {
 	var found []error
-	below := func(name string, value, minimum int64) {
+	requireMin := func(name string, value, minimum int64) {
 		if value < minimum {
 			found = append(found, flagError{name, fmt.Sprintf(" is %d, below %d", value, minimum)})
 		}
 	}
-	below("seeds", command.Seeds, 1)
-	below("from", command.From, 0)
-	below("jobs", int64(command.Jobs), 1)
-	below("shrink", int64(command.Shrink), 0)
-	below("times", int64(command.Times), 1)
+	requireMin("seeds", command.Seeds, 1)
+	requireMin("from", command.From, 0)
+	requireMin("jobs", int64(command.Jobs), 1)
+	requireMin("shrink", int64(command.Shrink), 0)
+	requireMin("times", int64(command.Times), 1)
 	known := simulation.FaultKinds()
 	for _, name := range command.Fault {
 		if !slices.Contains(known, simulation.FaultKind(name)) {
@@ -129,7 +129,7 @@
 	return err
 }
 
-// worker returns a process of this program that plays a part of the seeds.
+// worker returns the command of a worker process of this program that plays a part of the seeds.
 func (command simulateCmd) worker(ctx context.Context, from, seeds uint64) *exec.Cmd {
 	self, err := os.Executable()
 	if err != nil {
@@ -143,7 +143,7 @@
 		arguments = append(arguments, "--ignore", name)
 	}
 	worker := exec.CommandContext(ctx, self, arguments...)
-	worker.Cancel = func() error { return worker.Process.Signal(syscall.SIGTERM) } // it ends the plays under way, and reports its total
+	worker.Cancel = func() error { return worker.Process.Signal(syscall.SIGTERM) } // the worker ends the plays under way and reports its total
 	worker.WaitDelay = workerGracePeriod
 	return worker
 }
