--- a/cmd/saffronyard/apply_features.go
+++ b/cmd/saffronyard/apply_features.go
@@ -11,7 +11,7 @@
 	"saffronyard.example/saffronyard/internal/sender"
 )
 
-// applyFeatures puts what the operators' file names into the sender's configuration.
+// applyFeatures sets the features of the operators' file in the sender's configuration.
 func applyFeatures(f *features.Features, c *sender.Config) error {
 	if f.Quiet != nil {
 		c.Settings.HibernateAfter = f.Quiet.FoldAfter.D()
@@ -35,7 +35,7 @@
 		}
 		host, _, err := net.SplitHostPort(c.Listen)
 		if err != nil {
-			return fmt.Errorf("peers: where clients connect: %w", err)
+			return fmt.Errorf("peers: listen address: %w", err)
 		}
 		c.Peers = &peers.Config{Name: c.Name, Incarnation: uint64(time.Now().UnixMicro()), Cluster: p.Cluster,
 			Listen: peers.WithHost(p.Listen, host), Exchange: peers.WithHost(p.Exchange, host),
--- a/cmd/saffronyard/background.go
+++ b/cmd/saffronyard/background.go
@@ -34,17 +34,17 @@
 }
 
 const (
-	loadInterval = 100 * time.Millisecond // between two looks at the load of live traffic
-	closeTimeout = time.Second            // of the 3.7 s that a SIGTERM leaves, beside the sender's own
+	loadInterval = 100 * time.Millisecond // between two samples of the load of live traffic
+	closeTimeout = time.Second            // within the 3.7 s for a shutdown after SIGTERM; runs beside the sender's own shutdown
 )
 
-// Errors of questions and commands about background work.
+// Errors of reports on and commands to background work.
 var (
 	errNoWork         = errors.New("background work is not running") // the sender is still starting, or shuts down
-	errFeatureRemoved = errors.New("work and rules are kept as they were: the file has no [work] any more, or no [undelivered]")
+	errFeatureRemoved = errors.New("work settings and rules not reloaded: the file no longer has [work], or no longer has [undelivered]")
 )
 
-// newEngine makes the engine that resends undelivered messages; start gives it the sender.
+// newEngine creates the engine that resends undelivered messages; start sets its sender.
 func (b *backgroundWork) newEngine(c *sender.Config) *resend.Engine {
 	began := time.Now()
 	b.engine = &resend.Engine{Rules: b.features.Undelivered.Rules(), Store: b.store.Store,
@@ -84,7 +84,8 @@
 	return nil
 }
 
-// settings are those of the file; resends and snapshots are retried without limit, as their own stores tell what is left to do.
+// settings returns the settings of the file. Resends and snapshots are retried without limit, because their own stores record what is
+// left to do.
 func (b *backgroundWork) settings(f *features.Features) work.Settings {
 	set := f.Work.Settings()
 	for _, name := range []string{resend.FindMembersKind, resend.ResendKind, resend.ExpireKind, snapshotKind} {
@@ -95,7 +96,7 @@
 	return set
 }
 
-// snapshotKind is the kind of job that writes down what is known of receivers.
+// snapshotKind is the kind of job that writes snapshots of the knowledge about receivers.
 const snapshotKind = "knowledge.snapshot"
 
 func newSnapshotKind(s *sender.Background, every time.Duration) *worker.Kind {
@@ -108,7 +109,7 @@
 			Job: worker.JobSpec{Kind: snapshotKind, Owner: "knowledge", Priority: work.Low, Lock: snapshotKind, Resource: "state folder", SliceCost: work.Cost{work.DiskWrite: 4096}}}}
 }
 
-// sampleLoad asks the sender how busy it is, time and again, until ctx ends.
+// sampleLoad records the sender's load signals every loadInterval until ctx ends.
 func (b *backgroundWork) sampleLoad(ctx context.Context, s *sender.Background) {
 	every := time.NewTicker(loadInterval)
 	defer every.Stop()
@@ -120,7 +121,7 @@
 		}
 		asked := time.Now()
 		load, err := s.LoadSignals(ctx)
-		if err != nil { // it does not even answer
+		if err != nil { // the sender does not answer: the time waited counts as lateness
 			load = work.LoadSignals{TurnLate: time.Since(asked)}
 		}
 		b.mu.Lock()
@@ -151,11 +152,11 @@
 	return r.Command(c)
 }
 
-// reload takes budgets, weights, windows and rules from the file as it is now; what else it says is read at the start only.
+// reload reads budgets, weights, windows and rules again from the file. All other settings of the file are read only at the start.
 func (b *backgroundWork) reload(file string) error {
 	f, err := features.Load(file)
 	if err != nil {
-		return fmt.Errorf("work and rules are kept as they were: %w", err)
+		return fmt.Errorf("work settings and rules not reloaded: %w", err)
 	}
 	if f.Work == nil || b.engine != nil && f.Undelivered == nil {
 		return errFeatureRemoved
@@ -170,7 +171,8 @@
 	return r.Configure(b.settings(f))
 }
 
-// close ends background work, once: as soon as the sender begins to shut down, so that all of it is over when the sender ends.
+// close ends background work; only the first call has an effect. It is called as soon as the sender begins to shut down, so that all
+// background work is over when the sender ends.
 func (b *backgroundWork) close(log *slog.Logger) {
 	b.closing.Do(func() { b.shutDown(log) })
 }
@@ -179,7 +181,7 @@
 	b.stop()
 	if r := b.runner.Load(); r != nil {
 		if err := r.Close(closeTimeout); err != nil {
-			log.Error("background work did not end cleanly", "err", err)
+			log.Error("closing background work failed", "err", err)
 		}
 	}
 }
--- a/cmd/saffronyard/background_test.go
+++ b/cmd/saffronyard/background_test.go
@@ -12,7 +12,7 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// What is known of receivers is written down as background work, and what the next process learns from is that.
+// Background work writes snapshots of the knowledge about receivers, and the next process reads the last snapshot.
 func TestBackground_WritesKnowledgeSnapshots(t *testing.T) {
 	e := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, e.Addr)
@@ -29,29 +29,29 @@
 		workCommand([]string{"list", "-state", state}, os.Getenv, &out, &errs)
 		return out.String() + errs.String()
 	}
-	for over := time.Now().Add(st.Wait); !strings.Contains(list(), "knowledge.snapshot"); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(over) {
+	for deadline := time.Now().Add(st.Wait); !strings.Contains(list(), "knowledge.snapshot"); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal(list())
 		}
 	}
-	for over := time.Now().Add(st.Wait); ; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(st.Wait); ; time.Sleep(20 * time.Millisecond) {
 		if info, err := os.Stat(filepath.Join(state, "knowledge")); err == nil && info.Size() > 60 {
 			break
 		}
-		if time.Now().After(over) {
-			t.Fatal("nothing is written down")
+		if time.Now().After(deadline) {
+			t.Fatal("no snapshot was written")
 		}
 	}
-	c.Process.Kill() // it writes nothing as it leaves
+	c.Process.Kill() // a killed process writes nothing at its end
 	c.Wait()
 	c = start(t, p, state, "-features", file)
 	var out, errs bytes.Buffer
 	if code := knowledgeCommand([]string{"-state", state, "0"}, os.Getenv, &out, &errs); code != 0 || !strings.Contains(out.String(), "earlier") {
 		t.Errorf("%d %s%s", code, &out, &errs)
 	}
-	from := time.Now()
+	terminated := time.Now()
 	c.Process.Signal(syscall.SIGTERM)
-	if err := c.Wait(); err != nil || time.Since(from) > 3700*time.Millisecond {
-		t.Errorf("it left after %v: %v", time.Since(from), err)
+	if err := c.Wait(); err != nil || time.Since(terminated) > 3700*time.Millisecond {
+		t.Errorf("the process ended after %v: %v", time.Since(terminated), err)
 	}
 }
--- a/cmd/saffronyard/check.go
+++ b/cmd/saffronyard/check.go
@@ -10,8 +10,8 @@
 	"saffronyard.example/saffronyard/internal/features"
 )
 
-// checkCommand is 'saffronyard check': it tells what a file would turn on, or what is wrong with it; and for an event, in a file in
-// the JSON format, which rule matches and what it makes of it. The exit code is 1 for an event that would be rejected.
+// checkCommand is 'saffronyard check': it prints what a file would enable, or what is wrong with the file. With an event, a file in the
+// JSON format, it also prints which rule matches and the resulting message. The exit code is 1 for an event that would be rejected.
 func checkCommand(args []string, out, errs io.Writer) int {
 	flags := flag.NewFlagSet("saffronyard check", flag.ContinueOnError)
 	flags.SetOutput(errs)
--- a/cmd/saffronyard/client.go
+++ b/cmd/saffronyard/client.go
@@ -15,15 +15,15 @@
 	"saffronyard.example/saffronyard/internal/sender"
 )
 
-// errNoState is a command that talks to a running sender and was not told which.
-var errNoState = errors.New("--state names the sender's state folder, as EDGE_STATE does")
+// errNoState reports that a command needs a running sender and no state folder is set.
+var errNoState = errors.New("no state folder: set --state or EDGE_STATE")
 
-// senderClient is the running sender that a command talks to, and how its answers are printed. Its fields are the flags that all
-// fleet, policy, limits and verdicts commands take.
+// senderClient sends the requests of a command to a running sender and prints the answers. Its fields are the flags that all fleet,
+// policy, limits and verdicts commands take.
 type senderClient struct {
 	state   string // the sender's state folder, where its socket is
 	json    bool   // print JSON in place of text
-	current bool   // reads are linearizable: a majority confirms that they are no older than the question
+	current bool   // reads are linearizable: a majority confirms that they are no older than the request
 }
 
 // request sends a request in the name of the user who runs the command and decodes the JSON answer into a value.
@@ -42,7 +42,7 @@
 	return json.Unmarshal(raw, into)
 }
 
-// report fetches what the sender knows of the fleet.
+// report fetches the sender's report on the fleet.
 func (s *senderClient) report() (r fleet.Report, err error) {
 	path := "/fleet"
 	if s.current {
@@ -51,7 +51,7 @@
 	return r, s.request(http.MethodGet, path, nil, &r)
 }
 
-// print writes a value as JSON, or has it written as text; tabs align columns.
+// print writes v as JSON, or calls text to write it as text, in which tabs align columns.
 func (s *senderClient) print(c *cobra.Command, v any, text func(w io.Writer)) error {
 	if s.json {
 		e := json.NewEncoder(c.OutOrStdout())
--- a/cmd/saffronyard/command.go
+++ b/cmd/saffronyard/command.go
@@ -10,8 +10,8 @@
 	"github.com/spf13/cobra"
 )
 
-// flagCommand is a command that parses its own flags with package flag, as the first commands did: "-state" with one dash, and its own
-// texts and exit codes. The others are cobra's; they take either number of dashes.
+// flagCommand is a command from before cobra was used: it parses its flags with package flag ("-state" with one dash) and has its own
+// texts and exit codes. The other commands use cobra and take flags with one or two dashes.
 type flagCommand struct {
 	name, short string
 	run         func(args []string, getenv func(string) string, in io.Reader, out, errs io.Writer) int
@@ -35,7 +35,7 @@
 	}
 }
 
-// cobraCommands are the names of those that cobra parses.
+// cobraCommands are the names of the commands that cobra parses.
 var cobraCommands = []string{"fleet", "policy", "limits", "verdicts", "help"}
 
 // commandNames returns the names of all commands.
@@ -47,10 +47,10 @@
 	return append(names, cobraCommands...)
 }
 
-// isCommand reports whether a word begins a command; the daemon itself takes flags alone.
+// isCommand reports whether word is the name of a command. The daemon itself takes only flags.
 func isCommand(word string) bool { return slices.Contains(commandNames(), word) }
 
-// command runs a command and returns its exit code: 2 for words that mean nothing, 1 for what failed or was refused.
+// command runs a command and returns its exit code: 2 for invalid arguments, 1 for a command that failed or was rejected.
 func command(args []string, getenv func(string) string, in io.Reader, out, errs io.Writer) int {
 	root := newRootCommand(getenv, in, out, errs)
 	if slices.Contains(cobraCommands, args[0]) {
@@ -98,7 +98,8 @@
 	return root
 }
 
-// twoDashes lets a long flag be written with one dash, as the flag commands have them; no flag is a single letter.
+// twoDashes adds the second dash to long flags, so that the cobra commands also accept one dash like the flag commands. No flag is a
+// single letter.
 func twoDashes(args []string) []string {
 	out := slices.Clone(args)
 	for i, a := range out {
@@ -112,7 +113,7 @@
 	return out
 }
 
-// exactArgs wants as many arguments as it has names, and tells which.
+// exactArgs requires one argument for each name; its error contains the usage line.
 func exactArgs(names ...string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != len(names) {
@@ -122,7 +123,7 @@
 	}
 }
 
-// requireSubcommand is run for a command that only groups others: it names them.
+// requireSubcommand runs for a command that only groups subcommands and returns an error that lists them.
 func requireSubcommand(c *cobra.Command, _ []string) error {
 	names := ""
 	for _, sub := range c.Commands() {
@@ -131,7 +132,7 @@
 	return usageError{invalidInput("%s takes one of:%s", c.CommandPath(), names)}
 }
 
-// orElse returns a text, or another in place of an empty one.
+// orElse returns text, or other if text is empty.
 func orElse(text, other string) string {
 	if text == "" {
 		return other
--- a/cmd/saffronyard/daemon.go
+++ b/cmd/saffronyard/daemon.go
@@ -19,17 +19,17 @@
 	"saffronyard.example/saffronyard/internal/undelivered"
 )
 
-// memoryFraction of the memory limit is what the garbage collector aims to stay under; the journal's pages and the kernel's buffers
-// count as well.
+// memoryFraction is the part of the memory limit that the garbage collector aims to stay under. The rest is for the journal's pages and
+// the kernel's buffers, which count against the limit as well.
 const memoryFraction = 0.6
 
-// daemon is a sender with the features that the operators' file names, from the first of them on until all are closed.
+// daemon is a sender with the features that the operators' file enables, from the start of the first feature until all are closed.
 type daemon struct {
 	log        *slog.Logger
 	config     *sender.Config
 	background *backgroundWork // nil without [work]
 
-	reloaders []func(*sender.Sender) error // what SIGHUP has read again beside the configuration
+	reloaders []func(*sender.Sender) error // run on SIGHUP after the configuration was read again
 	closers   []func()                     // run in reverse order, as deferred calls are
 }
 
@@ -37,8 +37,7 @@
 func runDaemon(log *slog.Logger, file string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// SIGHUP means that the configuration was replaced. It would end a process that does not catch it, so it is caught from the first
-	// moment on.
+	// SIGHUP means that the configuration was replaced. It ends a process that does not catch it, so it must be caught from the start.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
@@ -69,14 +68,14 @@
 	return s.Run(ctx, func() (net.Listener, error) { return net.Listen("tcp", c.Listen) })
 }
 
-// close closes what was started, the newest first.
+// close runs the closers of all that was started, newest first.
 func (d *daemon) close() {
 	for _, c := range slices.Backward(d.closers) {
 		c()
 	}
 }
 
-// limitProcess bounds the runtime to the cores and the memory, in megabytes, that the configuration grants; 0 is no bound.
+// limitProcess limits the runtime to the cores and the memory, in megabytes, of the configuration; 0 means no limit.
 func limitProcess(cores, memoryMB float64) {
 	if cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(cores))))
@@ -86,7 +85,7 @@
 	}
 }
 
-// startFeatures reads the operators' file and starts what it names, as far as that comes before the sender.
+// startFeatures reads the operators' file and starts those of its features that start before the sender.
 func (d *daemon) startFeatures(ctx context.Context, file string) error {
 	f, err := features.Load(file)
 	if err != nil {
@@ -96,7 +95,7 @@
 		d.reloaders = append(d.reloaders, func(s *sender.Sender) error {
 			keys, err := f.Peers.Keys()
 			if err != nil {
-				return fmt.Errorf("the peers' keys are kept as they were: %w", err)
+				return fmt.Errorf("peers: keys not reloaded, the current keys stay in use: %w", err)
 			}
 			return s.PeerKeys(keys)
 		})
@@ -117,12 +116,12 @@
 		}
 	}
 	if f.DNS != nil {
-		return d.startNames(f.DNS)
+		return d.startNameServer(f.DNS)
 	}
 	return nil
 }
 
-// startUndelivered has undelivered messages recorded in a store, and the store answer the command line.
+// startUndelivered sets up the store that records undelivered messages and serves the requests of the command line.
 func (d *daemon) startUndelivered(ctx context.Context, f *features.Features) {
 	u := f.Undelivered
 	folder := u.Folder
@@ -136,14 +135,14 @@
 		d.background = &backgroundWork{features: f, store: store}
 		store.SetResender(d.background.newEngine(d.config))
 	}
-	go func() { // without it the sender goes on, and the command line gets no answer
+	go func() { // if it fails, the sender goes on and the command line gets no answer
 		if err := store.Serve(ctx); err != nil {
-			d.log.Error("the command line can't reach undelivered messages", "err", err)
+			d.log.Error("serving the store of undelivered messages failed; the command line gets no answer", "err", err)
 		}
 	}()
 }
 
-// configureBackground has the sender answer questions on background work, which starts after it.
+// configureBackground makes the sender answer requests about background work, which starts after the sender.
 func (d *daemon) configureBackground(f *features.Features) {
 	if d.background == nil {
 		d.background = &backgroundWork{features: f}
@@ -166,7 +165,7 @@
 	return nil
 }
 
-// reloadOnHangup reads the configuration again with each SIGHUP, until the sender has ended. What can't be read changes nothing.
+// reloadOnHangup reads the configuration again at each SIGHUP until the sender has ended. A file that can't be read changes nothing.
 func (d *daemon) reloadOnHangup(running <-chan struct{}, hup <-chan os.Signal, s *sender.Sender) {
 	for {
 		select {
@@ -175,7 +174,7 @@
 		case <-hup:
 		}
 		if c, err := sender.ReloadConfig(os.Getenv); err != nil {
-			d.log.Error("the configuration is kept as it was", "err", err)
+			d.log.Error("configuration not reloaded; the current configuration stays in use", "err", err)
 		} else {
 			s.Reload(c)
 		}
--- a/cmd/saffronyard/daemon_services.go
+++ b/cmd/saffronyard/daemon_services.go
@@ -16,7 +16,7 @@
 // overrideFleetConfig is set by tests to replace the machine's clock and disk; the program itself leaves it nil.
 var overrideFleetConfig func(*fleet.Config)
 
-// startFleet starts this sender's part in the replicated log, its leases and the policy of the whole fleet.
+// startFleet starts this sender's node in the fleet: its part in the replicated log, its leases and the fleet's policy.
 func (d *daemon) startFleet(f *features.Fleet) error {
 	fc, err := fleetConfig(f, d.config)
 	if err != nil {
@@ -28,7 +28,7 @@
 	}
 	d.closers = append(d.closers, func() {
 		if err := node.Close(); err != nil {
-			d.log.Error("the fleet node did not close cleanly", "err", err)
+			d.log.Error("closing the fleet node failed", "err", err)
 		}
 	})
 	d.config.Fleet = node
@@ -38,7 +38,7 @@
 	d.reloaders = append(d.reloaders, func(*sender.Sender) error {
 		keys, err := f.Keys()
 		if err != nil {
-			return fmt.Errorf("the fleet's keys are kept as they were: %w", err)
+			return fmt.Errorf("fleet: keys not reloaded, the current keys stay in use: %w", err)
 		}
 		node.SetKeys(keys)
 		return nil
@@ -49,7 +49,7 @@
 func fleetConfig(f *features.Fleet, c *sender.Config) (fleet.Config, error) {
 	host, _, err := net.SplitHostPort(c.Listen)
 	if err != nil {
-		return fleet.Config{}, fmt.Errorf("fleet: where clients connect: %w", err)
+		return fleet.Config{}, fmt.Errorf("fleet: listen address: %w", err)
 	}
 	fc := f.Config(c.Name, host)
 	if fc.Folder == "" {
@@ -68,8 +68,8 @@
 	return fc, nil
 }
 
-// startNames starts the name server with its zones and has the sender resolve members' names through it.
-func (d *daemon) startNames(f *features.DNS) error {
+// startNameServer starts the name server with its zones and has the sender resolve members' names through it.
+func (d *daemon) startNameServer(f *features.DNS) error {
 	nc, err := f.Config(filepath.Join(d.config.StateDir, "zones"))
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 			err = names.SetKeys(keys)
 		}
 		if err != nil {
-			return fmt.Errorf("the keys of zones are kept as they were: %w", err)
+			return fmt.Errorf("dns: zone keys not reloaded, the current keys stay in use: %w", err)
 		}
 		return nil
 	})
--- a/cmd/saffronyard/deploy_test.go
+++ b/cmd/saffronyard/deploy_test.go
@@ -12,8 +12,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The platform leads the sender's sockets and clocks to a bench of its own by a library that is loaded before it, on the
-// days of the full fleet: a program that is not linked dynamically against the C library runs past that unseen.
+// In the runs with the full fleet the platform preloads a library into the sender that redirects its sockets and clocks to a
+// test bench. A program that is not linked dynamically against the C library bypasses that library unnoticed.
 func TestDeployFile_BuildsDynamicProgram(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -26,7 +26,7 @@
 	if deploy.Run != "exec bin/saffronyard" || deploy.Sim != "exec bin/simulator-adapter" {
 		t.Errorf("run = %q, sim = %q: want one process each, by exec, and no features", deploy.Run, deploy.Sim)
 	}
-	// The very command, but for where it leaves the programs.
+	// This is the deploy file's build command with another output folder.
 	bin := t.TempDir()
 	const into = "-o bin/ ./cmd/..."
 	if strings.Count(deploy.Build, into) != 1 {
--- a/cmd/saffronyard/errors.go
+++ b/cmd/saffronyard/errors.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// usageError marks an error in the words of a command: flags, arguments, or their number. The exit code is then 2.
+// usageError marks an invalid flag or argument of a command, or a wrong number of arguments. The exit code is then 2.
 type usageError struct{ error }
 
-// inputError is a value that a command was given and can't use: an argument, a line of a zone update, a document. Its text names the
-// value and is all that the operator sees.
+// inputError is an invalid value in the input of a command: an argument, a line of a zone update, a document. Its text names the value
+// and is the complete message for the operator.
 type inputError struct{ text string }
 
 func invalidInput(format string, args ...any) error {
@@ -16,7 +16,7 @@
 // Error returns the text for the operator.
 func (e *inputError) Error() string { return e.text }
 
-// notFoundError is something that the operator named and that is not there.
+// notFoundError reports that the item that the operator named does not exist.
 type notFoundError struct{ text string }
 
 func notFound(format string, args ...any) error {
@@ -26,13 +26,13 @@
 // Error returns the text for the operator.
 func (e *notFoundError) Error() string { return e.text }
 
-// serverError is the refusal of a running sender or of a name server, in its own words.
+// serverError reports that a running sender or a name server rejected a request; it contains the server's reason.
 type serverError struct{ text string }
 
 // Error returns the text for the operator.
 func (e *serverError) Error() string { return e.text }
 
-// exitError is a command that has already told why it failed; only its exit code is left to pass on.
+// exitError is the exit code of a command that has already printed why it failed.
 type exitError int
 
 // Error returns the exit code in words; it is never printed.
--- a/cmd/saffronyard/events_test.go
+++ b/cmd/saffronyard/events_test.go
@@ -13,8 +13,8 @@
 
 const eventRules = "[events]\n[[events.rule]]\nsubject = \"{dest}\"\nclass = \"{type}\"\ntenant = \"acme\"\ndestination = \"{dest}\"\ndeadline = \"15s\"\n"
 
-// handEvent hands an event in and gives its answer.
-func handEvent(t *testing.T, addr, id, class string, dest int) (int, string) {
+// submitEvent submits an event and returns the status and the body of the answer.
+func submitEvent(t *testing.T, addr, id, class string, dest int) (int, string) {
 	t.Helper()
 	body := fmt.Sprintf(`{"specversion":"1.0","id":%q,"source":"/s","type":%q,"subject":"%d","data":{"n":1}}`, id, class, dest)
 	r, err := http.NewRequest("POST", "http://"+addr+"/events", strings.NewReader(body))
@@ -26,18 +26,18 @@
 	return resp.StatusCode, text
 }
 
-// Killed with one event delivered, one out and one that may not be repeated: after the restart each client's retry
-// counts as its first try, and the receivers count one effect of each.
+// A sender is killed with one event delivered, one in flight, and one in flight that may not be repeated. After the restart
+// each client's retry counts as its first try, and the receivers see one effect of each event.
 func TestEvents_SurviveKill(t *testing.T) {
 	silent := st.NewEndpoint(t, st.Unresponsive)
 	good := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, good.Addr, silent.Addr, silent.Addr)
 	state, file := t.TempDir(), write(t, eventRules)
 	s := start(t, p, state, "-features", file)
-	want := func(addr, id, class string, dest, status int) {
+	submitUntil := func(addr, id, class string, dest, status int) {
 		t.Helper()
 		for end := time.Now().Add(st.Wait); ; time.Sleep(5 * time.Millisecond) {
-			got, text := handEvent(t, addr, id, class, dest)
+			got, text := submitEvent(t, addr, id, class, dest)
 			if got == status {
 				return
 			}
@@ -46,12 +46,12 @@
 			}
 		}
 	}
-	want(s.addr, "done", "unsafe", 0, 202)
+	submitUntil(s.addr, "done", "unsafe", 0, 202)
 	good.Next(t)
-	want(s.addr, "done", "unsafe", 0, 200)
-	want(s.addr, "out", "keyed", 1, 202)
+	submitUntil(s.addr, "done", "unsafe", 0, 200)
+	submitUntil(s.addr, "out", "keyed", 1, 202)
 	first := silent.Next(t)
-	want(s.addr, "once", "unsafe", 2, 202)
+	submitUntil(s.addr, "once", "unsafe", 2, 202)
 	silent.Next(t)
 	s.Process.Kill()
 	s.Wait()
@@ -59,9 +59,9 @@
 	again := st.NewEndpoint(t, st.Status(200))
 	p.Change(st.Target("s-1", again.Addr, 1, "SERVING"))
 	s = start(t, p, state, "-features", file)
-	want(s.addr, "done", "unsafe", 0, 200)
-	want(s.addr, "once", "unsafe", 2, 500)
-	want(s.addr, "out", "keyed", 1, 200)
+	submitUntil(s.addr, "done", "unsafe", 0, 200)
+	submitUntil(s.addr, "once", "unsafe", 2, 500)
+	submitUntil(s.addr, "out", "keyed", 1, 200)
 	if c := again.Next(t); c.Key != first.Key || c.ID != first.ID || c.Header.Get("Ce-Id") != "out" || c.Body != `{"n":1}` {
 		t.Errorf("resumed as %+v, was %+v", c, first)
 	}
--- a/cmd/saffronyard/features_test.go
+++ b/cmd/saffronyard/features_test.go
@@ -20,18 +20,18 @@
 	return path
 }
 
-// 'check' says what a file turns on, and what is wrong with it by file, line and key.
+// 'check' prints what a file enables, and reports errors with file, line and key.
 func TestCheckCommand(t *testing.T) {
 	for text, c := range map[string]struct {
 		code int
-		says string
+		want string
 	}{
 		"":                                {0, "nothing is on"},
 		"[quiet]\nfold_after = \"90s\"\n": {0, "destinations fold after 1m30s"},
 		"[quiet]\nfold = 3\n":             {2, `saffronyard.toml:2: unknown key "quiet.fold"`},
 	} {
 		var out, errs bytes.Buffer
-		if code := checkCommand([]string{write(t, text)}, &out, &errs); code != c.code || !strings.Contains(out.String()+errs.String(), c.says) {
+		if code := checkCommand([]string{write(t, text)}, &out, &errs); code != c.code || !strings.Contains(out.String()+errs.String(), c.want) {
 			t.Errorf("%q: %d, %s%s", text, code, out.String(), errs.String())
 		}
 	}
@@ -42,7 +42,7 @@
 	for _, c := range []struct {
 		file, event string
 		code        int
-		says        []string
+		want        []string
 	}{
 		{rules, event, 0, []string{"rule cards: fits", "class safe, tenant none, destination 7"}},
 		{rules, other, 1, []string{`rule cards: does not fit: type "other" is not "card"`, "turned away: no rule fits"}},
@@ -52,9 +52,9 @@
 	} {
 		var out, errs bytes.Buffer
 		code := checkCommand([]string{"-event", c.event, c.file}, &out, &errs)
-		for _, says := range c.says {
-			if code != c.code || !strings.Contains(out.String()+errs.String(), says) {
-				t.Errorf("%d, %s%s; want %d and %q", code, out.String(), errs.String(), c.code, says)
+		for _, want := range c.want {
+			if code != c.code || !strings.Contains(out.String()+errs.String(), want) {
+				t.Errorf("%d, %s%s; want %d and %q", code, out.String(), errs.String(), c.code, want)
 			}
 		}
 	}
@@ -64,7 +64,7 @@
 	}
 }
 
-// A sender with a file that is wrong does not start, and says where; one with a sound file serves.
+// A sender with an invalid features file does not start and reports the position of the error. Unknown arguments are an error as well.
 func TestDaemon_FeaturesFile(t *testing.T) {
 	p := st.NewPlatform(t)
 	dir := t.TempDir()
@@ -72,20 +72,20 @@
 	configure(t, config, p, dir)
 	for text, c := range map[string]struct {
 		code int
-		says string
+		want string
 	}{"[quiet]\n\nfold_after = \"soon\"\n": {1, "saffronyard.toml:3:"}, "[quite]\n": {1, "unknown key"},
 		"[events]\n[[events.rule]]\nclass = \"nothing\"\ndestination = \"1\"\n":                                         {1, `class \"nothing\"`},
 		"[events]\nremember_most = 100000\n[[events.rule]]\nclass = \"safe\"\ntenant = \"acme\"\ndestination = \"1\"\n": {1, "remember_most = 100000 takes"}} {
 		cmd := exec.Command(os.Args[0], "-features", write(t, text))
 		cmd.Env = append(os.Environ(), "SAFFRONYARD_TEST_CHILD=1", "EDGE_CONFIG="+config)
 		out, _ := cmd.CombinedOutput()
-		if cmd.ProcessState.ExitCode() != c.code || !strings.Contains(string(out), c.says) {
+		if cmd.ProcessState.ExitCode() != c.code || !strings.Contains(string(out), c.want) {
 			t.Errorf("%q: exit %d, %s", text, cmd.ProcessState.ExitCode(), out)
 		}
 	}
 	cmd := exec.Command(os.Args[0], "serve")
 	cmd.Env = append(os.Environ(), "SAFFRONYARD_TEST_CHILD=1", "EDGE_CONFIG="+config)
 	if out, _ := cmd.CombinedOutput(); cmd.ProcessState.ExitCode() != 2 || !strings.Contains(string(out), "serve") {
-		t.Errorf("an argument that means nothing: %s", out)
+		t.Errorf("an unknown argument: %s", out)
 	}
 }
--- a/cmd/saffronyard/fleet.go
+++ b/cmd/saffronyard/fleet.go
@@ -16,7 +16,7 @@
 	"saffronyard.example/saffronyard/internal/fleet"
 )
 
-// fleetCommand is 'saffronyard fleet': membership, leases and voters of the senders, as one of them has them.
+// fleetCommand is 'saffronyard fleet': membership, leases and voters of the fleet, as one sender reports them.
 func (s *senderClient) fleetCommand() *cobra.Command {
 	top := &cobra.Command{Use: "fleet", Short: "what the senders agree on, as one of them has it", RunE: requireSubcommand}
 	top.AddCommand(s.fleetStatusCommand(), s.fleetMembersCommand(), s.fleetVotersCommand(), s.fleetGoneCommand(), s.fleetVouchCommand())
--- a/cmd/saffronyard/golden_test.go
+++ b/cmd/saffronyard/golden_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestCommand_GoldenOutput runs operators' commands and compares exit codes, output and error texts, byte for byte, with what commit
-// eea23b3 gave. The stored messages are those of internal/undelivered/testdata.
+// TestCommand_GoldenOutput runs operators' commands and compares exit codes, output and error texts, byte for byte, with the golden
+// file. The stored messages are those of internal/undelivered/testdata.
 func TestCommand_GoldenOutput(t *testing.T) {
 	const stored = "../../internal/undelivered/testdata/v1.db"
 	lines := []string{
@@ -54,7 +54,7 @@
 	for _, line := range lines {
 		var out, errs bytes.Buffer
 		args := strings.Fields(line)
-		for i := range args { // a word that is several
+		for i := range args { // an argument that contains spaces
 			args[i] = strings.ReplaceAll(args[i], "|", " ")
 		}
 		code := command(args, func(string) string { return "" }, strings.NewReader(""), &out, &errs)
--- a/cmd/saffronyard/knowledge.go
+++ b/cmd/saffronyard/knowledge.go
@@ -10,9 +10,9 @@
 	"saffronyard.example/saffronyard/internal/sender"
 )
 
-// knowledgeCommand is 'saffronyard knowledge [RECEIVER]': what a running sender knows of receivers.
+// knowledgeCommand is 'saffronyard knowledge [RECEIVER]': a running sender's knowledge about receivers.
 func knowledgeCommand(args []string, getenv func(string) string, out, errs io.Writer) int {
-	query := reportQuery{name: "knowledge", takeReceiver: true, print: printKnowledge}
+	query := reportQuery{name: "knowledge", acceptsReceiver: true, print: printKnowledge}
 	return query.run(args, getenv, out, errs)
 }
 
--- a/cmd/saffronyard/limits.go
+++ b/cmd/saffronyard/limits.go
@@ -64,17 +64,17 @@
 		if err != nil {
 			return err
 		}
-		var of []fleet.LimitReport
+		var matching []fleet.LimitReport
 		for _, l := range all {
 			if key := "destination " + args[0]; l.Key == key || strings.HasPrefix(l.Key, key+",") {
-				of = append(of, l)
+				matching = append(matching, l)
 			}
 		}
-		return s.print(c, of, func(w io.Writer) {
-			if len(of) == 0 {
+		return s.print(c, matching, func(w io.Writer) {
+			if len(matching) == 0 {
 				fmt.Fprintf(w, "no limit of the fleet names destination %s\n", args[0])
 			}
-			for _, l := range of {
+			for _, l := range matching {
 				fmt.Fprintf(w, "%s\t%s\n", l.Key, l.Description)
 				fmt.Fprintf(w, "\t%s\n", limitState(l))
 			}
@@ -82,7 +82,7 @@
 	}}
 }
 
-// limitState tells in words what a sender may do under a limit just now.
+// limitState describes what a sender may do at present under a limit.
 func limitState(l fleet.LimitReport) string {
 	switch {
 	case l.Waiting == 0:
@@ -118,7 +118,7 @@
 	}
 }
 
-// limitsSetCommand sets one limit of a destination by a change of the policy.
+// limitsSetCommand is 'saffronyard limits set': it proposes a policy change that sets one limit of a destination.
 func (s *senderClient) limitsSetCommand() *cobra.Command {
 	var l fleetpolicy.Limit
 	var span, lasts, transit time.Duration
--- a/cmd/saffronyard/main.go
+++ b/cmd/saffronyard/main.go
@@ -1,6 +1,6 @@
-// Command saffronyard is the message sender: it reads its configuration, listens, and serves until SIGTERM; SIGHUP has it read the
-// configuration again. With -features FILE it also does what the operators' own file names, and 'saffronyard check FILE' tells what
-// that would be. The other commands talk to a running sender by its Unix socket, or work on files.
+// Command saffronyard is the message sender. It reads its configuration, listens, and serves until SIGTERM; SIGHUP reloads the
+// configuration. -features FILE enables the features in the operators' file, and 'saffronyard check FILE' prints what the file enables.
+// The other commands talk to a running sender over its Unix socket, or work on files.
 package main
 
 import (
@@ -29,7 +29,7 @@
 		os.Exit(2)
 	}
 	if flags.NArg() > 0 {
-		log.Error("saffronyard takes no arguments but -features FILE, -log LEVEL, -log-format FORMAT, and the commands: "+strings.Join(commandNames(), ", "), "argument", flags.Arg(0))
+		log.Error("unexpected argument; saffronyard takes the flags -features FILE, -log LEVEL and -log-format FORMAT, or one of the commands: "+strings.Join(commandNames(), ", "), "argument", flags.Arg(0))
 		os.Exit(2)
 	}
 	if err := runDaemon(log, *file); err != nil {
@@ -47,5 +47,5 @@
 	case "json":
 		return slog.New(slog.NewJSONHandler(os.Stderr, o)), nil
 	}
-	return nil, usageError{invalidInput("-log-format %q: there are text and json", format)}
+	return nil, usageError{invalidInput("unknown -log-format %q: want text or json", format)}
 }
--- a/cmd/saffronyard/main_test.go
+++ b/cmd/saffronyard/main_test.go
@@ -15,17 +15,17 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// TestMain is the sender itself when a test starts it as a process of its own.
+// TestMain runs the sender instead of the tests if a test has started this program as a sender process.
 func TestMain(m *testing.M) {
 	if os.Getenv("SAFFRONYARD_TEST_CHILD") != "" {
 		switch wrong := os.Getenv("SAFFRONYARD_TEST_WRONG"); wrong {
 		case "":
 		case "full":
-			overrideFleetConfig = startsWithFullPool
+			overrideFleetConfig = skipQuotaGrace
 		case os.Getenv("EDGE_NAME"):
 			overrideFleetConfig = slowClock
 		case os.Getenv("EDGE_NAME") + " keeps":
-			overrideFleetConfig = keepsExpiredLoans
+			overrideFleetConfig = keepExpiredGrants
 		}
 		main()
 		return
@@ -37,10 +37,10 @@
 type process struct {
 	*exec.Cmd
 	addr   string
-	config string // its file
+	config string // path of its configuration file
 }
 
-// configure writes a configuration's file.
+// configure writes a configuration file.
 func configure(t *testing.T, file string, p *st.Platform, state string) {
 	t.Helper()
 	configureWith(t, file, st.Config(p, state))
@@ -92,8 +92,8 @@
 	}
 }
 
-// What was taken on outlasts a kill: a message whose call was out goes out again with its id, key and body
-// where its class allows a repeat, and ends by a notice where it does not. What was delivered stays so.
+// Accepted messages survive a kill: a message whose call was in flight is sent again with its id, key and body if its class
+// allows a repeat, and ends with a notice if not. Delivered messages stay delivered.
 func TestDaemon_KillAndRestart(t *testing.T) {
 	silent := st.NewEndpoint(t, st.Unresponsive)
 	good := st.NewEndpoint(t, st.Status(200))
@@ -106,7 +106,7 @@
 	first := silent.Next(t)
 	st.Submit(t, s.addr, st.Submission{ID: "unsafe", Class: "unsafe", Destination: 2, Deadline: 15 * time.Second})
 	silent.Next(t)
-	// The answer to "done" is read by the sender in its own time: its end shows in a second message.
+	// The sender reads the answer to "done" at some later time, so a second message is delivered before the journal is checked.
 	st.Submit(t, s.addr, st.Submission{ID: "done-2", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 	good.Next(t)
 	waitFor(t, filepath.Join(state, "messages.journal"), 2, `"how":"delivered"`)
@@ -129,7 +129,7 @@
 	}
 }
 
-// waitFor waits until a text stands so often in a file.
+// waitFor waits until a file contains a text at least the given number of times.
 func waitFor(t *testing.T, file string, times int, text string) {
 	t.Helper()
 	for end := time.Now().Add(st.Wait); ; time.Sleep(5 * time.Millisecond) {
@@ -144,13 +144,13 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%s holds %q %d times", file, text, n)
+			t.Fatalf("%s contains %q %d times", file, text, n)
 		}
 	}
 }
 
-// After SIGTERM clients that come are still served, on connections that end with the answer; the process
-// leaves by itself in time, and what is not done is done by the next.
+// After SIGTERM new clients are still served, on connections that are closed after the answer. The process exits by itself in
+// time, and the next process finishes the pending messages.
 func TestDaemon_Terminate(t *testing.T) {
 	silent := st.NewEndpoint(t, st.Unresponsive)
 	good := st.NewEndpoint(t, st.Status(200))
@@ -165,7 +165,7 @@
 	if err := s.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	// Clients come on fresh connections for a while yet, and each gets its answer.
+	// Clients still connect for a while, and each gets its answer.
 	closes := 0
 	for n := 0; time.Since(began) < time.Second; n++ {
 		r := st.Request(t, s.addr, st.Submission{ID: "late" + strconv.Itoa(n), Class: "keyed", Destination: 0, Deadline: 15 * time.Second, Body: "late"})
@@ -180,13 +180,13 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if closes == 0 {
-		t.Error("connections are kept after SIGTERM")
+		t.Error("connections are kept open after SIGTERM")
 	}
 	if err := s.Wait(); err != nil {
-		t.Errorf("it leaves with %v", err)
+		t.Errorf("the process exits with %v", err)
 	}
 	if took := time.Since(began); took > 3700*time.Millisecond {
-		t.Errorf("it left after %v", took)
+		t.Errorf("the process exited after %v", took)
 	}
 	again := st.NewEndpoint(t, st.Status(200))
 	p.Change(st.Target("s-1", again.Addr, 1, "SERVING"))
@@ -196,10 +196,10 @@
 	}
 }
 
-// SIGHUP has the configuration read again: discovery is asked at its new address at once, for the whole list
-// and then for changes, and what is owed to it goes there, also notices that the old one did not take. What
-// the process was started with stands against it in EDGE_DISCOVERY and is older. A file that can't be read
-// changes nothing. A sender that does not catch SIGHUP ends on it.
+// SIGHUP makes the sender read its configuration again. It queries discovery at its new address at once, for the complete
+// list and then for changes, and sends pending notices there, also those that the old address did not accept. The new file
+// must take precedence over EDGE_DISCOVERY, which is from the start of the process. A file that can't be read changes
+// nothing. A sender that does not catch SIGHUP is ended by it.
 func TestDaemon_Reload(t *testing.T) {
 	e := st.NewEndpoint(t, st.Status(500))
 	moved := st.NewEndpoint(t, st.Status(200))
@@ -224,17 +224,17 @@
 		}
 		hup()
 		if resp, _ := st.Do(t, st.Request(t, s.addr, st.Submission{ID: "x", Class: "safe", Destination: 0, Deadline: 0, Body: ""})); resp.StatusCode != http.StatusInternalServerError {
-			t.Errorf("%s: a message out of time is answered %s", name, resp.Status)
+			t.Errorf("%s: a message past its deadline is answered %s", name, resp.Status)
 		}
 	}
 	other := st.NewPlatform(t, moved.Addr)
 	configure(t, s.config, other, state)
 	hup()
 	if q := st.Receive(t, other.Lists); q != "" {
-		t.Errorf("the new address is first asked %q", q)
+		t.Errorf("the first query to the new address is %q", q)
 	}
 	if q := st.Receive(t, other.Lists); q != "after=1&wait_ms=2000" {
-		t.Errorf("then it is asked %q", q)
+		t.Errorf("the second query to the new address is %q", q)
 	}
 	if n := st.Receive(t, other.Notices); n.Message != "doubt" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v", n)
@@ -249,7 +249,7 @@
 	other.Change(st.Target("s-5", e.Addr, 5, "SERVING"))
 	st.Receive(t, other.Lists)
 	if len(old.Lists) > 0 {
-		t.Error("the old address is asked still")
+		t.Error("the old address is still queried")
 	}
 }
 
@@ -266,8 +266,8 @@
 	}
 }
 
-// widenKeyWindow lets messages of the class "keyed" be repeated for as long as they live: a process that a slow disk holds up at its start
-// would else rightly give up what it resumes after the usual 7.5 s.
+// widenKeyWindow lets messages of the class "keyed" be repeated until their deadline. With the usual window of 7.5 s, a process that is
+// delayed at its start by a slow disk would correctly give up the messages that it resumes.
 func widenKeyWindow(settings map[string]any) {
 	for _, service := range settings["settings"].(map[string]any)["services"].([]any) {
 		service.(map[string]any)["dedupWindow"] = 20000.0
--- a/cmd/saffronyard/peerlinks_test.go
+++ b/cmd/saffronyard/peerlinks_test.go
@@ -42,8 +42,8 @@
 for = "40s"
 `
 
-// Membership's datagrams pass links as connections do: with a third of them lost three processes find each other, one that is cut
-// off is taken for dead on both sides, and is there again once the links are sound.
+// Faults of links apply to the datagrams of membership as to connections. With a third of the datagrams lost, three processes find
+// each other; a partitioned process is reported dead on both sides, and is a member again after the links are healed.
 func TestPeers_MembershipThroughLinks(t *testing.T) {
 	t.Parallel()
 	acquireScenarioSlot(t)
@@ -58,7 +58,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	during := func(ctx context.Context, d *day.Day) {
-		defer stop() // the rest of the day shows nothing more
+		defer stop() // the rest of the run tests nothing more
 		wait := func(what string, at int, states map[string]string) {
 			last := ""
 			for end := time.Now().Add(40 * time.Second); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
@@ -75,10 +75,10 @@
 					return
 				}
 			}
-			t.Errorf("%s: n%d says %s, not %v", what, at, last, states)
+			t.Errorf("%s: n%d reports %s, want %v", what, at, last, states)
 		}
 		for at, others := range [][2]string{{"n1", "n2"}, {"n0", "n2"}, {"n0", "n1"}} {
-			wait("at the begin", at, map[string]string{others[0]: "here", others[1]: "here"})
+			wait("at the start", at, map[string]string{others[0]: "here", others[1]: "here"})
 		}
 		wait("cut off", 0, map[string]string{"n1": "here", "n2": "dead"})
 		wait("cut off", 2, map[string]string{"n0": "dead", "n1": "dead"})
@@ -87,7 +87,7 @@
 			wait("healed", at, map[string]string{others[0]: "here", others[1]: "here"})
 		}
 	}
-	if _, _, err := day.Play(ctx, plan, day.Options{Command: itself(), Folder: t.TempDir(), During: during}); err != nil && !errors.Is(err, context.Canceled) {
+	if _, _, err := day.Play(ctx, plan, day.Options{Command: senderCommand(), Folder: t.TempDir(), During: during}); err != nil && !errors.Is(err, context.Canceled) {
 		t.Fatal(err)
 	}
 }
--- a/cmd/saffronyard/peers.go
+++ b/cmd/saffronyard/peers.go
@@ -9,7 +9,7 @@
 	"saffronyard.example/saffronyard/internal/sender"
 )
 
-// peersCommand is 'saffronyard peers': the other senders that a running sender knows.
+// peersCommand is 'saffronyard peers': a running sender's list of the other senders.
 func peersCommand(args []string, getenv func(string) string, out, errs io.Writer) int {
 	query := reportQuery{name: "peers", print: printPeers}
 	return query.run(args, getenv, out, errs)
--- a/cmd/saffronyard/policy.go
+++ b/cmd/saffronyard/policy.go
@@ -16,10 +16,10 @@
 	"saffronyard.example/saffronyard/internal/fleetpolicy"
 )
 
-// errNoOpenChange is an abort while no change is under way.
+// errNoOpenChange reports an abort while no change is under way.
 var errNoOpenChange = errors.New("no change is under way")
 
-// policyCommand is 'saffronyard policy': the document that operators change in service for the whole fleet, and its versions.
+// policyCommand is 'saffronyard policy': the document that operators change for the whole fleet while senders run, and its versions.
 func (s *senderClient) policyCommand() *cobra.Command {
 	top := &cobra.Command{Use: "policy", Short: "what operators change in service for the whole fleet", RunE: requireSubcommand}
 	top.AddCommand(policyCheckCommand(), s.policyDiffCommand(), s.policyProposeCommand(), s.policyStatusCommand(), s.policyAbortCommand(),
@@ -189,7 +189,7 @@
 	return p, raw, err
 }
 
-// parseDocument parses a document that a sender gave.
+// parseDocument parses a document that a sender returned.
 func parseDocument(document string) (*fleetpolicy.Policy, error) {
 	return fleetpolicy.Parse("the version in force", []byte(document))
 }
@@ -197,7 +197,7 @@
 // findVersion returns the document of an earlier version; version 0 is the empty one before the first document.
 func findVersion(r fleet.Report, text string) (version uint64, document string, err error) {
 	if version, err = strconv.ParseUint(text, 10, 64); err != nil {
-		return 0, "", usageError{invalidInput("%q is no version", text)}
+		return 0, "", usageError{invalidInput("%q is not a version number", text)}
 	}
 	if version == 0 {
 		return 0, "", nil
@@ -205,10 +205,10 @@
 	for _, p := range r.Policy.History {
 		if p.Version == version {
 			if p.Document == "" && version != r.Policy.Version {
-				return 0, "", notFound("the document of version %d is kept no longer", version)
+				return 0, "", notFound("the document of version %d is no longer stored", version)
 			}
 			return version, p.Document, nil
 		}
 	}
-	return 0, "", notFound("there is no version %d, or it is remembered no longer", version)
+	return 0, "", notFound("there is no version %d, or it is no longer in the history", version)
 }
--- a/cmd/saffronyard/policy_change.go
+++ b/cmd/saffronyard/policy_change.go
@@ -16,45 +16,45 @@
 	"saffronyard.example/saffronyard/internal/sender"
 )
 
-// errAborted is a policy change that took hold nowhere.
-var errAborted = errors.New("aborted: it took hold nowhere")
+// errAborted reports a policy change that took effect on no sender.
+var errAborted = errors.New("aborted: it took effect on no sender")
 
-// changeUnknownError is a change that was handed in and whose outcome the command could not find out.
+// changeUnknownError reports a submitted change whose outcome the command could not determine.
 type changeUnknownError struct {
 	id    uint64
-	cause error // nil: the time to wait is over
+	cause error // nil: the command's wait timed out
 }
 
 // Error returns the text for the operator.
 func (e *changeUnknownError) Error() string {
 	if e.cause == nil {
-		return fmt.Sprintf("change %d is handed in; how it ends is not known yet", e.id)
+		return fmt.Sprintf("change %d is submitted; its outcome is not known yet", e.id)
 	}
-	return fmt.Sprintf("change %d is handed in; how it ends is not known: %v", e.id, e.cause)
+	return fmt.Sprintf("change %d is submitted; its outcome is not known: %v", e.id, e.cause)
 }
 
 // Unwrap returns the request's error, nil after a time-out.
 func (e *changeUnknownError) Unwrap() error { return e.cause }
 
 const (
-	// changePollInterval is the pause between two looks at a change under way.
+	// changePollInterval is the pause between two polls of a change under way.
 	changePollInterval = 20 * time.Millisecond
-	// changeGrace is how much longer than the change's own time-out the command waits for its end.
+	// changeGrace is how much longer than the change's own time-out the command waits for the outcome.
 	changeGrace = time.Minute
 )
 
 // policyChange is a change of the policy as an operator proposes it.
 type policyChange struct {
-	base     uint64 // the version that it replaces
-	restored uint64 // the earlier version whose document it is; 0: none
+	base     uint64 // the version that the change replaces
+	restored uint64 // the earlier version whose document is proposed again; 0: none
 	document []byte
 	why      string        // kept in the history
-	wait     time.Duration // it is aborted unless it is staged everywhere by then
+	wait     time.Duration // the change is aborted unless all senders have staged it by then
 	dryRun   bool
 	quiet    bool // no progress on standard error
 }
 
-// addFlags adds the flags that all commands share which change the policy.
+// addFlags adds the flags that all commands that change the policy share.
 func (p *policyChange) addFlags(c *cobra.Command) {
 	c.Flags().StringVar(&p.why, "why", "", "the reason, kept with it")
 	c.Flags().DurationVar(&p.wait, "wait", 30*time.Second, "give up if it is not staged everywhere by then")
@@ -62,28 +62,28 @@
 	c.Flags().BoolVar(&p.quiet, "quiet", false, "no progress")
 }
 
-// printDiff prints how a document differs, and how many messages that this sender holds are touched.
+// printDiff prints how a document differs from the policy in force, and how many of this sender's pending messages that affects.
 func (s *senderClient) printDiff(c *cobra.Command, r fleet.Report, p *fleetpolicy.Policy) error {
 	inForce, err := parseDocument(r.Policy.Document)
 	if err != nil {
 		return err
 	}
-	var held []sender.PendingCount
-	if err := s.request(http.MethodGet, "/held", nil, &held); err != nil {
+	var pending []sender.PendingCount
+	if err := s.request(http.MethodGet, "/held", nil, &pending); err != nil {
 		return err
 	}
 	counts := map[fleetpolicy.Call]int{}
-	for _, h := range held {
+	for _, h := range pending {
 		counts[fleetpolicy.Call{Destination: h.Destination, Tenant: h.Tenant}] += h.Messages
 	}
 	lines := fleetpolicy.Diff(inForce, p)
-	total, by := fleetpolicy.AffectedBySwitch(inForce, p).CountMessages(counts)
+	total, byDestination := fleetpolicy.AffectedBySwitch(inForce, p).CountMessages(counts)
 	return s.print(c, struct {
 		Base    uint64                     `json:"base"`
 		Lines   []string                   `json:"lines"`
 		Touched int                        `json:"held_messages_touched"`
 		By      []fleetpolicy.MessageCount `json:"by_destination,omitempty"`
-	}{r.Policy.Version, lines, total, by}, func(w io.Writer) {
+	}{r.Policy.Version, lines, total, byDestination}, func(w io.Writer) {
 		if len(lines) == 0 {
 			fmt.Fprintf(w, "nothing differs from version %d\n", r.Policy.Version)
 		}
@@ -93,13 +93,13 @@
 		if total > 0 {
 			fmt.Fprintf(w, "of the messages that this sender holds %d are touched\n", total)
 		}
-		for _, b := range by {
+		for _, b := range byDestination {
 			fmt.Fprintf(w, "  %d for destination %d\n", b.Messages, b.Destination)
 		}
 	})
 }
 
-// propose hands a document in and follows the change until it is in force or aborted.
+// propose submits a document and polls the change until it is in force or aborted.
 func (s *senderClient) propose(c *cobra.Command, p policyChange) error {
 	q := url.Values{"base": {strconv.FormatUint(p.base, 10)}, "back": {strconv.FormatUint(p.restored, 10)}, "wait": {p.wait.String()}, "why": {p.why}}
 	var accepted struct{ Change uint64 }
@@ -129,7 +129,7 @@
 	return &changeUnknownError{id: id}
 }
 
-// changeProgress tells for whom a change waits, as far as this sender knows.
+// changeProgress describes the state of a change and the lease holders that it waits for, as this sender reports them.
 func changeProgress(r fleet.Report) string {
 	o := r.Policy.Open
 	if o == nil {
--- a/cmd/saffronyard/report.go
+++ b/cmd/saffronyard/report.go
@@ -12,12 +12,12 @@
 
 // reportQuery is a command that shows one report of a running sender: 'saffronyard peers' and 'saffronyard knowledge [RECEIVER]'.
 type reportQuery struct {
-	name         string                                // of the command, and of the report's path
-	takeReceiver bool                                  // it may be narrowed to one receiver by its number
-	print        func(raw []byte, out io.Writer) error // as a table
+	name            string                                // name of the command and of the report's path
+	acceptsReceiver bool                                  // an argument may restrict the report to one receiver, by its number
+	print           func(raw []byte, out io.Writer) error // prints the report as a table
 }
 
-// run runs the command and returns its exit code: 2 for wrong words, 1 where the sender does not answer or refuses.
+// run runs the command and returns its exit code: 2 for invalid arguments, 1 if the sender does not answer or rejects the request.
 func (q reportQuery) run(args []string, getenv func(string) string, out, errs io.Writer) int {
 	f := flag.NewFlagSet("saffronyard "+q.name, flag.ContinueOnError)
 	f.SetOutput(errs)
@@ -29,11 +29,11 @@
 	path := "/" + q.name
 	switch {
 	case *state == "":
-		fmt.Fprintln(errs, "-state names the sender's state folder, as EDGE_STATE does")
+		fmt.Fprintln(errs, "no state folder: set -state or EDGE_STATE")
 		return 2
-	case q.takeReceiver && f.NArg() == 1:
+	case q.acceptsReceiver && f.NArg() == 1:
 		if _, err := strconv.ParseUint(f.Arg(0), 10, 32); err != nil {
-			fmt.Fprintf(errs, "%q is no receiver's number\n", f.Arg(0))
+			fmt.Fprintf(errs, "%q is not a receiver number\n", f.Arg(0))
 			return 2
 		}
 		path += "?receiver=" + f.Arg(0)
--- a/cmd/saffronyard/report_test.go
+++ b/cmd/saffronyard/report_test.go
@@ -15,7 +15,7 @@
 	"saffronyard.example/saffronyard/internal/sender"
 )
 
-// What a sender tells is shown as a table or passed on as it is; without one, or with a bad word, it says so.
+// A sender's report is printed as a table, or unchanged with -json. Without a sender, or with an invalid argument, the command fails.
 func TestReportQuery(t *testing.T) {
 	state := t.TempDir()
 	run := func(what string, args ...string) (int, string, string) {
@@ -49,21 +49,21 @@
 	for _, c := range []struct {
 		args []string
 		code int
-		says []string
+		want []string
 	}{
 		{[]string{"peers"}, 0, []string{`n0 of cluster "portland" tells 12 facts`, "n1", "1m0s", "127.0.0.1:2"}},
 		{[]string{"peers", "-json"}, 0, []string{`"cluster":"portland"`}},
 		{[]string{"peers", "n1"}, 2, []string{`takes no argument "n1"`}},
 		{[]string{"knowledge"}, 0, []string{"RECEIVER", "health", "n1", "1.5s", "0.93", "out for 900 ms"}},
 		{[]string{"knowledge", "-json", "7"}, 0, []string{`"receiver":7`}},
-		{[]string{"knowledge", "north"}, 2, []string{`"north" is no receiver's number`}},
+		{[]string{"knowledge", "north"}, 2, []string{`"north" is not a receiver number`}},
 		{[]string{"knowledge", "9"}, 1, []string{"the sender says: too busy"}},
 		{[]string{"knowledge", "-nonsense"}, 2, []string{"-nonsense"}},
 	} {
 		code, out, errs := run(c.args[0], c.args[1:]...)
-		for _, says := range c.says {
-			if code != c.code || !strings.Contains(out+errs, says) {
-				t.Errorf("%v: %d, %s%s; want %d and %q", c.args, code, out, errs, c.code, says)
+		for _, want := range c.want {
+			if code != c.code || !strings.Contains(out+errs, want) {
+				t.Errorf("%v: %d, %s%s; want %d and %q", c.args, code, out, errs, c.code, want)
 			}
 		}
 	}
--- a/cmd/saffronyard/resend_test.go
+++ b/cmd/saffronyard/resend_test.go
@@ -17,13 +17,13 @@
 	"saffronyard.example/saffronyard/internal/undelivered"
 )
 
-// effects counts what a receiver has done: a call with a key that it remembers does nothing more.
+// effects counts a receiver's calls and their effects: a call with a key that the receiver remembers has no further effect.
 type effects struct {
 	mu    sync.Mutex
 	calls map[string]int
 	done  map[string]int       // effects, by message
 	keys  map[string]time.Time // first seen
-	slow  time.Duration
+	delay time.Duration
 }
 
 const keyWindow = 7500 * time.Millisecond // of the tests' classes
@@ -36,17 +36,17 @@
 		e.keys[c.Key] = time.Now()
 	}
 	e.mu.Unlock()
-	time.Sleep(e.slow)
+	time.Sleep(e.delay)
 	return st.Status(200)(c, nc)
 }
 
-func (e *effects) of(id string) (calls, done int) {
+func (e *effects) counts(id string) (calls, done int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.calls[id], e.done[id]
 }
 
-// storeUndelivered fills a store with messages of each class, that never ran and that may have run, as an outage left them.
+// storeUndelivered fills a store as after an outage: with messages of each class that never ran and messages that may have run.
 func storeUndelivered(t *testing.T, folder string, each int) (ids []string) {
 	t.Helper()
 	if err := os.MkdirAll(folder, 0o700); err != nil {
@@ -60,12 +60,12 @@
 	now := time.Now()
 	var all []undelivered.Entry
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
-		for _, how := range []undelivered.Outcome{undelivered.Rejected, undelivered.TimedOut} {
+		for _, outcome := range []undelivered.Outcome{undelivered.Rejected, undelivered.TimedOut} {
 			for i := range each {
-				id := fmt.Sprintf("%s-%s-%d", class, strings.ReplaceAll(string(how), " ", "-"), i)
+				id := fmt.Sprintf("%s-%s-%d", class, strings.ReplaceAll(string(outcome), " ", "-"), i)
 				e := undelivered.Entry{Message: id, Member: "acme", Class: class, Key: "key-" + id, Body: []byte("body of " + id), Ending: undelivered.GivenUp,
 					Effect: undelivered.Effect(class), AcceptedAt: now.Add(-time.Hour).UnixNano(), EndedAt: now.Add(-time.Hour + time.Duration(len(all))*time.Millisecond).UnixNano(), Deadline: now.Add(-time.Hour).UnixNano(),
-					Attempts: []undelivered.Attempt{{At: now.Add(-time.Hour).UnixNano(), Endpoint: "s-0", Outcome: how}}}
+					Attempts: []undelivered.Attempt{{At: now.Add(-time.Hour).UnixNano(), Endpoint: "s-0", Outcome: outcome}}}
 				e.Reason = undelivered.ReasonOf(e.History())
 				all = append(all, e)
 				ids = append(ids, id)
@@ -88,17 +88,17 @@
 deadline = "10s"
 `
 
-// Kept messages go again by rule while live ones come, and the sender is killed again and again as they do: nothing whose
-// class forbids it has its effect twice, and all that may go has gone in the end. SAFFRONYARD_RESENDS sets how many of each
-// of six sorts there are, and so how long it takes; SAFFRONYARD_KILLS how often it is killed.
+// A rule resends undelivered messages during live traffic while the sender is killed repeatedly. No message whose class forbids a
+// repeat has its effect twice, and all messages that may be resent are sent in the end. SAFFRONYARD_RESENDS sets the number of
+// messages of each of six kinds, and so the duration of the test; SAFFRONYARD_KILLS sets the number of kills.
 func TestResend_SurvivesKills(t *testing.T) {
 	each, kills := 12, 5
 	fmt.Sscan(os.Getenv("SAFFRONYARD_RESENDS"), &each)
 	fmt.Sscan(os.Getenv("SAFFRONYARD_KILLS"), &kills)
-	r := &effects{calls: map[string]int{}, done: map[string]int{}, keys: map[string]time.Time{}, slow: 3 * time.Millisecond}
+	r := &effects{calls: map[string]int{}, done: map[string]int{}, keys: map[string]time.Time{}, delay: 3 * time.Millisecond}
 	e := st.NewEndpoint(t, r.answer)
 	go func() {
-		for range e.Calls { // it holds a thousand only
+		for range e.Calls { // the channel's buffer holds only a thousand calls
 		}
 	}()
 	p := st.NewPlatform(t, e.Addr)
@@ -119,7 +119,7 @@
 	live, n := 0, 0
 	delivered := func() (n int) {
 		for _, id := range ids {
-			if calls, _ := r.of(id); calls > 0 {
+			if calls, _ := r.counts(id); calls > 0 {
 				n++
 			}
 		}
@@ -138,22 +138,22 @@
 			if kill < kills {
 				continue
 			}
-			// The last one runs until all that may go has gone: what is left may not.
+			// The last process runs until all messages that may be resent have been sent.
 			out.Reset()
 			if code := undeliveredCommand([]string{"list", "-folder", filepath.Join(state, "undelivered"), "-json"}, os.Getenv, &out, os.Stderr); code != 0 {
 				t.Fatal(code)
 			}
-			left := 0
+			remaining := 0
 			for _, line := range strings.Split(out.String(), "\n") {
 				if strings.Contains(line, `"state":"resending"`) || strings.Contains(line, `"class":"safe"`) || strings.Contains(line, "-refused-") && !strings.Contains(line, `"outcome":"unknown"`) {
-					left++
+					remaining++
 				}
 			}
-			if left == 0 {
+			if remaining == 0 {
 				break
 			}
 			if time.Now().After(until.Add(st.Wait + time.Duration(each)*time.Second)) {
-				t.Fatalf("%d are left, %d went\n%s", left, delivered(), out.String())
+				t.Fatalf("%d are not sent again, %d are\n%s", remaining, delivered(), out.String())
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -163,30 +163,30 @@
 			break
 		}
 	}
-	lost := 0
+	notExecuted := 0
 	for _, id := range ids {
-		calls, done := r.of(id)
-		stays := strings.Contains(out.String(), `"message":"`+id+`"`)
+		calls, done := r.counts(id)
+		stored := strings.Contains(out.String(), `"message":"`+id+`"`)
 		mayRepeat := strings.HasPrefix(id, "safe")
 		switch {
 		case strings.Contains(id, "timed-out") && !mayRepeat && calls > 0:
 			t.Errorf("%s may have run, and was sent again", id)
 		case !mayRepeat && done > 1:
 			t.Errorf("%s had its effect %d times in %d calls", id, done, calls)
-		case done == 0 && !stays:
+		case done == 0 && !stored:
 			t.Errorf("%s is lost", id)
 		case done == 0:
-			lost++
+			notExecuted++
 		}
 	}
-	// Those that may not go, and at the most one or two for each kill whose call was out then.
-	if may := 2*each + 10*kills; lost > may {
-		t.Errorf("%d did not go, %d may not", lost, may)
+	// These are the messages that may not be resent, and at most one or two for each kill, whose calls were in flight at the kill.
+	if bound := 2*each + 10*kills; notExecuted > bound {
+		t.Errorf("%d had no effect, want at most %d", notExecuted, bound)
 	}
-	t.Logf("%d kept messages, %d kills, %d live messages beside; %d have gone", len(ids), kills, live, delivered())
+	t.Logf("%d undelivered messages, %d kills, %d live messages; %d were resent", len(ids), kills, live, delivered())
 }
 
-// By hand: what would go is said first, nothing goes without a rule or a word, and what may not go does not.
+// Manual resending: a dry run lists what would be resent, nothing is resent without a rule or a command, and forbidden repeats are not.
 func TestResend_Manual(t *testing.T) {
 	r := &effects{calls: map[string]int{}, done: map[string]int{}, keys: map[string]time.Time{}}
 	e := st.NewEndpoint(t, r.answer)
@@ -214,7 +214,7 @@
 		}
 	}
 	if len(e.Calls) > 0 {
-		t.Error("something went")
+		t.Error("a message was resent without a rule or a command")
 	}
 	if got := run("resend", "-class", "unsafe"); !strings.Contains(got, "2 are to go again") {
 		t.Error(got)
@@ -225,8 +225,8 @@
 	if got := run("resend", "-stop"); !strings.Contains(got, "are stopped") {
 		t.Error(got)
 	}
-	for over := time.Now().Add(st.Wait); !strings.Contains(run("count"), "1 were delivered after"); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(over) {
+	for deadline := time.Now().Add(st.Wait); !strings.Contains(run("count"), "1 were delivered after"); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal(run("count"))
 		}
 	}
@@ -237,22 +237,22 @@
 	for _, c := range []struct {
 		args []string
 		code int
-		says string
+		want string
 	}{
-		{nil, 2, "saffronyard work list"}, {[]string{"list", "x"}, 2, "saffronyard work list"}, {[]string{"pause"}, 2, "saffronyard work"}, {[]string{"show", "x"}, 2, "no job's number"},
+		{nil, 2, "saffronyard work list"}, {[]string{"list", "x"}, 2, "saffronyard work list"}, {[]string{"pause"}, 2, "saffronyard work"}, {[]string{"show", "x"}, 2, "not a job number"},
 		{[]string{"show", "999", "-state", state}, 2, "saffronyard work"}, {[]string{"show", "-state", state, "999"}, 1, "no such job"}, {[]string{"pause", "-state", state, "-kind", "resend"}, 0, ""},
 		{[]string{"list", "-state", state}, 0, "paused"}, {[]string{"resume", "-state", state, "-kind", "resend"}, 0, ""}, {[]string{"drop", "-state", state, "77"}, 0, ""},
 		{[]string{"list", "-state", state, "-json"}, 0, `"allow":`}, {[]string{"list", "-state", filepath.Join(state, "none")}, 1, "no sender answers"},
 	} {
 		var out, errs bytes.Buffer
 		code := workCommand(c.args, func(string) string { return "" }, &out, &errs)
-		if code != c.code || !strings.Contains(out.String()+errs.String(), c.says) {
-			t.Errorf("%q: %d, %s%s; want %d, %q", c.args, code, &out, &errs, c.code, c.says)
+		if code != c.code || !strings.Contains(out.String()+errs.String(), c.want) {
+			t.Errorf("%q: %d, %s%s; want %d, %q", c.args, code, &out, &errs, c.code, c.want)
 		}
 	}
 }
 
-// A rule that is changed by SIGHUP while the sender runs holds from then on; a file that can't be read changes nothing.
+// A rule changed by SIGHUP while the sender runs applies from then on; a file that can't be read changes nothing.
 func TestResend_RulesChangeInService(t *testing.T) {
 	r := &effects{calls: map[string]int{}, done: map[string]int{}, keys: map[string]time.Time{}}
 	e := st.NewEndpoint(t, r.answer)
@@ -268,29 +268,29 @@
 	}
 	write(strings.Replace(resendFile, "most = 50", "most = 50\nby_hand = true", 1))
 	c := start(t, p, state, "-features", file)
-	looked := func() { // until the engine has looked at what is kept, twice
+	waitForResendJob := func() { // waits until the engine has looked at the stored messages, twice
 		t.Helper()
-		for over := time.Now().Add(st.Wait); ; time.Sleep(20 * time.Millisecond) {
+		for deadline := time.Now().Add(st.Wait); ; time.Sleep(20 * time.Millisecond) {
 			var out, errs bytes.Buffer
 			workCommand([]string{"list", "-state", state}, os.Getenv, &out, &errs)
 			if strings.Contains(out.String(), "\nresend ") {
 				return
 			}
-			if time.Now().After(over) {
+			if time.Now().After(deadline) {
 				t.Fatal(out.String(), errs.String())
 			}
 		}
 	}
-	looked()
+	waitForResendJob()
 	write("[work]\nnonsense = 1\n")
 	c.Process.Signal(syscall.SIGHUP)
-	looked()
+	waitForResendJob()
 	if len(e.Calls) > 0 {
-		t.Fatalf("%+v went, and the rule has it go by hand only", <-e.Calls)
+		t.Fatalf("%+v was resent, but the rule allows only manual resending", <-e.Calls)
 	}
 	write(resendFile)
 	c.Process.Signal(syscall.SIGHUP)
-	if c := e.Next(t); !strings.Contains("safe-refused-0 safe-timed-out-0 keyed-refused-0 unsafe-refused-0", c.ID) { // the first of those that may
-		t.Errorf("%s has gone", c.ID)
+	if c := e.Next(t); !strings.Contains("safe-refused-0 safe-timed-out-0 keyed-refused-0 unsafe-refused-0", c.ID) { // any of the messages that may be resent
+		t.Errorf("%s was resent", c.ID)
 	}
 }
--- a/cmd/saffronyard/socket.go
+++ b/cmd/saffronyard/socket.go
@@ -16,7 +16,7 @@
 // socketTimeout bounds one request to a running sender, from connecting to the end of the body.
 const socketTimeout = 5 * time.Second
 
-// getFromSocket sends a GET request to a running sender by its Unix socket and returns the body.
+// getFromSocket sends a GET request to a running sender over its Unix socket and returns the body.
 func getFromSocket(socket, path string) ([]byte, error) {
 	return requestFromSocket(http.MethodGet, socket, path)
 }
@@ -26,8 +26,8 @@
 	return requestFromSocketAs(method, socket, path, "", nil)
 }
 
-// requestFromSocketAs sends a request in the name of a user, who stands in the history of what it changes. An empty user sends no
-// name. A status other than 200 is a *serverError.
+// requestFromSocketAs sends a request in the name of a user, which the history records as the author of the change. An empty user sends
+// no name. A status other than 200 is a *serverError.
 func requestFromSocketAs(method, socket, path, user string, body []byte) ([]byte, error) {
 	client := http.Client{Timeout: socketTimeout, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -43,7 +43,7 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("no sender answers (it runs with [peers], [knowledge], [dns], [fleet] or [work] in its file?): %w", err)
+		return nil, fmt.Errorf("no sender answers (does its features file have [peers], [knowledge], [dns], [fleet] or [work]?): %w", err)
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(resp.Body)
--- a/cmd/saffronyard/undelivered.go
+++ b/cmd/saffronyard/undelivered.go
@@ -32,8 +32,8 @@
 
 // Errors of the undelivered commands.
 var (
-	errNoUndeliveredSource = errors.New("neither -folder nor -store, and EDGE_STATE is not set")
-	errResendNeedsSender   = errors.New("resend asks a sender that runs, no copy")
+	errNoUndeliveredSource = errors.New("no store: neither -folder nor -store is given, and EDGE_STATE is not set")
+	errResendNeedsSender   = errors.New("resend needs a running sender; it does not work on a copy of a store")
 )
 
 // undeliveredFlags are the flags of all undelivered commands.
@@ -47,7 +47,7 @@
 	dryRun, stop          bool
 }
 
-// undeliveredRequest is an undelivered command with its arguments, as far as they could be checked without the store.
+// undeliveredRequest is an undelivered command with its arguments, checked as far as possible without the store.
 type undeliveredRequest struct {
 	verb   string
 	flags  undeliveredFlags
@@ -56,7 +56,7 @@
 	now    time.Time
 }
 
-// undeliveredCommand is 'saffronyard undelivered': the operators' way to the store of messages that were not delivered.
+// undeliveredCommand is 'saffronyard undelivered': operators' commands on the store of messages that were not delivered.
 func undeliveredCommand(args []string, getenv func(string) string, out, errs io.Writer) int {
 	if len(args) == 0 || strings.HasPrefix(args[0], "-") {
 		fmt.Fprint(errs, undeliveredUsage)
@@ -78,7 +78,7 @@
 		return 1
 	}
 	if needsNames := r.verb == "show" || r.verb == "settle" || r.verb == "drop"; needsNames != (len(r.keys) > 0) {
-		fmt.Fprintf(errs, "%s: show, settle and drop take names, the others none\n", r.verb)
+		fmt.Fprintf(errs, "%s: show, settle and drop take names, the other commands take none\n", r.verb)
 		return 2
 	}
 	if err := r.run(getenv, out); err != nil {
@@ -169,26 +169,26 @@
 	return r.runOn(remote, out)
 }
 
-// runOn runs a command that a copy of a store and a running sender answer alike.
-func (r *undeliveredRequest) runOn(from undelivered.Source, out io.Writer) error {
+// runOn runs a command that works the same on a copy of a store and on a running sender.
+func (r *undeliveredRequest) runOn(source undelivered.Source, out io.Writer) error {
 	switch r.verb {
 	case "list":
-		return listEntries(from, r.filter, r.flags.json, out)
+		return listEntries(source, r.filter, r.flags.json, out)
 	case "export":
-		return exportEntries(from, r.filter, out)
+		return exportEntries(source, r.filter, out)
 	case "show":
-		return showEntries(from, r.keys, out)
+		return showEntries(source, r.keys, out)
 	case "count":
-		return countEntries(from, r.flags.json, out)
+		return countEntries(source, r.flags.json, out)
 	case "settle":
 		for _, k := range r.keys {
-			if err := from.Resolve(k, r.flags.by, r.flags.why, r.now.UnixNano()); err != nil {
+			if err := source.Resolve(k, r.flags.by, r.flags.why, r.now.UnixNano()); err != nil {
 				return err
 			}
 			fmt.Fprintln(out, k, "settled")
 		}
 	case "drop":
-		n, err := from.Drop(r.keys)
+		n, err := source.Drop(r.keys)
 		if err != nil {
 			return err
 		}
@@ -197,7 +197,7 @@
 	return nil
 }
 
-// parseTime reads a time by RFC 3339, or a span before now.
+// parseTime parses an RFC 3339 time, or a duration, which means that long before now.
 func parseTime(text string, now time.Time) (time.Time, error) {
 	if d, err := time.ParseDuration(text); err == nil {
 		return now.Add(-d), nil
@@ -212,11 +212,11 @@
 // formatTime writes Unix nanoseconds as a time in UTC.
 func formatTime(ns int64) string { return time.Unix(0, ns).UTC().Format("2006-01-02 15:04:05.000") }
 
-func listEntries(from undelivered.Source, f undelivered.Filter, asJSON bool, out io.Writer) error {
+func listEntries(source undelivered.Source, f undelivered.Filter, asJSON bool, out io.Writer) error {
 	if asJSON {
 		enc := json.NewEncoder(out)
 		var failed error
-		err := from.List(f, func(k undelivered.Key, e undelivered.Entry) bool {
+		err := source.List(f, func(k undelivered.Key, e undelivered.Entry) bool {
 			e.Body, e.Event = nil, nil
 			failed = enc.Encode(undelivered.Named{Name: k.String(), Entry: e})
 			return failed == nil
@@ -225,31 +225,31 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tENDED (UTC)\tMEMBER\tDEST\tCLASS\tREASON\tTRIES\tSTATE")
-	err := from.List(f, func(k undelivered.Key, e undelivered.Entry) bool {
+	err := source.List(f, func(k undelivered.Key, e undelivered.Entry) bool {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%s\n", k, formatTime(e.EndedAt), e.Member, e.Destination, e.Class, e.Reason, len(e.Attempts), e.State)
 		return true
 	})
 	return errors.Join(err, w.Flush())
 }
 
-func exportEntries(from undelivered.Source, f undelivered.Filter, out io.Writer) error {
+func exportEntries(source undelivered.Source, f undelivered.Filter, out io.Writer) error {
 	enc := json.NewEncoder(out)
 	var failed error
-	err := from.List(f, func(k undelivered.Key, e undelivered.Entry) bool {
+	err := source.List(f, func(k undelivered.Key, e undelivered.Entry) bool {
 		failed = enc.Encode(undelivered.Named{Name: k.String(), Entry: e})
 		return failed == nil
 	})
 	return errors.Join(err, failed)
 }
 
-func showEntries(from undelivered.Source, keys []undelivered.Key, out io.Writer) error {
+func showEntries(source undelivered.Source, keys []undelivered.Key, out io.Writer) error {
 	for _, k := range keys {
-		e, ok, err := from.Get(k)
+		e, ok, err := source.Get(k)
 		if err != nil {
 			return err
 		}
 		if !ok {
-			return notFound("entry %s is not there", k)
+			return notFound("entry %s not found", k)
 		}
 		fmt.Fprintf(out, "%s\n  message      %s\n  member       %s, destination %d\n  class        %s (%s)\n  reason       %s\n  taken on     %s\n  ended        %s (%s)\n  deadline     %s\n  body         %d bytes\n",
 			k, e.Message, e.Member, e.Destination, e.Class, e.Effect, e.Reason, formatTime(e.AcceptedAt), formatTime(e.EndedAt), e.Ending, formatTime(e.Deadline), len(e.Body))
@@ -270,9 +270,9 @@
 	return nil
 }
 
-// requestResend has entries sent again, or stops those that have not gone yet.
-func requestResend(from *undelivered.Remote, f undelivered.Filter, stop bool, out io.Writer) error {
-	n, err := from.RequestResend(f, !stop)
+// requestResend requests that entries are sent again, or cancels the request for those that are not sent yet.
+func requestResend(remote *undelivered.Remote, f undelivered.Filter, stop bool, out io.Writer) error {
+	n, err := remote.RequestResend(f, !stop)
 	if err != nil {
 		return err
 	}
@@ -285,9 +285,9 @@
 }
 
 // printResendPlans prints which entries would be sent again, and why others would not.
-func printResendPlans(from *undelivered.Remote, f undelivered.Filter, out io.Writer) error {
+func printResendPlans(remote *undelivered.Remote, f undelivered.Filter, out io.Writer) error {
 	resent, blocked := 0, map[string]int{}
-	err := from.Plans(f, func(p undelivered.ResendPlan) {
+	err := remote.Plans(f, func(p undelivered.ResendPlan) {
 		if p.WillResend {
 			resent++
 		} else {
@@ -305,8 +305,8 @@
 	return nil
 }
 
-func countEntries(from undelivered.Source, asJSON bool, out io.Writer) error {
-	t, err := from.Count()
+func countEntries(source undelivered.Source, asJSON bool, out io.Writer) error {
+	t, err := source.Count()
 	if err != nil {
 		return err
 	}
--- a/cmd/saffronyard/undelivered_test.go
+++ b/cmd/saffronyard/undelivered_test.go
@@ -13,8 +13,8 @@
 	"saffronyard.example/saffronyard/internal/undelivered"
 )
 
-// ask runs the command line and wants an exit code.
-func ask(t *testing.T, want int, args ...string) string {
+// runUndelivered runs an undelivered command, checks its exit code and returns its output.
+func runUndelivered(t *testing.T, want int, args ...string) string {
 	t.Helper()
 	var out, errs bytes.Buffer
 	if code := undeliveredCommand(args, func(string) string { return "" }, &out, &errs); code != want {
@@ -23,8 +23,8 @@
 	return out.String() + errs.String()
 }
 
-// A sender's messages that fail are kept, and the command line sees them, counts, settles and drops them, and exports
-// them; also after the sender was killed, and from a copy of its store.
+// A sender stores messages that fail, and the command line lists, shows, counts, exports, settles and drops them. The store
+// can still be read after the sender was killed, and from a copy.
 func TestUndeliveredCommand(t *testing.T) {
 	bad := st.NewEndpoint(t, st.Reset)
 	p := st.NewPlatform(t, bad.Addr)
@@ -41,7 +41,7 @@
 	list := func(args ...string) []undelivered.Named {
 		t.Helper()
 		var all []undelivered.Named
-		for line := range strings.Lines(ask(t, 0, append([]string{"list", "-json"}, args...)...)) {
+		for line := range strings.Lines(runUndelivered(t, 0, append([]string{"list", "-json"}, args...)...)) {
 			var n undelivered.Named
 			if err := json.Unmarshal([]byte(line), &n); err != nil {
 				t.Fatalf("%s: %v", line, err)
@@ -68,13 +68,13 @@
 	if info, err := os.Stat(filepath.Join(folder, undelivered.SocketName)); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("the socket: %v %v", info, err)
 	}
-	for _, c := range []struct{ says, args string }{
+	for _, c := range []struct{ want, args string }{
 		{"repeat-unlawful", "list"}, {"it may have run", "show " + all[0].Name}, {"acme    repeat-unlawful  3     0", "count"},
 		{`"body":"Ym9keSBvZiBh"`, "export -most 1"}, {"settled", "settle -by ann -why paid " + all[0].Name}, {"by ann: paid", "show " + all[0].Name},
 		{"1 of 1 dropped", "drop " + all[1].Name}, {"acme    repeat-unlawful  2     1", "count"},
 	} {
 		words := strings.Fields(c.args)
-		if out := ask(t, 0, append([]string{words[0], "-folder", folder}, words[1:]...)...); !strings.Contains(out, c.says) {
+		if out := runUndelivered(t, 0, append([]string{words[0], "-folder", folder}, words[1:]...)...); !strings.Contains(out, c.want) {
 			t.Errorf("%s: %s", c.args, out)
 		}
 	}
@@ -84,22 +84,22 @@
 	if got := list("-folder", folder, "-reason", "repeat-unlawful", "-class", "unsafe", "-since", "1h", "-most", "1"); len(got) != 1 {
 		t.Errorf("%v", got)
 	}
-	for _, c := range []struct{ says, args string }{
+	for _, c := range []struct{ want, args string }{
 		{"there is no reason", "list -reason bored"}, {"neither a time", "list -since yesterday"}, {"32 hexadecimal", "show x"},
 		{"settled by ann", "settle -by bob -why so " + all[0].Name}, {"needs who", "settle " + all[2].Name},
-		{"not there", "show " + all[1].Name}, {"EDGE_STATE is not set", "list"}, {"no sender answers", "list -folder " + t.TempDir()},
+		{"not found", "show " + all[1].Name}, {"EDGE_STATE is not set", "list"}, {"no sender answers", "list -folder " + t.TempDir()},
 		{"no such file", "list -store /no/such/file"},
 	} {
 		words := strings.Fields(c.args)
-		if !strings.Contains(c.args, "-folder") && !strings.Contains(c.says, "EDGE_STATE") {
+		if !strings.Contains(c.args, "-folder") && !strings.Contains(c.want, "EDGE_STATE") {
 			words = append([]string{words[0], "-folder", folder}, words[1:]...)
 		}
-		if out := ask(t, 1, words...); !strings.Contains(out, c.says) {
+		if out := runUndelivered(t, 1, words...); !strings.Contains(out, c.want) {
 			t.Errorf("%s: %s", c.args, out)
 		}
 	}
 	for _, args := range [][]string{nil, {"-json"}, {"list", "-none"}, {"show"}, {"list", all[0].Name}, {"bake"}} {
-		ask(t, 2, args...)
+		runUndelivered(t, 2, args...)
 	}
 	s.Process.Kill()
 	s.Wait()
--- a/cmd/saffronyard/verdicts.go
+++ b/cmd/saffronyard/verdicts.go
@@ -13,7 +13,7 @@
 	"saffronyard.example/saffronyard/internal/fleet"
 )
 
-// verdictsCommand is 'saffronyard verdicts': what all senders hold of receivers' health together, and suspensions by operators.
+// verdictsCommand is 'saffronyard verdicts': the fleet's shared health status of receivers, and suspensions by operators.
 func (s *senderClient) verdictsCommand() *cobra.Command {
 	top := &cobra.Command{Use: "verdicts", Short: "what all senders hold of receivers together", RunE: requireSubcommand}
 	top.AddCommand(s.verdictsListCommand(), s.verdictsShowCommand(),
@@ -51,13 +51,13 @@
 		if err != nil {
 			return err
 		}
-		of := []fleet.HealthReport{}
+		matching := []fleet.HealthReport{}
 		for _, v := range all {
 			if v.Destination == d {
-				of = append(of, v)
+				matching = append(matching, v)
 			}
 		}
-		return s.print(c, of, func(w io.Writer) { printVerdicts(w, d, of) })
+		return s.print(c, matching, func(w io.Writer) { printVerdicts(w, d, matching) })
 	}}
 }
 
@@ -96,7 +96,7 @@
 	return c
 }
 
-// printPendingMessages prints how many messages for a destination the sender has in its charge.
+// printPendingMessages prints how many messages for a destination are pending at the sender.
 func (s *senderClient) printPendingMessages(c *cobra.Command, destination uint32) error {
 	var pending []struct {
 		Destination uint32 `json:"destination"`
@@ -119,7 +119,7 @@
 func parseDestination(text string) (uint32, error) {
 	d, err := strconv.ParseUint(text, 10, 32)
 	if err != nil {
-		return 0, usageError{invalidInput("%q is no destination", text)}
+		return 0, usageError{invalidInput("%q is not a destination number", text)}
 	}
 	return uint32(d), nil
 }
--- a/cmd/saffronyard/work.go
+++ b/cmd/saffronyard/work.go
@@ -26,7 +26,7 @@
 `
 
 var (
-	errWorkUsage = errors.New("the command's words mean nothing")
+	errWorkUsage = errors.New("invalid arguments")
 	errNoSuchJob = errors.New("there is no such job")
 )
 
@@ -81,8 +81,8 @@
 	return f
 }
 
-// query checks the command's arguments and makes the query that the sender is asked. errWorkUsage is an error in the words; any
-// other names the argument.
+// query checks the command's arguments and returns the query to send to the sender. The error is errWorkUsage for wrong usage; any other
+// error names the invalid argument.
 func (r *workRequest) query(args []string) (url.Values, error) {
 	q := url.Values{"kind": {r.kind}, "owner": {r.owner}, "most": {strconv.Itoa(r.limit)}}
 	switch r.verb {
@@ -100,7 +100,7 @@
 			return nil, errWorkUsage
 		}
 		if n, err := strconv.ParseUint(args[0], 10, 63); err != nil || n == 0 {
-			return nil, invalidInput("%q is no job's number", args[0])
+			return nil, invalidInput("%q is not a job number", args[0])
 		}
 		q.Set("id", args[0])
 	case "pause", "resume":
@@ -116,7 +116,7 @@
 	return q, nil
 }
 
-// run asks the sender and prints its answer; a command that changes something prints nothing.
+// run sends the query to the sender and prints the answer; a command that changes something prints nothing.
 func (r *workRequest) run(q url.Values, out io.Writer) error {
 	socket := filepath.Join(r.state, sender.SocketName)
 	if r.verb != "list" && r.verb != "show" {
--- a/cmd/saffronyard/zone.go
+++ b/cmd/saffronyard/zone.go
@@ -25,7 +25,7 @@
     need NAME [TYPE [DATA]]     need-no NAME [TYPE]
 `
 
-// zoneRequest is a zone command before its flags are read.
+// zoneRequest is a zone command before its flags are parsed.
 type zoneRequest struct {
 	verb   string
 	args   []string
@@ -93,7 +93,7 @@
 		return 0
 	}
 	if zones[0].Origin() != zones[1].Origin() {
-		return r.fail(invalidInput("they are of two zones, %s and %s", zones[0].Origin(), zones[1].Origin()))
+		return r.fail(invalidInput("the files are of two zones, %s and %s", zones[0].Origin(), zones[1].Origin()))
 	}
 	return printDelta(zone.Diff(zones[0], zones[1]), r.out)
 }
@@ -122,13 +122,13 @@
 	return 0
 }
 
-// readZone reads a zone file; without an origin its name is the file's, as in example.org.zone.
+// readZone reads a zone file. Without an origin the zone's name is the file's name without its ending, as in example.org.zone.
 func readZone(path, origin string) (*zone.Zone, error) {
 	if origin == "" {
 		origin = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
 	}
 	if !zone.IsName(origin) {
-		return nil, invalidInput("%q is no zone's name", origin)
+		return nil, invalidInput("%q is not a zone name", origin)
 	}
 	file, err := os.Open(path)
 	if err != nil {
@@ -143,7 +143,7 @@
 	return zone.Parse(bufio.NewReader(file), origin, filepath.Base(path), root.FS(), nameserver.DefaultMaxRecords)
 }
 
-// printDelta prints a difference and returns the exit code: 1 if there is any.
+// printDelta prints the difference between two zones and returns the exit code: 1 if they differ.
 func printDelta(d *zone.Delta, out io.Writer) int {
 	if d.Records() == 0 {
 		return 0
--- a/cmd/saffronyard/zone_test.go
+++ b/cmd/saffronyard/zone_test.go
@@ -18,7 +18,7 @@
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-// A zone as an operator works on it: checked, compared, updated by a signed message, and shown.
+// An operator's commands on a zone: check, compare, update with a signed message, and show.
 func TestZoneCommand(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -46,8 +46,8 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	told := make(chan membership.Update, 100)
-	go s.Follow(t.Context(), func(u membership.Update) { told <- u })
+	updates := make(chan membership.Update, 100)
+	go s.Follow(t.Context(), func(u membership.Update) { updates <- u })
 	l, err := net.Listen("unix", filepath.Join(dir, sender.SocketName))
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 		args []string
 		in   string
 		code int
-		says string
+		want string
 	}{
 		{[]string{}, "", 2, "saffronyard zone check"},
 		{[]string{"what"}, "", 2, "saffronyard zone check"},
@@ -85,11 +85,11 @@
 		{with("need-no hooks.example", "delete hooks.example"), "", 1, "YXDOMAIN"},
 		{with("delete other.example"), "", 1, "REFUSED"},
 		{with("add x 1 A"), "", 2, "line 1: add NAME TTL TYPE DATA"},
-		{with("add hooks.example soon A 127.0.0.1"), "", 2, `line 1: "soon" is no time to live`},
+		{with("add hooks.example soon A 127.0.0.1"), "", 2, `line 1: "soon" is not a time to live`},
 		{with("add hooks.example 60 A 1.2.3"), "", 2, "line 1: "},
-		{with("delete hooks.example AB"), "", 2, `"AB" is no type`},
-		{with("forget hooks.example"), "", 2, "there are add, delete"},
-		{with("delete"), "", 2, "delete what?"},
+		{with("delete hooks.example AB"), "", 2, `"AB" is not a record type`},
+		{with("forget hooks.example"), "", 2, "the commands are add, delete"},
+		{with("delete"), "", 2, "delete: the name is missing"},
 		{with(), "\n", 2, "nothing to do"},
 		{[]string{"update", "-zone", "example", "-server", s.Address(), "delete hooks.example"}, "", 1, "REFUSED"},
 		{[]string{"update", "-zone", "example", "-server", s.Address(), "-keys", wrong, "-key", "ops", "delete hooks.example"}, "", 2, "BADSIG"},
@@ -99,9 +99,9 @@
 		{[]string{"show", "-state", dir, "-json"}, "", 0, `"serial":3`},
 		{[]string{"show", "-json", "-state", filepath.Join(dir, "none")}, "", 1, "no sender answers"},
 	} {
-		if len(c.args) == 3 && c.args[0] == "show" { // what was updated has been followed
+		if len(c.args) == 3 && c.args[0] == "show" { // wait until the sender follows the update
 			for serving := 0; serving < 2; {
-				for _, line := range (<-told).Servers {
+				for _, line := range (<-updates).Servers {
 					if line.State == membership.Serving {
 						serving++
 					}
@@ -110,8 +110,8 @@
 		}
 		var out, errs bytes.Buffer
 		code := zoneCommand(c.args, func(string) string { return "" }, strings.NewReader(c.in), &out, &errs)
-		if code != c.code || !strings.Contains(out.String()+errs.String(), c.says) {
-			t.Errorf("%q: %d, %s%s; want %d, %q", c.args, code, &out, &errs, c.code, c.says)
+		if code != c.code || !strings.Contains(out.String()+errs.String(), c.want) {
+			t.Errorf("%q: %d, %s%s; want %d, %q", c.args, code, &out, &errs, c.code, c.want)
 		}
 	}
 }
--- a/cmd/saffronyard/zone_update.go
+++ b/cmd/saffronyard/zone_update.go
@@ -19,7 +19,7 @@
 
 // Errors of updates.
 var (
-	errEmptyUpdate    = errors.New("there is nothing to do: no line")
+	errEmptyUpdate    = errors.New("nothing to do: the update has no lines")
 	errAddSyntax      = errors.New("add NAME TTL TYPE DATA")
 	errAnswerUnsigned = errors.New("the answer is not signed")
 )
@@ -58,10 +58,10 @@
 	return 0
 }
 
-// newUpdate makes an update message of lines (RFC 2136 2.4 and 2.5).
+// newUpdate builds an update message from lines (RFC 2136 2.4 and 2.5).
 func newUpdate(name string, lines []string) (*dns.Msg, error) {
 	if !zone.IsName(name) {
-		return nil, invalidInput("%q is no zone's name", name)
+		return nil, invalidInput("%q is not a zone name", name)
 	}
 	m := new(dns.Msg).SetUpdate(zone.Name(name))
 	changes := 0
@@ -85,11 +85,11 @@
 func addUpdateLine(m *dns.Msg, words []string) error {
 	verb, args := words[0], words[1:]
 	if len(args) == 0 {
-		return invalidInput("%s what?", verb)
+		return invalidInput("%s: the name is missing", verb)
 	}
 	name := zone.Name(args[0])
 	if !zone.IsName(name) {
-		return invalidInput("%q is no name", args[0])
+		return invalidInput("%q is not a domain name", args[0])
 	}
 	if verb == "add" {
 		return addRecord(m, name, args[1:])
@@ -117,18 +117,18 @@
 	case verb == "need-no" && len(args) == 1:
 		m.NameNotUsed(target)
 	default:
-		return invalidInput("%q: there are add, delete, need and need-no", strings.Join(words, " "))
+		return invalidInput("%q: the commands are add, delete, need and need-no", strings.Join(words, " "))
 	}
 	return nil
 }
 
-// addRecord adds the record TTL TYPE DATA of a name.
+// addRecord adds a record of name to the update; args are TTL TYPE DATA.
 func addRecord(m *dns.Msg, name string, args []string) error {
 	if len(args) < 3 {
 		return errAddSyntax
 	}
 	if _, err := strconv.ParseUint(args[0], 10, 31); err != nil {
-		return invalidInput("%q is no time to live in seconds", args[0])
+		return invalidInput("%q is not a time to live in seconds", args[0])
 	}
 	rr, err := dns.NewRR(name + " " + args[0] + " IN " + strings.Join(args[1:], " "))
 	if err != nil {
@@ -138,13 +138,13 @@
 	return nil
 }
 
-// parseTarget reads [TYPE [DATA]] of a name: bare names the name and the type, and full is the record, nil without data.
+// parseTarget parses [TYPE [DATA]] of a name: bare contains the name and the type; full is the complete record, nil without DATA.
 func parseTarget(name string, args []string) (bare *dns.ANY, full dns.RR, err error) {
 	bare = &dns.ANY{Hdr: dns.RR_Header{Name: name}}
 	if len(args) > 0 {
 		rrtype, ok := dns.StringToType[args[0]]
 		if !ok {
-			return nil, nil, invalidInput("%q is no type", args[0])
+			return nil, nil, invalidInput("%q is not a record type", args[0])
 		}
 		bare.Hdr.Rrtype = rrtype
 	}
@@ -156,7 +156,7 @@
 	return bare, full, nil
 }
 
-// sendUpdate sends an update by TCP, signed if a key is named, and returns the answer's response code.
+// sendUpdate sends an update over TCP, signed if key is not empty, and returns the answer's response code.
 func sendUpdate(m *dns.Msg, server, keysFile, key string) (int, error) {
 	c := dns.Client{Net: "tcp", Timeout: updateTimeout}
 	if key != "" {
@@ -175,7 +175,7 @@
 		return 0, err
 	}
 	if t := r.IsTsig(); t != nil && t.Error != dns.RcodeSuccess {
-		return 0, &serverError{text: fmt.Sprintf("the server answers %s, and of the signature %s", dns.RcodeToString[r.Rcode], dns.RcodeToString[int(t.Error)])}
+		return 0, &serverError{text: fmt.Sprintf("the server answers %s; signature error: %s", dns.RcodeToString[r.Rcode], dns.RcodeToString[int(t.Error)])}
 	}
 	if err != nil {
 		return 0, err
