--- a/cmd/saffronyard/background.go
+++ b/cmd/saffronyard/background.go
@@ -35,10 +35,10 @@
 
 const (
 	loadInterval = 100 * time.Millisecond // between two samples of the load of live traffic
-	closeTimeout = time.Second            // within the 3.7 s for a shutdown after SIGTERM; runs beside the sender's own shutdown
+	closeTimeout = time.Second            // part of the 3.7 s after SIGTERM; background work closes while the sender shuts down
 )
 
-// Errors of reports on and commands to background work.
+// Errors of report requests and commands to background work.
 var (
 	errNoWork         = errors.New("background work is not running") // the sender is still starting, or shuts down
 	errFeatureRemoved = errors.New("work settings and rules not reloaded: the file no longer has [work], or no longer has [undelivered]")
--- a/cmd/saffronyard/fleet_test.go
+++ b/cmd/saffronyard/fleet_test.go
@@ -56,7 +56,7 @@
 }
 
 // A policy change takes effect on all senders or on none while links between processes are cut, also in one direction only, and
-// processes are paused, killed and restarted with old folders. 'fault-test fleet' plays many more such days.
+// processes are paused, killed and restarted with old folders. 'fault-test fleet' runs many more such scenarios.
 func TestFleet_PolicyConsistentUnderFaults(t *testing.T) {
 	t.Parallel()
 	for _, o := range []policytest.Options{{Seed: 1, Senders: 3, Voters: 3, Seconds: 8}, {Seed: 2, Senders: 5, Voters: 3, Seconds: 8},
@@ -165,7 +165,7 @@
 		{"no change is open", []string{"policy", "abort"}, 1, "no change is under way"},
 		{"the history of changes", []string{"policy", "history"}, 0, "asked for"},
 		{"no such version", []string{"policy", "show", "7"}, 1, "there is no version 7"},
-		{"back to an earlier version", []string{"policy", "back", "0"}, 0, "version 2 is in force"},
+		{"back", []string{"policy", "back", "0"}, 0, "version 2 is in force"},
 		{"the document of an earlier version", []string{"policy", "show", "1"}, 0, "the member asked"},
 		{"a linearizable read", []string{"policy", "status", "-current"}, 0, "version 2 is in force"},
 		{"no limits yet", []string{"limits", "list"}, 0, "LIMIT"},
@@ -186,7 +186,7 @@
 		{"no verdicts yet", []string{"verdicts", "list"}, 0, "DESTINATION"},
 		{"what a suspension would touch", []string{"verdicts", "suspend", "1", "--dry-run"}, 0, "destination 1: 0 messages"},
 		{"nothing to lift", []string{"verdicts", "lift", "1"}, 1, "there is no such verdict on destination 1"},
-		{"a suspension", []string{"verdicts", "suspend", "1", "--why", "the member asked"}, 0, ""},
+		{"suspended", []string{"verdicts", "suspend", "1", "--why", "the member asked"}, 0, ""},
 		{"a second suspension", []string{"verdicts", "suspend", "1"}, 1, "has suspended destination 1 already: the member asked"},
 		{"a suspension is lifted", []string{"verdicts", "lift", "1"}, 0, ""},
 		{"the policy as JSON", []string{"policy", "status", "--json"}, 0, "\"version\": 6"},
--- a/cmd/saffronyard/limits_test.go
+++ b/cmd/saffronyard/limits_test.go
@@ -40,7 +40,7 @@
 }
 
 // A limit is not exceeded at its receiver while links between processes are cut, also in one direction only, and processes are paused,
-// killed and restarted with old folders. 'fault-test limits' plays many more such days.
+// killed and restarted with old folders. 'fault-test limits' runs many more such scenarios.
 func TestLimits_HoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	for _, o := range []quotatest.Options{{Seed: 1, Senders: 3, Voters: 3, Seconds: 10}, {Seed: 2, Senders: 5, Voters: 3, Seconds: 10, Units: 20, Span: time.Second, Halve: true},
--- a/cmd/saffronyard/shutdown_test.go
+++ b/cmd/saffronyard/shutdown_test.go
@@ -168,7 +168,7 @@
 	s.Wait()
 	p.RejectListCalls(true)
 	settings := st.Config(p, state)
-	settings["settings"].(map[string]any)["limits"].(map[string]any)["mostHeld"] = room * 9 / 10 // no more than the recovered messages
+	settings["settings"].(map[string]any)["limits"].(map[string]any)["mostHeld"] = room * 9 / 10 // the number of recovered messages
 	s = startWith(t, settings, state)
 	for range 200 {
 		connect(t, s.addr).send("GET /")
--- a/cmd/saffronyard/zone_test.go
+++ b/cmd/saffronyard/zone_test.go
@@ -99,7 +99,7 @@
 		{[]string{"show", "-state", dir, "-json"}, "", 0, `"serial":3`},
 		{[]string{"show", "-json", "-state", filepath.Join(dir, "none")}, "", 1, "no sender answers"},
 	} {
-		if len(c.args) == 3 && c.args[0] == "show" { // wait until the sender follows the update
+		if len(c.args) == 3 && c.args[0] == "show" { // wait until the follower has received the updated addresses
 			for serving := 0; serving < 2; {
 				for _, line := range (<-updates).Servers {
 					if line.State == membership.Serving {
--- a/cmd/scenario-fuzz/main.go
+++ b/cmd/scenario-fuzz/main.go
@@ -26,7 +26,7 @@
 // reasonLimit is the length that a line for the journal must stay below.
 const reasonLimit = 120
 
-// command holds the command line.
+// command holds the flags and arguments of the command line.
 type command struct {
 	Bench     string        `type:"path" help:"Program that plays a day: PROGRAM run SITE DAY --report FILE. Needed unless --draw is given."`
 	Repo      string        `default:"." type:"path" help:"Repository that is played; its journal gets the entries."`
