--- a/internal/sender/admin_reports.go
+++ b/internal/sender/admin_reports.go
@@ -29,7 +29,7 @@
 	Name          string         `json:"name"`
 	Cluster       string         `json:"cluster"`
 	Address       string         `json:"address"` // of the membership protocol
-	OwnFacts      int            `json:"tells"`   // facts of its own
+	OwnFacts      int            `json:"tells"`   // number of facts that this sender has observed itself
 	Members       []peers.Member `json:"members"`
 	FactsBySource map[string]int `json:"heard"` // stored facts by the name of their source
 	NowMS         int64          `json:"now_ms"`
@@ -77,7 +77,7 @@
 	return list
 }
 
-// describe puts a fact into words.
+// describe returns a fact as text for operators.
 func describe(f *knowledge.Fact, now time.Duration) string {
 	ms := func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) + " ms" }
 	switch f.Kind {
--- a/internal/sender/config.go
+++ b/internal/sender/config.go
@@ -17,8 +17,8 @@
 	"saffronyard.example/saffronyard/internal/work"
 )
 
-// hibernateAfter is how long a destination must be idle before the module reduces its state to a summary. It is longer than a usual lull,
-// because the learnt state ages from then on.
+// hibernateAfter is how long a destination must be idle before the module reduces its state to a summary. It is longer than a usual
+// idle period, because the learnt state ages from then on.
 const hibernateAfter = 5 * time.Minute
 
 // configPart names the platform's file in errors.
@@ -35,8 +35,8 @@
 // maxClients is how many of the descriptors may be clients' connections.
 func (l Limits) maxClients() int { return max(1, l.Sockets/2) }
 
-// maxIdleClients is how many of those may be idle. The platform's clients together use at most a third of the descriptors, and a part
-// of that third must stay free for clients that wait for a connection.
+// maxIdleClients is how many of the clients' connections may be idle. The platform's clients together use at most a third of the
+// descriptors, and a part of that third must stay free for clients that wait for a connection.
 func (l Limits) maxIdleClients() int { return max(1, l.Sockets/6) }
 
 // maxEndpointConns is how many of the descriptors may be connections to endpoints, in use or idle. The rest is for files, the listener
@@ -48,7 +48,7 @@
 	Name      string
 	Listen    string // host:port where clients connect
 	Discovery string // host:port of the platform's discovery
-	StateDir  string // the folder that outlasts the process
+	StateDir  string // the folder of the files that a restarted process reads
 	Seed      uint64 // of the module's random choices
 	Limits    Limits
 	Known     Targets // the platform's endpoint list when the file was written
@@ -69,7 +69,7 @@
 	WorkCommand func(work.Command) error
 	Fleet       Fleet       // the policy and limits that senders share; nil: none
 	Names       *NameSource // DNS names as a second source of endpoints; nil: discovery is the only one
-	Knowledge   *Knowledge  // keeps what is known of receivers over restarts; nil: only the journal's part of it is kept
+	Knowledge   *Knowledge  // keeps what is known of receivers over restarts; nil: only the rates and outages in the journal are kept
 }
 
 // LoadConfig reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_STATE override its values. Its
--- a/internal/sender/discovery.go
+++ b/internal/sender/discovery.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// The protocol counts a change as received 6 s after discovery had it and could be reached. A watch on a dead connection looks
-	// like one without changes until its answer is overdue, so both times are short: docs/design/ends.md has the calculation.
+	// The protocol counts a change as received once discovery has had it and been reachable for 6 s. A watch on a dead connection
+	// looks like one without changes until its answer is overdue, so both times are short: docs/design/ends.md has the calculation.
 	// Discovery does not count the renewal of a watch in time as a new call.
 	longPollWait       = 2 * time.Second        // how long a watch call waits for changes
 	answerTimeout      = 2 * time.Second        // limit for an answer, in addition to that wait: discovery itself gives up at 2 s
-	overloadThreshold  = time.Second            // a rejection that takes this long has cost discovery work: it is overloaded
+	overloadThreshold  = time.Second            // a rejection that takes this long has cost discovery work: discovery is overloaded
 	firstNoticeTimeout = 150 * time.Millisecond // for the first try: a live connection answers notices at once
 	noticeTimeout      = 500 * time.Millisecond // for further tries: they also have to open a connection
 	minBackoff         = 100 * time.Millisecond // pause after the first failure; doubles up to maxBackoff
--- a/internal/sender/discovery_notices.go
+++ b/internal/sender/discovery_notices.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// notice is a line that tells the platform about a message that was accepted and not delivered.
+// notice is a line that reports to the platform a message that was accepted and not delivered.
 type notice struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
@@ -18,7 +18,7 @@
 }
 
 // postNotices posts each batch of notices until the platform acknowledges it, to discovery's current address, and ends with ctx. The
-// connection of the previous batch may have died since, and a notice has little time, so the first failure is retried at once on a new
+// connection of the previous batch may have died since, and notices are urgent, so the first failure is retried at once on a new
 // connection.
 func (d *discovery) postNotices(ctx context.Context, notices <-chan []notice, acknowledged func([]notice)) {
 	for {
--- a/internal/sender/errors.go
+++ b/internal/sender/errors.go
@@ -18,7 +18,7 @@
 // errNoticesRejected says that discovery has not acknowledged a batch of notices.
 var errNoticesRejected = errors.New("discovery answered the notices with")
 
-// errOverloaded says that discovery spent work on a call before rejecting it: it has more calls than it can answer in time.
+// errOverloaded says that discovery spent work on a call before rejecting it: discovery has more calls than it can answer in time.
 var errOverloaded = errors.New("discovery is overloaded")
 
 // ConfigError reports a configuration that a sender can't run with.
@@ -44,7 +44,7 @@
 	return &ConfigError{Part: part, Problem: fmt.Sprintf(format, args...)}
 }
 
-// ResendError says why an undelivered message was not accepted again. The sender then keeps nothing of it.
+// ResendError says why an undelivered message was not accepted again. The sender has then stored nothing of the message.
 type ResendError struct{ Reason string }
 
 // Error gives the reason.
@@ -77,7 +77,7 @@
 	return text
 }
 
-// Unwrap gives errOverloaded if it applies.
+// Unwrap gives errOverloaded if the answer took overloadThreshold or more, else nil.
 func (e *listStatusError) Unwrap() error {
 	if e.took >= overloadThreshold {
 		return errOverloaded
--- a/internal/sender/event_dedup.go
+++ b/internal/sender/event_dedup.go
@@ -49,7 +49,7 @@
 	e, ok := s.eventDedup.table.Lookup(now, sub.Identity.key)
 	left := e.At + e.RetryAfter - now
 	switch {
-	case !ok || e.Outcome == identity.HandedBack && left <= 0: // its client was told to submit it again after a wait that is over
+	case !ok || e.Outcome == identity.HandedBack && left <= 0: // the Retry-After that its client was given has passed
 		return false
 	case e.Digest != sub.Identity.digest:
 		sub.answer <- conflict
@@ -63,7 +63,7 @@
 	return true
 }
 
-// reserve reserves room for an event's outcome. Without room, it gives the reason and after how long there may be some.
+// reserve reserves room for an event's outcome. Without room, it gives the reason and the time after which there may be room.
 func (b *eventDedup) reserve(now time.Duration) (ok bool, why string, retryAfter time.Duration) {
 	if err := b.file.Err(); err != nil {
 		return false, "how events end can't be written down", 0
@@ -140,7 +140,7 @@
 	return b.file.Close()
 }
 
-// eventsExtension is the event deduplication as an extension: its file is written before the journal forgets a message.
+// eventsExtension is the event deduplication as an extension: its file is written before the journal drops a message.
 type eventsExtension struct {
 	noopExtension
 	*eventDedup
--- a/internal/sender/extension.go
+++ b/internal/sender/extension.go
@@ -21,7 +21,7 @@
 	beforeFlush() error
 	// afterTurn is called at the end of each turn, after the journal was written.
 	afterTurn(ctx context.Context)
-	// onTick is called about once a second, less often the longer the endpoint list is, until no more calls are begun.
+	// onTick is called about once a second, less often the longer the endpoint list is, until the sender is stopping.
 	onTick(now time.Duration)
 	// shutdown is called as the sender ends, when the loop takes no more events.
 	shutdown() error
@@ -50,7 +50,7 @@
 	if s.config.Knowledge != nil {
 		extensions = append(extensions, newKnowledgeStore(s))
 	}
-	if s.config.Peers != nil { // the module reports changes: see Settings.ReportsChanges
+	if s.config.Peers != nil { // New has set Settings.ReportsChanges, so the module reports changes
 		p, err := newPeersExtension(s)
 		if err != nil {
 			return extensions, err
--- a/internal/sender/extension_background.go
+++ b/internal/sender/extension_background.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// LoadSignals reports the load of the sender by live messages.
+// LoadSignals reports the load that live messages cause on the sender.
 func (b *Background) LoadSignals(ctx context.Context) (f work.LoadSignals, err error) {
 	err = b.runInLoop(ctx, func(p *backgroundExtension, _ time.Duration) []brain.Event {
 		s := p.s
@@ -193,8 +193,8 @@
 }
 
 // Resend accepts an undelivered message again as its next incarnation, which goes through the journal and the module like any message.
-// An error, which is ErrBusy, a *ResendError or an error of the journal, says why it was not accepted; the sender then keeps nothing
-// of it.
+// An error, which is ErrBusy, a *ResendError or an error of the journal, says why the message was not accepted; the sender has
+// then stored nothing of it.
 func (b *Background) Resend(ctx context.Context, e undelivered.Entry, deadline time.Duration) error {
 	var rejected error
 	err := b.runInLoop(ctx, func(p *backgroundExtension, now time.Duration) []brain.Event {
@@ -231,8 +231,8 @@
 }
 
 // checkResend says why a message can't be resent now. It is called when the message is about to be accepted: since the message was
-// chosen, the store was written and the query waited in the loop's queue. class and tenant are the indexes of its names in the
-// settings, negative if they are gone.
+// chosen, the store was written and the query waited in the loop's queue, so that the answer may have changed. class and tenant are
+// the indexes of its names in the settings, negative if they are gone.
 func (p *backgroundExtension) checkResend(e *undelivered.Entry, class, tenant int, now time.Duration) error {
 	s := p.s
 	switch {
--- a/internal/sender/extension_fleet.go
+++ b/internal/sender/extension_fleet.go
@@ -16,15 +16,15 @@
 
 // Fleet is the policy and the limits that the senders of a fleet share, for messages and calls. None of its methods blocks.
 type Fleet interface {
-	// Admit asks, right before a call is written, whether it may be begun, and takes its part of the fleet's limits; sent is called
-	// when the call is written, ended once it has ended.
+	// Admit decides, right before a call is written, whether it may begin, and charges it to the fleet's limits; why is the reason
+	// if it may not. The caller calls sent when the call is written, and ended once it has ended.
 	Admit(fleetpolicy.Call) (sent func(), ended func(written bool), why string)
 	// AddBacklog adds messages, which may be negative, to the count of those that wait; SetBacklog replaces all counts.
 	AddBacklog(c fleetpolicy.Call, messages int64)
 	SetBacklog(map[fleetpolicy.Call]int64)
 	// RateLimits gives this sender's shares of the rate limits that the fleet divides: those that have changed, or all.
 	RateLimits(all bool) []fleet.RateLimit
-	// OnRateLimits has f called, from any goroutine, when such shares have changed.
+	// OnRateLimits registers f, which is called from any goroutine when such shares have changed.
 	OnRateLimits(f func())
 	// ReportHealth takes this sender's own observations of receivers.
 	ReportHealth([]health.Observation)
@@ -33,14 +33,14 @@
 	// View is the policy that applies to calls; mayCall reports whether this sender may begin calls at all. The view is nil while none is
 	// known.
 	View() (v *fleetpolicy.View, mayCall bool)
-	// OnChange has f called, from any goroutine, when either result of View changes.
+	// OnChange registers f, which is called from any goroutine when either result of View changes.
 	OnChange(f func())
 	// Register adds the handlers of the command line's queries on the fleet.
 	Register(*http.ServeMux)
 }
 
-// fleetExtension applies the fleet's policy: to the module, the endpoints of a closed destination are draining, and messages that are
-// no longer allowed are handed back.
+// fleetExtension applies the fleet's policy: the module gets the endpoints of a closed destination as draining, and messages that are
+// no longer allowed are ended (see withdrawDisallowed).
 type fleetExtension struct {
 	noopExtension
 	s         *Sender
@@ -63,7 +63,7 @@
 	s.signalPolicyChange = signalTo(policyChanges)
 	s.config.Fleet.OnRateLimits(signalTo(rateLimitChanges))
 	s.config.Fleet.OnChange(s.signalPolicyChange)
-	s.signalPolicyChange() // it may have changed before
+	s.signalPolicyChange() // the policy may have changed before OnChange was called
 	ctx, stop := context.WithCancel(context.Background())
 	s.stopFleetWatch = stop
 	go func() {
@@ -149,7 +149,7 @@
 			s.finish(m.number, outcomeHandedBack, http.StatusServiceUnavailable, s.config.Settings.MaxRetryAfter)
 		case suspended: // there will be no further attempt, and whether it ran is unknown
 			s.finish(m.number, outcomeGivenUp, http.StatusInternalServerError, 0)
-		default: // it waits for its destination until its deadline
+		default: // the message waits for its destination until its deadline
 			continue
 		}
 		events = append(events, brain.Withdrawn{Message: m.number})
--- a/internal/sender/extension_knowledge.go
+++ b/internal/sender/extension_knowledge.go
@@ -11,7 +11,7 @@
 	"saffronyard.example/saffronyard/internal/knowledge"
 )
 
-// Knowledge configures the snapshots by which what this sender knows of receivers outlasts its process.
+// Knowledge configures the snapshots that preserve what this sender knows of receivers when its process ends.
 type Knowledge struct {
 	Interval time.Duration // between two snapshots
 	MaxBytes int64         // of a snapshot, at most
@@ -116,7 +116,8 @@
 	return all
 }
 
-// onTick hands a snapshot to the writer once it is due and the writer has taken the one before.
+// onTick hands a snapshot to the writer once it is due and the writer has taken the one before. With background work it does nothing:
+// Background.Snapshot writes the snapshots then.
 func (p *knowledgeStore) onTick(now time.Duration) {
 	if p.s.config.Background || now-p.lastWrite < p.s.config.Knowledge.Interval || len(p.writes) > 0 {
 		return
--- a/internal/sender/extension_recorder.go
+++ b/internal/sender/extension_recorder.go
@@ -137,7 +137,7 @@
 // room for it.
 func (s *Sender) shouldRecord(m *message, outcome string) bool {
 	b := s.recorder
-	if b == nil { // a resent message is still in the store, which must get its end once it is turned on again
+	if b == nil { // the store still has a resent message, and must get its end once a recorder is configured again
 		return m.Incarnation > 0
 	}
 	if b.cost+m.cost > b.maxCost && m.Incarnation == 0 { // the recorder is too slow, or its disk fails: that must not affect anything else
--- a/internal/sender/finish.go
+++ b/internal/sender/finish.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// deadlineMargin is how much earlier a message's deadline may be for other parties than here, where it counts from the time when its
-// request had been read. It is the tolerance of the protocol's time limits.
+// deadlineMargin is how much earlier other parties may place a message's deadline than the sender, which counts from the time when the
+// complete request has been read. It is the tolerance of the protocol's time limits.
 const deadlineMargin = 50 * time.Millisecond
 
 // mayHaveExpired reports whether the deadline of a message that is served now may have passed before. Such a message counts as not
@@ -110,8 +110,8 @@
 	}
 }
 
-// finish ends a message as the module has decided: in the answer to its client, or, if the client was already told that the message is
-// accepted, by a notice to the platform. outcome is outcomeGivenUp or outcomeHandedBack, status is the answer's, and after retryAfter
+// finish ends a message as the module has decided: in the answer to its client, or, if the client was already answered that the message
+// is accepted, by a notice to the platform. outcome is outcomeGivenUp or outcomeHandedBack, status is the answer's, and after retryAfter
 // the client may submit the message again.
 func (s *Sender) finish(id brain.MessageID, outcome string, status int, retryAfter time.Duration) {
 	m := s.messages[id]
--- a/internal/sender/fleet_policy.go
+++ b/internal/sender/fleet_policy.go
@@ -52,8 +52,8 @@
 	return fleetpolicy.Call{Destination: r.Dest, Tenant: r.Tenant}
 }
 
-// whyDisallowed gives the reason if a message may not be sent and this lasts longer than a change takes to come into force; ""
-// otherwise. suspended reports that the destination is open and the policy rejects the message for another reason, a suspended tenant.
+// whyDisallowed gives the reason if a message may not be sent, else "". It ignores suspensions that last only until a change has come
+// into force. suspended reports that the destination is open and the policy rejects the message for another reason, a suspended tenant.
 func (s *Sender) whyDisallowed(r record) (why string, suspended bool) {
 	v, mayCall := s.config.Fleet.View()
 	if !mayCall {
--- a/internal/sender/ingress_messages.go
+++ b/internal/sender/ingress_messages.go
@@ -29,8 +29,8 @@
 	return values[0], nil
 }
 
-// parseMessageHead reads the head of a request that submits a message. The submission's Deadline is the time left, until the whole
-// request has been read.
+// parseMessageHead reads the head of a request that submits a message. The submission's Deadline is a duration; messageRequest makes it
+// a time once the complete request has been read.
 func (s *server) parseMessageHead(r *http.Request) (*submission, error) {
 	sub := &submission{answer: make(chan response, 1), tenant: -1}
 	for header, field := range map[string]*string{"X-Request-Id": &sub.ID, "X-Class": &sub.Class,
