--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// publish sends the other senders what one sender has observed since it last sent to them.
+// publish sends the other senders the facts that one sender has observed since its last publish.
 func (c *cluster) publish(from int, now time.Duration) {
 	var all []knowledge.Fact
 	for _, k := range c.brains[from].Observations() {
@@ -156,11 +156,12 @@
 	}
 }
 
-// Senders that exchange facts make fewer failing calls while receivers are out of service, and deliver no less. A sender whose own
-// network is broken considers every receiver out of service; its facts must not measurably reduce what the others deliver.
+// Senders that exchange facts make fewer failing calls while receivers are out of service, and deliver at least 99.5% as many
+// messages. A sender whose own network is broken considers every receiver out of service; its facts must not measurably reduce what
+// the others deliver.
 func TestCluster_InVirtualTime(t *testing.T) {
 	t.Parallel()
-	s := newTest(t, st.NewPlatform(t), nil)
+	s := newTestSender(t, st.NewPlatform(t), nil)
 	for _, senders := range []int{3, 12} {
 		simulate := func(exchange, broken bool) *cluster {
 			c := &cluster{senders: senders, receivers: 60, rate: 40, exchanges: exchange, broken: broken, seconds: 30}
@@ -175,7 +176,7 @@
 		if exchanging.served*1000 < separate.served*995 {
 			t.Errorf("%d senders: with exchange %d calls are served, without %d", senders, exchanging.served, separate.served)
 		}
-		// The part of the other senders in what is served when no network is broken.
+		// What the other senders serve when no network is broken.
 		expected := float64(exchanging.served) * float64(senders-1) / float64(senders)
 		t.Logf("%d senders: with one broken network the others serve %.4f of what they serve without", senders, float64(withBroken.served)/expected)
 		if float64(withBroken.served) < expected*0.98 {
@@ -194,7 +195,7 @@
 				var runs [2]cluster
 				for i := range runs {
 					runs[i] = cluster{senders: size[0], receivers: size[1], rate: 60, exchanges: i == 1, seconds: 30}
-					runs[i].simulate(b, newTest(b, platform, nil), 1)
+					runs[i].simulate(b, newTestSender(b, platform, nil), 1)
 				}
 				b.ReportMetric(float64(runs[1].failed)/float64(runs[0].failed), "failed-ratio")
 				b.ReportMetric(float64(runs[1].facts)/float64(size[0]*size[0]*30), "facts/s/pair")
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// both combines several edits of the configuration.
-func both(edits ...func(*Config)) func(*Config) {
+// combineEdits combines several edits of the configuration.
+func combineEdits(edits ...func(*Config)) func(*Config) {
 	return func(c *Config) {
 		for _, e := range edits {
 			e(c)
@@ -58,7 +58,7 @@
 				}
 				return st.Status(200)(c, nc)
 			})
-			addr := run(t, st.NewPlatform(t, e.Addr), both(acceptEvents, delivers(calls.Target{Form: name, Path: path, BatchEvents: 5, BatchBytes: 65536})))
+			addr := run(t, st.NewPlatform(t, e.Addr), combineEdits(acceptEvents, delivers(calls.Target{Form: name, Path: path, BatchEvents: 5, BatchBytes: 65536})))
 			if resp, text := post(t, addr, oneEvent, eventJSON("1", "keyed", in)); resp.StatusCode != 202 {
 				t.Fatalf("%s %s", resp.Status, text)
 			}
@@ -163,7 +163,7 @@
 // Messages that the module sends to one endpoint in one step share a call, within the limits of a batch.
 func TestDelivery_Batches(t *testing.T) {
 	t.Parallel()
-	s, e, _ := newManualSender(t, st.Status(200), both(acceptEvents, delivers(calls.Target{Form: calls.Batched, BatchEvents: 3, BatchBytes: 65536})))
+	s, e, _ := newManualSender(t, st.Status(200), combineEdits(acceptEvents, delivers(calls.Target{Form: calls.Batched, BatchEvents: 3, BatchBytes: 65536})))
 	s.sendInOneStep(t, 5)
 	var sizes []int
 	got := map[string]bool{}
@@ -208,7 +208,7 @@
 // A cancelled message of a batch ends alone, and the call goes on for the others. The call ends when its last message is cancelled.
 func TestDelivery_CancelWithinBatch(t *testing.T) {
 	t.Parallel()
-	batched := both(acceptEvents, delivers(calls.Target{Form: calls.Batched, BatchEvents: 3, BatchBytes: 65536}))
+	batched := combineEdits(acceptEvents, delivers(calls.Target{Form: calls.Batched, BatchEvents: 3, BatchBytes: 65536}))
 	statuses := make(chan int)
 	s, e, _ := newManualSender(t, gate(statuses), batched)
 	s.sendInOneStep(t, 3)
--- a/internal/sender/discovery_test.go
+++ b/internal/sender/discovery_test.go
@@ -20,8 +20,8 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// notifiedWithin is how long after discovery had a change and could be reached the sender must have received it, whichever call
-// failed.
+// notifiedWithin is the time limit for the sender to receive a change, from when discovery has the change and can be reached, whichever
+// call failed.
 const notifiedWithin = 6 * time.Second
 
 // span is an interval of a test's virtual time.
@@ -33,11 +33,11 @@
 // count from begin.
 type virtualRegistry struct {
 	begin                   time.Time
-	down, refusing, hanging []span          // no connection; 503 to each call; calls that arrive then are never answered
-	unresponsive            []time.Duration // watches that are open then are never answered
+	down, refusing, hanging []span          // no connection is possible; each call gets 503; arriving calls are never answered
+	unresponsive            []time.Duration // times; watches that are open at one of them are never answered
 	refuseAfter             bool            // the first call after each time in unresponsive also gets 503
 	latency                 time.Duration
-	changes                 []time.Duration          // the n-th makes version n+1
+	changes                 []time.Duration          // times; the n-th change makes version n+1
 	partitionedAt           time.Duration            // connections that are open then are dead from then on
 	notices                 map[string]time.Duration // when each first arrived
 	mu                      *sync.Mutex
@@ -228,8 +228,8 @@
 	return nil
 }
 
-// runWithRegistry runs a sender against a registry for a while, in virtual time, and returns when it received each version. stored is the messages
-// in its journal at the start.
+// runWithRegistry runs a sender against a registry for a while, in virtual time, and returns when it received each version. stored is
+// the messages in its journal at the start.
 func runWithRegistry(t *testing.T, v *virtualRegistry, senders int, seed uint64, length time.Duration, stored ...record) map[int64]time.Duration {
 	received := &updateLog{Handler: slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelDebug}), at: map[int64]time.Duration{}}
 	dir := t.TempDir()
@@ -243,7 +243,7 @@
 			t.Fatal(err)
 		}
 		c.Known, c.Seed, c.Settings.Senders = Targets{Version: 1, Full: true, Servers: []Target{{ID: "s-0", State: membership.Serving}}}, seed, senders
-		j := openTest(t, dir, 1<<20)
+		j := openTestJournal(t, dir, 1<<20)
 		for _, r := range stored {
 			r.Deadline += newClock().now()
 			if _, err := j.insertAndFlush(r); err != nil {
@@ -284,9 +284,9 @@
 func (l *pipeListener) Close() error              { l.once.Do(func() { close(l.closed) }); return nil }
 func (l *pipeListener) Addr() net.Addr            { return &net.TCPAddr{} }
 
-// Guards against changes that arrive too late: a change must be received 6 s after discovery had it and could be reached, whichever
-// call failed. A watch once waited 20 s and was given up after 23 s, and backoffs after failed calls grew to 12 s. Each case is one or
-// more failures followed by one change at the worst moment.
+// Guards against changes that arrive too late: a change must be received within 6 s after discovery had it and could be reached,
+// whichever call failed. A watch once waited 20 s and was given up after 23 s, and backoffs after failed calls grew to 12 s. Each case
+// is one or more failures followed by one change at the worst moment.
 func TestDiscovery_ChangeArrivesBeforeItsDeadline(t *testing.T) {
 	s := time.Second
 	tests := []struct {
--- a/internal/sender/event_dedup_crash_test.go
+++ b/internal/sender/event_dedup_crash_test.go
@@ -110,7 +110,7 @@
 	t.Helper()
 	log := &diskLog{}
 	e := st.NewEndpoint(t, st.Status(200))
-	s := newTest(t, st.NewPlatform(t, e.Addr), longLived)
+	s := newTestSender(t, st.NewPlatform(t, e.Addr), longLived)
 	s.journal.file = &loggedJournal{s.journal.file, log, s.journal.size}
 	s.eventDedup.file.WrapDisk(func(d identity.Disk) identity.Disk { return &loggedDisk{d, log} })
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/sender/event_dedup_test.go
+++ b/internal/sender/event_dedup_test.go
@@ -84,7 +84,7 @@
 func newManualSender(t *testing.T, answer func(st.Call, net.Conn) bool, edit func(*Config)) (s *Sender, e *st.Endpoint, submit func(body string) response) {
 	t.Helper()
 	e = st.NewEndpoint(t, answer)
-	s = newTest(t, st.NewPlatform(t, e.Addr), edit)
+	s = newTestSender(t, st.NewPlatform(t, e.Addr), edit)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { s.shutdown(cancel) })
 	s.step(ctx, s.initialListEvents())
@@ -158,7 +158,7 @@
 	t.Parallel()
 	for name, fails := range map[string]bool{"written": false, "not written": true} {
 		e := st.NewEndpoint(t, st.Status(200))
-		s := newTest(t, st.NewPlatform(t, e.Addr), acceptEvents)
+		s := newTestSender(t, st.NewPlatform(t, e.Addr), acceptEvents)
 		ctx, cancel := context.WithCancel(context.Background())
 		s.step(ctx, s.initialListEvents())
 		if fails {
@@ -252,7 +252,7 @@
 	p := st.NewPlatform(t, e.Addr)
 	state := t.TempDir()
 	begin := func() (addr string, stop func()) {
-		s := newTest(t, p, func(c *Config) {
+		s := newTestSender(t, p, func(c *Config) {
 			acceptEvents(c)
 			c.StateDir = state
 		})
@@ -304,7 +304,7 @@
 // An event submitted under the id of a message that failed and still waits for the recorder is a different message: it must not get
 // that message's answer.
 func TestEventDedup_IDOfFailedMessage(t *testing.T) {
-	s := newTest(t, st.NewPlatform(t), acceptEvents)
+	s := newTestSender(t, st.NewPlatform(t), acceptEvents)
 	m, err := s.journal.insert(record{ID: "m", Class: "keyed", Key: "k", Deadline: time.Hour})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sender/extension_fleet_test.go
+++ b/internal/sender/extension_fleet_test.go
@@ -172,7 +172,7 @@
 	})
 }
 
-// A message whose call was answered with a wait has not run: it is handed back at once, whichever policy comes to disallow it.
+// A message whose call was answered with a wait has not run: it is handed back at once, whichever change of the policy disallows it.
 func TestFleet_PolicyHandsBack(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(f *fakeFleet){
@@ -253,7 +253,7 @@
 func TestFleet_KindAndRateLimit(t *testing.T) {
 	f := &fakeFleet{}
 	f.setPolicy(t, true, "[[route]]\ndestinations = [1]\nstate = \"apart\"\nkind = \"single\"\n[[limit]]\ndestinations = [1, 9]\ncalls = 2.5\n")
-	s := newTest(t, st.NewPlatform(t), func(c *Config) { c.Fleet, c.Kinds = f, []string{"plain", "single"} })
+	s := newTestSender(t, st.NewPlatform(t), func(c *Config) { c.Fleet, c.Kinds = f, []string{"plain", "single"} })
 	p, _ := extensionOf[*fleetExtension](s)
 	target := func(dest uint32) Target {
 		return Target{ID: "e", Addr: "127.0.0.1:1", Destination: dest, State: "SERVING", Kind: "plain"}
--- a/internal/sender/extension_peers_test.go
+++ b/internal/sender/extension_peers_test.go
@@ -18,8 +18,8 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// asked decodes the answer to a query over a sender's admin socket.
-func asked(t *testing.T, state, path string, into any) {
+// queryAdmin decodes the answer to a query over a sender's admin socket.
+func queryAdmin(t *testing.T, state, path string, into any) {
 	t.Helper()
 	client := http.Client{Timeout: st.Wait, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -42,7 +42,7 @@
 func hasFact(t *testing.T, state, sort, source, text string) bool {
 	t.Helper()
 	var facts []KnownFact
-	asked(t, state, "/knowledge?receiver=0", &facts)
+	queryAdmin(t, state, "/knowledge?receiver=0", &facts)
 	for _, f := range facts {
 		if f.Kind == sort && f.Source == source && strings.Contains(f.Says, text) {
 			return true
@@ -51,10 +51,10 @@
 	return false
 }
 
-// startIn runs a sender that the test ends itself, in a folder that outlasts it.
+// startIn runs a sender with its state in a given folder, for a test that ends the sender itself and reuses the folder.
 func startIn(t *testing.T, p *st.Platform, state string, edit func(*Config)) (addr string, leave func()) {
 	t.Helper()
-	s := newTest(t, p, func(c *Config) {
+	s := newTestSender(t, p, func(c *Config) {
 		c.StateDir = state
 		c.Knowledge = &Knowledge{Interval: 500 * time.Millisecond, MaxBytes: 64 << 10}
 		edit(c)
@@ -79,8 +79,8 @@
 	})
 }
 
-// A process respects the wait that an earlier process was told of, as it has that process's snapshot. A damaged snapshot loses this
-// knowledge and nothing else.
+// A process respects the wait that an endpoint demanded of an earlier process, because it reads that process's snapshot. If the
+// snapshot is damaged, only this knowledge is lost.
 func TestKnowledge_OfEarlierProcess(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -105,7 +105,7 @@
 			}
 			startIn(t, p, state, func(*Config) {})
 			e.Next(t)
-			// The first process was told after from: what comes a little before the wait's end by that is within it.
+			// The first process received the response at about the time from, so the bound is 50 ms below the wait.
 			if waits := time.Since(from) >= wait-50*time.Millisecond; waits != c.waits {
 				t.Errorf("the next call came %v after a wait of %v was asked for", time.Since(from), wait)
 			}
@@ -113,8 +113,7 @@
 	}
 }
 
-// A new sender respects a wait that another sender was told of, and reports that sender as the source. The one that is told leaves it
-// to itself when its peer is silent.
+// A new sender respects a wait that an endpoint demanded of another sender, and reports that sender as the source.
 func TestPeers_ShareObservations(t *testing.T) {
 	t.Parallel()
 	const wait = 5 * time.Second
@@ -133,7 +132,7 @@
 	from := time.Now()
 	until(t, func() bool { return hasFact(t, oldState, "wait", "self", "asked for a wait") })
 	var report PeersReport
-	asked(t, oldState, "/peers", &report)
+	queryAdmin(t, oldState, "/peers", &report)
 	if report.Name != "old" || report.Cluster != "test" || report.OwnFacts == 0 {
 		t.Errorf("%+v", report)
 	}
@@ -144,7 +143,7 @@
 	if got := time.Since(from); got < wait-50*time.Millisecond {
 		t.Errorf("a call came %v after a wait of %v was asked for", got, wait)
 	}
-	asked(t, newState, "/peers", &report)
+	queryAdmin(t, newState, "/peers", &report)
 	if len(report.Members) != 1 || report.Members[0].Name != "old" || report.FactsBySource["old"] == 0 {
 		t.Errorf("%+v", report)
 	}
@@ -154,14 +153,14 @@
 func membershipAt(t *testing.T, state string) string {
 	t.Helper()
 	var r PeersReport
-	asked(t, state, "/peers", &r)
+	queryAdmin(t, state, "/peers", &r)
 	return r.Address
 }
 
 // Facts on a receiver that come before the list names it go to the module once it does. Facts on a receiver that is never listed are
 // dropped once they are not trusted any more. The module gets a single observation for each receiver.
 func TestPeers_FactsBeforeEndpointListed(t *testing.T) {
-	s := newTest(t, st.NewPlatform(t), nil)
+	s := newTestSender(t, st.NewPlatform(t), nil)
 	p := &peersExtension{s: s, view: knowledge.NewView(10), reports: knowledge.NewReports(10), unlisted: map[knowledge.Subject]struct{}{}}
 	now := s.clock.now()
 	fact := func(dest uint32, endpoint string) knowledge.Fact {
--- a/internal/sender/extension_recorder_test.go
+++ b/internal/sender/extension_recorder_test.go
@@ -80,7 +80,7 @@
 	good := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, bad.Addr, good.Addr)
 	r := newMemoryRecorder()
-	addr := run(t, p, both(acceptEvents, withRecorder(r)))
+	addr := run(t, p, combineEdits(acceptEvents, withRecorder(r)))
 	st.Submit(t, addr, st.Submission{ID: "lost", Class: "unsafe", Destination: 0, Deadline: 9 * time.Second})
 	st.Submit(t, addr, st.Submission{ID: "fine", Class: "unsafe", Destination: 1, Deadline: 9 * time.Second})
 	if n := st.Receive(t, p.Notices); n.Message != "lost" || n.Outcome != outcomeGivenUp {
@@ -113,7 +113,7 @@
 	p := st.NewPlatform(t, e.Addr)
 	r := newMemoryRecorder()
 	r.err = errors.New("no space left")
-	addr := run(t, p, both(withRecorder(r), func(c *Config) { c.Limits.DiskMB = 0.4 }))
+	addr := run(t, p, combineEdits(withRecorder(r), func(c *Config) { c.Limits.DiskMB = 0.4 }))
 	const n = 12
 	for i := range n {
 		r := st.Request(t, addr, st.Submission{ID: "m" + strconv.Itoa(i), Class: "unsafe", Destination: 0, Deadline: 9 * time.Second, Body: strings.Repeat("x", 15_000)})
@@ -165,7 +165,7 @@
 	log := &diskLog{}
 	e := st.NewEndpoint(t, st.Reset)
 	store := undelivered.NewLazyStore(t.TempDir(), undelivered.Limits{})
-	s := newTest(t, st.NewPlatform(t, e.Addr), withRecorder(storeLog{store, log}))
+	s := newTestSender(t, st.NewPlatform(t, e.Addr), withRecorder(storeLog{store, log}))
 	s.journal.file = &loggedJournal{s.journal.file, log, s.journal.size}
 	ctx, cancel := context.WithCancel(context.Background())
 	go s.recorder.run(ctx, func(err error) { t.Error(err) }, func() { s.post(ctx, recorderDone{}) })
@@ -230,7 +230,7 @@
 					t.Fatal(err)
 				}
 				store.List(undelivered.Filter{}, func(_ undelivered.Key, e undelivered.Entry) bool { accepted[e.Message] = true; return true })
-				run(t, st.NewPlatform(t, e.Addr), both(withRecorder(lazyStore), func(c *Config) { c.StateDir = state }))
+				run(t, st.NewPlatform(t, e.Addr), combineEdits(withRecorder(lazyStore), func(c *Config) { c.StateDir = state }))
 				until(t, func() bool {
 					got := map[string]int{}
 					err := store.List(undelivered.Filter{}, func(_ undelivered.Key, e undelivered.Entry) bool { got[e.Message]++; return true })
@@ -291,7 +291,7 @@
 // An end is offered to the recorder only once it is in the journal.
 func TestRecorder_OfferedAfterFlush(t *testing.T) {
 	t.Parallel()
-	s, _, submit := newManualSender(t, st.Reset, both(acceptEvents, withRecorder(newMemoryRecorder()))) // no goroutine takes the offers
+	s, _, submit := newManualSender(t, st.Reset, combineEdits(acceptEvents, withRecorder(newMemoryRecorder()))) // no goroutine takes the offers
 	written := false
 	s.journal.file = &eachWrite{s.journal.file, func(b []byte) {
 		if strings.Contains(string(b), `"keep":true`) {
--- a/internal/sender/journal_endpoints_test.go
+++ b/internal/sender/journal_endpoints_test.go
@@ -51,14 +51,14 @@
 			there, []string{"a=DRAINING", "b=SERVING"}, -1},
 	} {
 		dir := t.TempDir()
-		j := openTest(t, dir, 1<<20)
+		j := openTestJournal(t, dir, 1<<20)
 		j.initList(here, known, known.Version)
 		for _, u := range c.updates {
 			j.saveList(here, u)
 		}
-		takeTest(t, j, "m")
+		acceptTestMessage(t, j, "m")
 		for _, source := range []string{"as after a kill", "from a compacted file"} {
-			j = openTest(t, dir, 1<<20)
+			j = openTestJournal(t, dir, 1<<20)
 			list, version := j.endpoints.startingPoint(known, c.from)
 			if got := states(list.Servers); !slices.Equal(got, c.want) || version != c.version {
 				t.Errorf("%s, %s: list %v at version %d, want %v at version %d", c.name, source, got, version, c.want, c.version)
@@ -75,7 +75,7 @@
 
 // A list that is too long is dropped completely, takes no space from messages, and is stored again once it is short enough.
 func TestStoredList_TooLong(t *testing.T) {
-	j := openTest(t, t.TempDir(), 1<<20)
+	j := openTestJournal(t, t.TempDir(), 1<<20)
 	free := j.reserved
 	var many []Target
 	for i := range 2000 {
@@ -106,11 +106,11 @@
 	}
 }
 
-// A corrupt record of the list loses that record only, and no message.
+// If a record of the list is corrupt, only that record is lost, and no message.
 func TestStoredList_CorruptRecord(t *testing.T) {
 	dir := t.TempDir()
-	j := openTest(t, dir, 1<<20)
-	takeTest(t, j, "m")
+	j := openTestJournal(t, dir, 1<<20)
+	acceptTestMessage(t, j, "m")
 	sizeBefore := j.size
 	j.saveList("x", membership.Update{Version: 1, Full: true, Servers: servingList("a")})
 	if err := j.flush(); err != nil {
@@ -126,7 +126,7 @@
 		if err := os.WriteFile(j.path, corrupted, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if k := openTest(t, dir, 1<<20); k.byID["m"] == nil || k.endpoints.record() != nil || k.corruptLines != 1 {
+		if k := openTestJournal(t, dir, 1<<20); k.byID["m"] == nil || k.endpoints.record() != nil || k.corruptLines != 1 {
 			t.Fatalf("byte %d corrupted: %d messages, list %v, %d corrupt lines reported", n, len(k.byID), k.endpoints.record(), k.corruptLines)
 		}
 	}
@@ -140,8 +140,8 @@
 		want int
 	}{{"corrupt", "00000000 {\"op\":\"take\"}\n", 1}, {"torn", "00000000 {\"op\":", 0}} {
 		s := &Config{StateDir: t.TempDir(), Discovery: "127.0.0.1:1", Limits: Limits{Sockets: 256, DiskMB: 3}}
-		j := openTest(t, s.StateDir, 1<<20)
-		takeTest(t, j, "m")
+		j := openTestJournal(t, s.StateDir, 1<<20)
+		acceptTestMessage(t, j, "m")
 		j.close()
 		f, err := os.OpenFile(j.path, os.O_APPEND|os.O_WRONLY, 0)
 		if err != nil {
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -14,7 +14,7 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-func openTest(t *testing.T, dir string, budget int64) *journal {
+func openTestJournal(t *testing.T, dir string, budget int64) *journal {
 	t.Helper()
 	j, err := openJournal(dir, budget)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return j
 }
 
-func takeTest(t *testing.T, j *journal, id string) *storedMessage {
+func acceptTestMessage(t *testing.T, j *journal, id string) *storedMessage {
 	t.Helper()
 	m, err := j.insertAndFlush(record{ID: id, Class: "keyed", Key: "k" + id, Dest: 3, Deadline: 99, Body: []byte("body " + id)})
 	if err != nil {
@@ -34,8 +34,8 @@
 
 func TestJournal_Replay(t *testing.T) {
 	dir := t.TempDir()
-	j := openTest(t, dir, 1<<20)
-	a, b, c, d := takeTest(t, j, "a"), takeTest(t, j, "b"), takeTest(t, j, "c"), takeTest(t, j, "d")
+	j := openTestJournal(t, dir, 1<<20)
+	a, b, c, d := acceptTestMessage(t, j, "a"), acceptTestMessage(t, j, "b"), acceptTestMessage(t, j, "c"), acceptTestMessage(t, j, "d")
 	j.update(a, record{Op: opSend, Sent: &attemptRecord{At: 10, Endpoint: "s"}})
 	j.update(a, record{Op: opEnd, Attempt: 0, NeverRan: true})
 	j.update(a, record{Op: opSend, Sent: &attemptRecord{At: 20, Endpoint: "s", Zone: 1}}) // no outcome: it may have run
@@ -62,14 +62,14 @@
 			t.Errorf("message c is %+v", m)
 		}
 	}
-	check(openTest(t, dir, 1<<20)) // as after a kill: nothing was closed
-	check(openTest(t, dir, 1<<20)) // and from the compacted file
+	check(openTestJournal(t, dir, 1<<20)) // as after a kill: nothing was closed
+	check(openTestJournal(t, dir, 1<<20)) // and from the compacted file
 }
 
 // The journal stores the module's usual rates beside the messages: only the newest ones, and at most maxRates.
 func TestJournal_Rates(t *testing.T) {
 	dir := t.TempDir()
-	j := openTest(t, dir, 1<<20)
+	j := openTestJournal(t, dir, 1<<20)
 	var many []brain.UsualRate
 	for d := range brain.DestinationID(1000) {
 		many = append(many, brain.UsualRate{Destination: d, Rate: float64(d) / 7})
@@ -79,9 +79,9 @@
 			t.Fatal(err)
 		}
 	}
-	takeTest(t, j, "a")
+	acceptTestMessage(t, j, "a")
 	for range 2 { // as after a kill, and from the compacted file
-		j = openTest(t, dir, 1<<20)
+		j = openTestJournal(t, dir, 1<<20)
 		if len(j.rates) != maxRates || j.rates[999] != 142.714 || j.rates[3] != 0 || len(j.byID) != 1 {
 			t.Errorf("%d rates, %v, %d messages", len(j.rates), j.rates[999], len(j.byID))
 		}
@@ -94,10 +94,10 @@
 // A kill may tear the last record at any byte: no earlier record is lost. A corrupt line does not affect other lines.
 func TestJournal_TornWrites(t *testing.T) {
 	dir := t.TempDir()
-	j := openTest(t, dir, 1<<20)
-	takeTest(t, j, "a")
+	j := openTestJournal(t, dir, 1<<20)
+	acceptTestMessage(t, j, "a")
 	sizeBefore := j.size
-	takeTest(t, j, "b")
+	acceptTestMessage(t, j, "b")
 	raw, err := os.ReadFile(j.path)
 	if err != nil {
 		t.Fatal(err)
@@ -106,12 +106,12 @@
 		if err := os.WriteFile(j.path, raw[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		torn := openTest(t, dir, 1<<20)
+		torn := openTestJournal(t, dir, 1<<20)
 		if len(torn.byID) != 1 || torn.byID["a"] == nil {
 			t.Fatalf("cut at %d: the journal has %d messages", n, len(torn.byID))
 		}
-		takeTest(t, torn, "c")
-		if again := openTest(t, dir, 1<<20); len(again.byID) != 2 {
+		acceptTestMessage(t, torn, "c")
+		if again := openTestJournal(t, dir, 1<<20); len(again.byID) != 2 {
 			t.Fatalf("cut at %d: a message that was written afterwards is lost", n)
 		}
 	}
@@ -119,7 +119,7 @@
 	if err := os.WriteFile(j.path, damaged, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if j := openTest(t, dir, 1<<20); len(j.byID) != 1 || j.byID["b"] == nil {
+	if j := openTestJournal(t, dir, 1<<20); len(j.byID) != 1 || j.byID["b"] == nil {
 		t.Errorf("with a corrupt line the journal has %d messages", len(j.byID))
 	}
 }
@@ -128,7 +128,7 @@
 func TestJournal_StaysWithinBudget(t *testing.T) {
 	const budget = 64 << 10
 	dir := t.TempDir()
-	j := openTest(t, dir, budget)
+	j := openTestJournal(t, dir, budget)
 	var pending []*storedMessage
 	rejected := 0
 	for i := range 3000 {
@@ -161,7 +161,7 @@
 	if err := j.close(); err != nil {
 		t.Fatal(err)
 	}
-	if again := openTest(t, dir, budget); len(again.byID) != len(pending) {
+	if again := openTestJournal(t, dir, budget); len(again.byID) != len(pending) {
 		t.Errorf("%d of %d messages were recovered", len(again.byID), len(pending))
 	}
 	if _, err := os.Stat(filepath.Join(dir, journalFileName+".new")); !os.IsNotExist(err) {
@@ -173,8 +173,8 @@
 // written.
 func TestJournal_FullDisk(t *testing.T) {
 	dir := t.TempDir()
-	j := openTest(t, dir, 1<<20)
-	a := takeTest(t, j, "a")
+	j := openTestJournal(t, dir, 1<<20)
+	a := acceptTestMessage(t, j, "a")
 	full, err := os.OpenFile("/dev/full", os.O_WRONLY, 0)
 	if err != nil {
 		t.Skip(err)
@@ -198,8 +198,8 @@
 		t.Fatal(err)
 	}
 	j.lastCompaction = j.lastCompaction.Add(-compactionRetryInterval)
-	takeTest(t, j, "c")
-	again := openTest(t, dir, 1<<20)
+	acceptTestMessage(t, j, "c")
+	again := openTestJournal(t, dir, 1<<20)
 	if m := again.byID["a"]; len(again.byID) != 2 || m == nil || len(m.Attempts) != 1 {
 		t.Errorf("recovered %d messages, message a is %+v", len(again.byID), m)
 	}
@@ -225,8 +225,8 @@
 func TestJournal_FailedWriteIsTakenBack(t *testing.T) {
 	for room := 0; ; room += 7 {
 		dir := t.TempDir()
-		j := openTest(t, dir, 1<<20)
-		takeTest(t, j, "a")
+		j := openTestJournal(t, dir, 1<<20)
+		acceptTestMessage(t, j, "a")
 		j.file = &failingDisk{j.file.(*os.File), room}
 		b, err := j.insert(record{ID: "b", Body: []byte("body")})
 		if err != nil {
@@ -246,7 +246,7 @@
 		}
 		j.unindex(b)
 		j.unindex(c)
-		if again := openTest(t, dir, 1<<20); len(again.byID) != 1 || again.byID["a"] == nil {
+		if again := openTestJournal(t, dir, 1<<20); len(again.byID) != 1 || again.byID["a"] == nil {
 			t.Fatalf("with room for %d bytes %d messages were recovered", room, len(again.byID))
 		}
 	}
@@ -303,15 +303,15 @@
 
 // Ended messages are released before the next compaction, which may be far off on a large disk; the order of the others is preserved.
 func TestJournal_ReleasesEndedMessages(t *testing.T) {
-	j := openTest(t, t.TempDir(), 1<<30)
-	first := takeTest(t, j, "first")
+	j := openTestJournal(t, t.TempDir(), 1<<30)
+	first := acceptTestMessage(t, j, "first")
 	for i := range 20_000 {
-		j.update(takeTest(t, j, fmt.Sprint(i)), record{Op: opOver, Outcome: outcomeDelivered})
+		j.update(acceptTestMessage(t, j, fmt.Sprint(i)), record{Op: opOver, Outcome: outcomeDelivered})
 		if len(j.order) > 2000 {
 			t.Fatalf("after %d messages %d are in memory", i, len(j.order))
 		}
 	}
-	last := takeTest(t, j, "last")
+	last := acceptTestMessage(t, j, "last")
 	if pending := j.pending(); len(pending) != 2 || pending[0] != first || pending[1] != last {
 		t.Errorf("%d messages are pending, or not in order", len(pending))
 	}
--- a/internal/sender/ordering_test.go
+++ b/internal/sender/ordering_test.go
@@ -72,7 +72,7 @@
 	first, second, p, release := gatedDestinations(t)
 	addr := run(t, p, func(c *Config) {
 		orderedClass(c)
-		j := openTest(t, c.StateDir, 1<<20)
+		j := openTestJournal(t, c.StateDir, 1<<20)
 		for dest, id := range []string{"a", "b"} {
 			if _, err := j.insertAndFlush(record{ID: id, Class: "ordered", Tenant: "acme", OrderKey: "k", Dest: uint32(dest), Deadline: newClock().now() + 15*time.Second}); err != nil {
 				t.Fatal(err)
--- a/internal/sender/outages_test.go
+++ b/internal/sender/outages_test.go
@@ -12,10 +12,10 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// resumed creates a sender and lets it resume what its state folder contains; it does not listen.
-func resumed(t *testing.T, p *st.Platform, edit func(*Config)) *Sender {
+// newResumedSender creates a sender and lets it resume what its state folder contains; it does not listen.
+func newResumedSender(t *testing.T, p *st.Platform, edit func(*Config)) *Sender {
 	t.Helper()
-	s := newTest(t, p, edit)
+	s := newTestSender(t, p, edit)
 	s.resume(t.Context())
 	return s
 }
@@ -23,7 +23,7 @@
 // leaveMessages writes a journal as an earlier process leaves it: with messages, and with the outages that it stored last.
 func leaveMessages(t *testing.T, dir string, messages int, outages outageSnapshot, edit func(n int, r *record)) {
 	t.Helper()
-	j := openTest(t, dir, 1<<20)
+	j := openTestJournal(t, dir, 1<<20)
 	for n := range messages {
 		r := record{ID: fmt.Sprintf("m%d", n), Class: "keyed", Key: "k", Tenant: "acme", Deadline: newClock().now() + 15*time.Second}
 		if edit != nil {
@@ -68,7 +68,7 @@
 			p := st.NewPlatform(t, st.NewEndpoint(t, st.Unresponsive).Addr)
 			dir := t.TempDir()
 			leaveMessages(t, dir, 12, tt.outages, nil)
-			s := resumed(t, p, func(c *Config) { c.StateDir = dir })
+			s := newResumedSender(t, p, func(c *Config) { c.StateDir = dir })
 			if s.pending != 12 {
 				t.Fatalf("%d messages are resumed", s.pending)
 			}
@@ -95,7 +95,7 @@
 	}
 	leaveMessages(t, dir, 0, o, nil)
 	for range 2 { // the second reads what the first has compacted
-		j := openTest(t, dir, 1<<20)
+		j := openTestJournal(t, dir, 1<<20)
 		n := len(j.outages.list)
 		if j.outages.at != o.at || n == 0 || n == 200 || j.outages.list[7] != o.list[192] || j.rates[0] != 4 {
 			t.Fatalf("outages %+v, rates %v", j.outages, j.rates)
@@ -105,7 +105,7 @@
 		}
 		j.close()
 	}
-	if small := openTest(t, t.TempDir(), 12<<10); small.reserved > 4<<10 {
+	if small := openTestJournal(t, t.TempDir(), 12<<10); small.reserved > 4<<10 {
 		t.Errorf("of a budget of 12 KiB %d bytes are reserved", small.reserved)
 	}
 }
@@ -115,7 +115,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Reset)
 	p := st.NewPlatform(t, e.Addr)
-	s := newTest(t, p, nil)
+	s := newTestSender(t, p, nil)
 	addr, stop := serving(t, s)
 	for n := range 3 {
 		st.Submit(t, addr, st.Submission{ID: fmt.Sprintf("m%d", n), Class: "safe", Destination: 0, Deadline: 15 * time.Second})
--- a/internal/sender/permit_test.go
+++ b/internal/sender/permit_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// A call that was decided on before an outage, and still connects, loses its permit when the outage is detected: its message is sent
-// as others are then, one at a time. Otherwise it would wait for its connection until its deadline.
+// A call that was decided on before an outage, and still connects, loses its permit when the outage is detected: its message is
+// then sent like the others for that destination, one at a time. Otherwise the message would wait for its connection until its deadline.
 func TestPermit_OutageWhileConnecting(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
--- a/internal/sender/sdk_test.go
+++ b/internal/sender/sdk_test.go
@@ -124,7 +124,7 @@
 					got <- *e
 				}))
 				t.Cleanup(receiver.Close)
-				addr := run(t, st.NewPlatform(t, strings.TrimPrefix(receiver.URL, "http://")), both(acceptEvents,
+				addr := run(t, st.NewPlatform(t, strings.TrimPrefix(receiver.URL, "http://")), combineEdits(acceptEvents,
 					delivers(calls.Target{Form: out, BatchEvents: 5, BatchBytes: 65536}), func(c *Config) {
 						c.Settings.MaxPending = 1000
 						c.Settings.MaxAttempts = 1 // with more, an attempt may be repeated on a slow machine, and the event would rightly arrive twice
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -23,8 +23,8 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// newTest creates a sender that shuts down quickly; edit may change its configuration.
-func newTest(t testing.TB, p *st.Platform, edit func(c *Config)) *Sender {
+// newTestSender creates a sender that shuts down quickly; edit may change its configuration.
+func newTestSender(t testing.TB, p *st.Platform, edit func(c *Config)) *Sender {
 	t.Helper()
 	raw, err := json.Marshal(st.Config(p, t.TempDir()))
 	if err != nil {
@@ -54,7 +54,7 @@
 // runWith is run with a function that changes the sender before it serves.
 func runWith(t *testing.T, p *st.Platform, edit func(c *Config), change func(*Sender)) string {
 	t.Helper()
-	s := newTest(t, p, edit)
+	s := newTestSender(t, p, edit)
 	change(s)
 	addr, stop := serving(t, s)
 	t.Cleanup(stop)
@@ -298,7 +298,7 @@
 	}
 }
 
-// A registry that answers with changes of an older version than ours has restarted its numbering: the complete list is requested.
+// A registry that answers with changes of an older version than the sender's has restarted its numbering: the complete list is requested.
 func TestDiscovery_VersionsReset(t *testing.T) {
 	t.Parallel()
 	queries := make(chan string, 10)
@@ -336,7 +336,7 @@
 func leaveMessage(t *testing.T, c *Config, old *st.Endpoint, before func(*journal)) {
 	t.Helper()
 	c.Known = Targets{Version: 1, Full: true, Servers: []Target{listedAt("s-0", old)}}
-	j := openTest(t, c.StateDir, 1<<20)
+	j := openTestJournal(t, c.StateDir, 1<<20)
 	before(j)
 	if _, err := j.insertAndFlush(record{ID: "m", Class: "keyed", Key: "k", Tenant: "acme", Deadline: newClock().now() + 15*time.Second}); err != nil {
 		t.Fatal(err)
@@ -389,7 +389,7 @@
 		return st.Status(200)(c, nc)
 	})
 	p := st.NewPlatform(t, e.Addr)
-	s := newTest(t, p, nil)
+	s := newTestSender(t, p, nil)
 	s.endpoints.Apply(Targets{Servers: []Target{{ID: "e", Addr: e.Addr, State: "SERVING"}}}, false, s.config.endpointNames(), s.pool)
 	endpoint := s.endpoints.ByID["e"]
 	callOnce := func(p *calls.Pool, e *calls.Endpoint, timeout time.Duration, body string) brain.AttemptResult {
--- a/internal/sender/server_test.go
+++ b/internal/sender/server_test.go
@@ -219,7 +219,7 @@
 func TestServer_EvictedWithRequestReceived(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
-	s := newTest(t, st.NewPlatform(t, e.Addr), nil)
+	s := newTestSender(t, st.NewPlatform(t, e.Addr), nil)
 	s.server.submit = func(_ context.Context, sub submission) bool {
 		sub.answer <- response{status: 202}
 		return true
--- a/internal/sender/shutdown_test.go
+++ b/internal/sender/shutdown_test.go
@@ -13,7 +13,7 @@
 // by the next process, and a client whose message is queued is answered that it is not accepted.
 func TestShutdown_LateEventsCount(t *testing.T) {
 	p := st.NewPlatform(t, st.NewEndpoint(t, st.Unresponsive).Addr)
-	s := newTest(t, p, nil)
+	s := newTestSender(t, p, nil)
 	deadline := s.clock.now() + time.Minute
 	for _, id := range []string{"answered", "open"} {
 		m, err := s.journal.insertAndFlush(record{ID: id, Class: "unsafe", Tenant: "acme", Deadline: deadline})
@@ -35,7 +35,7 @@
 	if a := st.Receive(t, late.answer); a.status != http.StatusServiceUnavailable {
 		t.Errorf("a message that arrives during the shutdown is answered %+v", a)
 	}
-	j := openTest(t, s.config.StateDir, 1<<20)
+	j := openTestJournal(t, s.config.StateDir, 1<<20)
 	if pending := j.pending(); len(pending) != 1 || pending[0].ID != "open" || len(pending[0].Attempts) != 1 {
 		t.Errorf("the next process finds messages %v", pending)
 	}
@@ -50,7 +50,7 @@
 		notified bool
 	}{"long before": {time.Minute, false}, "as it is up": {0, true}, "after it": {-time.Second, true}} {
 		t.Run(name, func(t *testing.T) {
-			s := newTest(t, p, nil)
+			s := newTestSender(t, p, nil)
 			m, err := s.journal.insertAndFlush(record{ID: "m", Class: "safe", Tenant: "acme", Deadline: s.clock.now() + tt.left})
 			if err != nil {
 				t.Fatal(err)
@@ -63,7 +63,7 @@
 				t.Errorf("notices %+v", s.pendingNotices)
 			}
 			s.flush() // the process is killed after that
-			next := resumed(t, p, func(c *Config) { c.StateDir = s.config.StateDir })
+			next := newResumedSender(t, p, func(c *Config) { c.StateDir = s.config.StateDir })
 			if notified := len(next.pendingNotices) == 1; notified != tt.notified || next.pending != 0 {
 				t.Errorf("the next process has notices %+v to send and %d messages", next.pendingNotices, next.pending)
 			}
--- a/internal/sender/sources_names_test.go
+++ b/internal/sender/sources_names_test.go
@@ -143,7 +143,7 @@
 	n := newNamed(t, t.TempDir(), membership.Member{Name: "_hooks._tcp.example.", SRV: true, Kind: "plain", Zone: "a", Weight: 1},
 		membership.Member{Name: "hooks.example.", Port: uint16(number), Kind: "plain", Zone: "a", Weight: 1})
 	n.pointTo(e.Addr, e.Addr)
-	s := newTest(t, st.NewPlatform(t, e.Addr), n.names(membership.Both))
+	s := newTestSender(t, st.NewPlatform(t, e.Addr), n.names(membership.Both))
 	s.step(t.Context(), s.initialListEvents())
 	if len(s.endpoints.ByID) != 1 {
 		t.Fatalf("the address is %d endpoints", len(s.endpoints.ByID))
@@ -203,13 +203,13 @@
 	n := newNamed(t, dir)
 	n.pointTo(e.Addr)
 	p := st.NewPlatform(t)
-	s := newTest(t, p, func(c *Config) { c.StateDir = state; n.names(membership.NamesFirst)(c) })
+	s := newTestSender(t, p, func(c *Config) { c.StateDir = state; n.names(membership.NamesFirst)(c) })
 	addr, stop := serving(t, s)
 	st.Submit(t, addr, st.Submission{ID: "m", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	first := st.Receive(t, calls)
 	stop()
 	p.Change(st.Target("s-9", e.Addr, 0, "SERVING"))
-	s = newTest(t, p, func(c *Config) { c.StateDir = state })
+	s = newTestSender(t, p, func(c *Config) { c.StateDir = state })
 	pending := s.journal.pending()
 	if len(pending) != 1 || len(pending[0].Attempts) != 1 || !strings.HasPrefix(pending[0].Attempts[0].Endpoint, "dns:0:") {
 		t.Fatalf("pending messages %+v", pending)
@@ -231,7 +231,7 @@
 	state := t.TempDir()
 	_ = run(t, st.NewPlatform(t), func(c *Config) { c.StateDir = state; n.names(membership.NamesFirst)(c) })
 	var r nameserver.Report
-	asked(t, state, "/zones", &r)
+	queryAdmin(t, state, "/zones", &r)
 	if len(r.Zones) != 1 || r.Zones[0].State != "held" || len(r.Members) != 1 || r.Counts["updates"] != 1 {
 		t.Errorf("report %+v", r)
 	}
--- a/internal/sender/stored_data_test.go
+++ b/internal/sender/stored_data_test.go
@@ -139,7 +139,7 @@
 			if err := os.WriteFile(filepath.Join(dir, journalFileName), readTestdata(t, tt.file), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			j := openTest(t, dir, storedBudget)
+			j := openTestJournal(t, dir, storedBudget)
 			if j.corruptLines != tt.unreadable {
 				t.Errorf("%d lines are reported as unreadable, want %d", j.corruptLines, tt.unreadable)
 			}
--- a/internal/sender/submit_test.go
+++ b/internal/sender/submit_test.go
@@ -13,7 +13,7 @@
 // that the client retries, and must not answer that the message, which has ended here, is accepted.
 func TestSubmit_HandedBackBeforeNoticeIsAcknowledged(t *testing.T) {
 	t.Parallel()
-	s := newTest(t, st.NewPlatform(t), nil)
+	s := newTestSender(t, st.NewPlatform(t), nil)
 	s.notices = make(chan []notice, 1) // notices are not sent yet
 	s.step(t.Context(), s.initialListEvents())
 	submit := func() int {
--- a/internal/sender/wire_golden_test.go
+++ b/internal/sender/wire_golden_test.go
@@ -27,8 +27,8 @@
 
 const (
 	sentOnce       wireSending = iota
-	closesWrite                // after the request
-	untilDelivered             // it sends the request again until that is no longer answered 202
+	closesWrite                // closes its sending side after the request
+	untilDelivered             // sends the request again until the answer is not 202 any more
 )
 
 // wireMessage returns a request that submits a message; edits are pairs of texts, the first of which is replaced by the second.
