--- a/internal/sender/extension_fleet.go
+++ b/internal/sender/extension_fleet.go
@@ -40,7 +40,7 @@
 }
 
 // fleetExtension applies the fleet's policy: the module gets the endpoints of a closed destination as draining, and messages that are
-// no longer allowed are ended (see withdrawDisallowed).
+// no longer allowed are handed back, given up or left waiting (see withdrawDisallowed).
 type fleetExtension struct {
 	noopExtension
 	s         *Sender
@@ -130,8 +130,8 @@
 	return append(events, x.withdrawDisallowed()...)
 }
 
-// withdrawDisallowed ends the messages that the policy does not allow, in the order in which they were accepted. It skips messages in
-// flight: recheckPolicy checks them when their calls end.
+// withdrawDisallowed ends the messages that the policy does not allow, in the order in which they were accepted. A message that may have
+// run is left waiting, unless its tenant is suspended. It skips messages in flight: recheckPolicy checks them when their calls end.
 func (x *fleetExtension) withdrawDisallowed() (events []brain.Event) {
 	s := x.s
 	for _, number := range slices.Sorted(maps.Keys(s.messages)) {
