--- a/internal/coordinator/membership_test.go
+++ b/internal/coordinator/membership_test.go
@@ -94,7 +94,8 @@
 	if f.describe() != "3: a2 b1" {
 		t.Error(f.describe())
 	}
-	// b does not apply the proposal that removes a: it must not be activated before b's lease has expired, and b must be granted no new lease.
+	// b does not apply the proposal that removes a. The proposed membership must not be activated before b's lease has expired, and b must be
+	// granted no new lease.
 	f.advance(t, 1100*time.Millisecond, nil, b)
 	if f.State().NextEpoch == 0 || f.State().Epoch != 3 {
 		t.Errorf("%v", f.State())
--- a/internal/health/aggregator.go
+++ b/internal/health/aggregator.go
@@ -27,7 +27,7 @@
 
 // destinationRecord is an aggregator's state of one destination. Zero times mean never.
 type destinationRecord struct {
-	outSince           time.Duration // first report that it is out since it was last reported to serve
+	outSince           time.Duration // first outage report since the combined reports last showed no outage
 	observedAt         time.Duration // last report of any state
 	servedAt           time.Duration // newest evidence that it serves
 	statusStart        uint64        // start index of the last seen status
--- a/internal/health/rule.go
+++ b/internal/health/rule.go
@@ -4,7 +4,7 @@
 
 // Rule contains the parameters of a destination's health: how its status is decided, and the limits that the status enforces.
 type Rule struct {
-	Quorum        int           // credible senders that must report it out; a single one counts after SoleReporterDelay if no other reports
+	Quorum        int           // credible senders that must report it out; fewer are enough once it has been reported out for SoleReporterDelay
 	ProbeInterval time.Duration // while it is ejected, all senders together send one call per interval
 	InitialRate   int64         // calls per second of all senders at the start of warming up
 	FullRate      int64         // calls per second of all senders at the end of warming up
--- a/internal/lease/modelcheck.go
+++ b/internal/lease/modelcheck.go
@@ -16,7 +16,7 @@
 	return &c
 }
 
-// AppendState appends the encoded state. It includes only those outstanding requests that may still get a reply.
+// AppendState appends the encoded state. Of the outstanding requests it includes only those in answerable, which may still get a reply.
 func (h *Holder) AppendState(b []byte, now time.Duration, answerable ...time.Duration) []byte {
 	for _, at := range h.outstanding {
 		if slices.Contains(answerable, at) && now-at < h.terms.Duration {
--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -28,7 +28,7 @@
 	config       FollowerConfig
 	members      []member
 	destinations map[uint32]*destinationAddresses
-	nextStep     time.Duration // before it, targets change only by observations
+	nextStep     time.Duration // until then, targets change only because of observations
 }
 
 // member is a followed name with its answers.
@@ -297,7 +297,7 @@
 	return f.config.MaxFlaps > 0 && len(e.removedAt) >= f.config.MaxFlaps && now-e.removedAt[len(e.removedAt)-f.config.MaxFlaps] <= f.config.FlapWindow
 }
 
-// Next returns the latest time of the next call of Step.
+// Next returns the time by which Step must be called again.
 func (f *Follower) Next() time.Duration { return f.nextStep }
 
 // MemberState is the state of a member, as operators' commands print it.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -30,6 +30,6 @@
 	Full    bool     `json:"full"`
 	Servers []Target `json:"servers"`
 
-	VersionsReset bool   `json:"-"` // from here on versions are another machine's and can't be compared with earlier ones
+	VersionsReset bool   `json:"-"` // from this update on, versions are another machine's and can't be compared with earlier ones
 	Origin        string `json:"-"` // address of the machine that sent the update if the source has several machines; else empty
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -54,8 +54,8 @@
 }
 
 // Merger merges the endpoint lists of several sources into one. At one destination one address is one endpoint, whichever sources list it
-// and however often. The endpoint keeps the id under which it was listed first, so that it has one window, one limit and one health. A
-// Merger is for one goroutine.
+// and however often. The endpoint keeps the id under which it was listed first, so that it has one concurrency window, one limit and
+// one health state. A Merger is for one goroutine.
 type Merger struct {
 	precedence map[uint32]Precedence
 	fallback   Precedence
--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// usageBuckets is the number of buckets per cool-down in a usage log. Uses within one bucket are merged and count from its end, so the log
-// of a million units is no longer than that of a thousand, at the cost of four thousandths of the usable units.
+// usageBuckets is the number of buckets per cool-down in a usage log. The uses within one bucket are merged into one record, whose
+// cool-down starts at the end of the bucket. So the log for a million units is no longer than the log for a thousand, at the cost of four
+// thousandths of the usable units.
 const usageBuckets = 256
 
 // Allowance is the number of units of one limit that a sender may use. It is checked when a call is written. It is not safe for concurrent
@@ -121,7 +122,7 @@
 	a.cooling += units
 }
 
-// Release records that a call has ended; its units cool down if the limit is of Concurrent calls.
+// Release records that a call has ended. If the limit is of kind Concurrent, its units start to cool down.
 func (a *Allowance) Release(units int64, now time.Duration) {
 	if a.limit.Kind == Concurrent {
 		a.inFlight -= units
@@ -167,8 +168,9 @@
 // Never is later than any time.
 const Never = time.Duration(1<<63 - 1)
 
-// Relinquish gives up granted units and returns the values to report in a request: from now on the client holds at most held units, and
-// cooling of the units given up cool down for another coolingTime. held is at most keep, or more if calls in flight use more units.
+// Relinquish gives up granted units and returns the values to report in a request: from now on the client holds at most held units.
+// cooling is the number of units given up that still cool down, the last of them for another coolingTime. held is at most keep, or more if
+// calls in flight use more units.
 func (a *Allowance) Relinquish(keep int64, now time.Duration) (held, cooling int64, coolingTime time.Duration) {
 	a.expireUsage(now)
 	granted := a.grantedAt(now)
--- a/internal/quota/allowances.go
+++ b/internal/quota/allowances.go
@@ -22,12 +22,12 @@
 	allowance  *Allowance
 	reserved   bool
 	missing    int64        // units of the largest call rejected since the last request
-	rotating   bool         // there are not enough units for all senders: they rotate among senders
+	rotating   bool         // there are not enough units for all senders, so the units rotate among them
 	waiting    atomic.Int64 // units of the backlog
 	largestUse int64        // units of the largest recent message
 
 	used, rejected uint64        // total units used and total calls rejected
-	underusedSince time.Duration // since when granted units are underused despite a backlog; 0: they are not
+	underusedSince time.Duration // start of the underuse of granted units despite a backlog; 0: no underuse
 	observedLimit  float64       // calls per second, as reported by the receiver; 0: none was reported
 	observedAt     time.Duration
 }
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -27,7 +27,7 @@
 	reported      map[string]Share           // as announced by SharesChanged, by key
 	expiries      map[string]time.Duration   // of grants, by key
 	sequence      uint64
-	grantDuration func(time.Duration) time.Duration // identity; a test may replace it
+	grantDuration func(time.Duration) time.Duration // the identity function; a test may replace it
 }
 
 // pendingRequest is a request that has no reply yet.
@@ -70,7 +70,7 @@
 // Timeout returns the time-out of a request.
 func (c *Client) Timeout() time.Duration { return min(c.terms.Duration/4, 400*time.Millisecond) }
 
-// Step processes events and returns the actions to execute. alarm is the latest time of the next call.
+// Step processes events and returns the actions to execute. alarm is the time by which Step must be called again.
 func (c *Client) Step(now time.Duration, events []ClientEvent) (actions []ClientAction, alarm time.Duration) {
 	touched := map[string]struct{}{} // limits of which this sender's share may have changed
 	for _, e := range events {
@@ -131,8 +131,8 @@
 	}
 }
 
-// dueByOwner returns the limits whose request is due, by owner, except owners with an outstanding request. next is when the next request
-// is due.
+// dueByOwner returns the limits whose request is due, by owner, except those of owners with an outstanding request. next is when
+// the next request is due.
 func (c *Client) dueByOwner(now time.Duration) (due map[string][]string, next time.Duration) {
 	due, next = map[string][]string{}, Never
 	for _, key := range slices.Sorted(maps.Keys(c.dueAt)) {
--- a/internal/quota/daily_pool.go
+++ b/internal/quota/daily_pool.go
@@ -7,10 +7,10 @@
 	"saffronyard.example/saffronyard/internal/lease"
 )
 
-// DailyPool is the owner's state of one daily quota. A unit is used only once per day, so the number of drawn units must survive every
-// process: an owner draws units from the replicated log before it grants them, and in a day the log gives all owners together no more than
-// the quota. Units that an owner had drawn but not granted when it crashed are lost for the day. So are the units of an expired grant, as
-// they may have been used. Draws and grants are small, so that few units are lost.
+// DailyPool is the owner's state of one daily quota. A unit is used only once per day, so the number of drawn units must survive the end of
+// any process: an owner draws units from the replicated log before it grants them, and in a day the log gives all owners together no more
+// than the quota. Units that an owner had drawn but not granted when it crashed are lost for the day. So are the units of an expired grant,
+// as they may have been used. Draws and grants are small, so that few units are lost.
 type DailyPool struct {
 	limit     Limit
 	terms     Terms
--- a/internal/quota/daily_pool_test.go
+++ b/internal/quota/daily_pool_test.go
@@ -115,7 +115,7 @@
 				}
 			}
 			if used > day.Units+outstanding {
-				t.Fatalf("seed %d: %d units used of a daily quota of %d, and %d were granted when the day started", seed, used, day.Units, outstanding)
+				t.Fatalf("seed %d: %d units used, more than the daily quota of %d plus the %d units granted before the day started", seed, used, day.Units, outstanding)
 			}
 		}
 		if faultless && used != day.Units {
@@ -145,7 +145,7 @@
 		now := time.Hour + time.Duration(i)*time.Second
 		entry.allowance.Renew(20, now, simTerms.Duration, now)
 		if d, _ := entry.demand("x", 20, now); d.Wanted != 50 {
-			t.Fatalf("after %d s it wants %d units, want 50", i, d.Wanted)
+			t.Fatalf("after %d s the demand is for %d units, want 50", i, d.Wanted)
 		}
 	}
 }
--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -46,7 +46,7 @@
 	switch {
 	case waiting == 0 || held > 0 && inUse*2 >= held:
 		e.underusedSince = 0
-	case e.limit.Kind == Daily: // inUse is no measure here: used units of a daily quota are not held any more
+	case e.limit.Kind == Daily: // inUse does not measure the use of a daily quota, as its used units are not held any more
 	case held > minUseful && e.underusedSince == 0:
 		e.underusedSince = now
 	}
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -28,7 +28,7 @@
 // available again until the grant expires.
 //
 // A unit of a daily quota (kind Daily) is used only once. The replicated log counts the units drawn for the day, so that the count
-// survives every process; a DailyPool draws units from the log before it grants them.
+// survives the end of any process; a DailyPool draws units from the log before it grants them.
 //
 // Calls take units from Allowances in their own goroutines; Client and Server are state machines, each stepped by one goroutine. Only the
 // drawn daily units are persisted.
--- a/internal/quota/fair_shares.go
+++ b/internal/quota/fair_shares.go
@@ -9,8 +9,9 @@
 // Demand is one client's demand for units of a limit.
 type Demand struct {
 	Units     int64 // units that it could use within a cool-down
-	MinUseful int64 // units of its next message, or of one call: it can't use fewer
-	// WaitingSince is since when it has held less than MinUseful, or 0. The client that waits longest comes first.
+	MinUseful int64 // units of its next message, or of one call; the client can't use fewer
+	// WaitingSince is the time since which the client has held less than MinUseful; 0: it does not wait. The client that waits
+	// longest comes first.
 	WaitingSince time.Duration
 	HasTurn      bool // it holds MinUseful and its turn has not ended
 }
@@ -54,7 +55,7 @@
 	}
 	// Water-filling: find the highest integer level for which there are enough units, where each client gets at least its MinUseful.
 	at := func(i int, level int64) int64 { return max(all[i].MinUseful, min(all[i].Units, level)) }
-	low, high := int64(0), units+1 // invariant: there are enough units for low, but not for high unless no client wants that many
+	low, high := int64(0), units+1 // invariant: there are enough units for level low, but not for level high unless no client wants that many
 	for low+1 < high {
 		level, need := (low+high)/2, int64(0)
 		for _, i := range order {
--- a/internal/quota/grant_table.go
+++ b/internal/quota/grant_table.go
@@ -15,7 +15,7 @@
 	Cooling     int64         // units in addition to Held that it gave up and that still cool down
 	CoolingTime time.Duration // until the last of the Cooling units has cooled down
 	Wanted      int64         // units that it could use within a cool-down
-	MinUseful   int64         // it can't use fewer units
+	MinUseful   int64         // the client can't use fewer units
 	Spent       int64         // units of a daily quota used by the client's process in total
 }
 
@@ -24,7 +24,7 @@
 	Units      int64
 	Duration   time.Duration // counted from before the request
 	Rotating   bool          // there are not enough units for all clients: the client gives up units as soon as they are used
-	RetryAfter time.Duration // when a client that waits for more units requests again; 0: at its usual interval
+	RetryAfter time.Duration // after which a client that waits for more units requests again; 0: its usual interval
 }
 
 // GrantTable records the units of a limit that its owner has granted. It is not safe for concurrent use.
@@ -37,7 +37,7 @@
 	shares      map[lease.HolderID]int64 // as computed at sharesAt
 	slack       int64                    // units that each client with a demand gets in addition to its share
 	sharesAt    time.Duration
-	scarce      bool // there are not enough units for every client's minUseful: they rotate
+	scarce      bool // there are not enough units for every client's minUseful, so the units rotate
 	sharesStale bool // demands or the limit changed since sharesAt
 }
 
@@ -50,7 +50,7 @@
 	wanted       int64
 	minUseful    int64
 	requestedAt  time.Duration // of its last request
-	waitingSince time.Duration // since when it holds less than minUseful and wants more; 0: it does not wait
+	waitingSince time.Duration // time since which it holds less than minUseful and wants more; 0: it does not wait
 	turnStart    time.Duration // start of its turn with rotating units; 0: it has no turn
 }
 
@@ -270,7 +270,7 @@
 	return outstanding > t.limit.Grantable()
 }
 
-// retryAfter returns after what time a waiting client should request again: when enough units may have been returned for it and for the
+// retryAfter returns the time after which a waiting client should request again: when enough units may have been returned for it and for the
 // clients that have waited longer.
 func (t *GrantTable) retryAfter(waiting *clientState, now time.Duration) time.Duration {
 	before := 0                 // clients that have waited longer
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -18,7 +18,7 @@
 // The model runs the production code of one limit (Allowance, GrantTable) under every order of events, breadth first: requests and replies
 // are delayed, lost or duplicated; clients pause, use available units at any moment, crash and restart; the owner is replaced by one without
 // its state, after the former owner has stopped granting but while its replies are still in flight. The model records the uses that a
-// receiver sees: in no span may there be more uses than units.
+// receiver sees: no span may contain more uses than the limit has units.
 
 const tick = time.Second
 
--- a/internal/quota/server.go
+++ b/internal/quota/server.go
@@ -25,7 +25,7 @@
 	draws          []Draw                            // to submit to the log
 	observedLimits map[string]observedLimit          // reported by receivers, by key
 	slowStartAt    map[string]time.Duration          // when a limit with slow start was first seen, by key
-	gracePeriod    func(time.Duration) time.Duration // identity; a test may replace it
+	gracePeriod    func(time.Duration) time.Duration // the identity function; a test may replace it
 }
 
 // observedLimit is a limit reported by a receiver, in calls per second.
--- a/internal/quota/server_membership.go
+++ b/internal/quota/server_membership.go
@@ -54,7 +54,7 @@
 	return p != nil && p.Name == s.me.Name && p.Incarnation == s.me.Incarnation
 }
 
-// ownedSince returns since when this sender has owned a limit without interruption, according to the remembered memberships.
+// ownedSince returns the time since which this sender has owned a limit without interruption, according to the remembered memberships.
 func (s *Server) ownedSince(key string) time.Duration {
 	at := s.active().startedAt
 	for i := len(s.memberships) - 1; i > 0 && s.owns(s.memberships[i-1].ownership, key); i-- {
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -501,7 +501,7 @@
 			p.allowances.SetWaiting(map[string]int64{})
 		}
 		if got := used(s, at+2*time.Second, at+4*time.Second); got < 0.8*40 {
-			t.Errorf("2 s after shift %d %.1f units/s used, of 40", turn, got)
+			t.Errorf("2 s after shift %d of the demand %.1f units/s used, of 40", turn, got)
 		}
 		at += 4 * time.Second
 	}
@@ -596,7 +596,7 @@
 			if want += min(d.Units, most); d.Units == 0 && s > 0 || s < 0 || s > most || s > 0 && s < d.MinUseful {
 				t.Fatalf("seed %d: share %d of %d units for %+v: %v", seed, s, units, d, got)
 			}
-			for j, o := range got { // a client with less than it wants has at most one unit less than another, except for MinUseful
+			for j, o := range got { // if a client gets less than it wants, no other share is more than one unit larger, except to reach MinUseful
 				if needed <= units && d.Units > s && o > s+1 && o > all[j].MinUseful {
 					t.Fatalf("seed %d: share %d is unfair beside share %d: %v for %+v", seed, s, o, got, all)
 				}
