--- a/internal/calls/answer.go
+++ b/internal/calls/answer.go
@@ -74,8 +74,8 @@
 	return false, false, errMalformedAnswer
 }
 
-// malformed returns the error for an answer that is malformed after its status line: none if the status line said that the call was
-// served.
+// malformed returns the error for an answer that is malformed after its status line; nil if the status line reported that the call
+// was served.
 func malformed(served bool) error {
 	if served {
 		return nil
--- a/internal/calls/call_test.go
+++ b/internal/calls/call_test.go
@@ -21,8 +21,8 @@
 func callOnce(p *Pool, e *Endpoint, timeout time.Duration, body string) brain.AttemptResult {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	end, _ := p.Call(ctx, e, tickets(Message{ID: "id", Key: "key", Body: []byte(body)}, timeout), timeout)
-	return end
+	result, _ := p.Call(ctx, e, tickets(Message{ID: "id", Key: "key", Body: []byte(body)}, timeout), timeout)
+	return result
 }
 
 func TestCall_Outcomes(t *testing.T) {
@@ -299,8 +299,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan brain.AttemptResult, 1)
 	go func() {
-		end, _ := p.Call(ctx, at, tickets(Message{ID: "id"}, st.Wait), st.Wait)
-		ended <- end
+		result, _ := p.Call(ctx, at, tickets(Message{ID: "id"}, st.Wait), st.Wait)
+		ended <- result
 	}()
 	e.Next(t)
 	e.Next(t)
--- a/internal/calls/doc.go
+++ b/internal/calls/doc.go
@@ -9,7 +9,7 @@
 //	end of the attempt                                        outcome          other fields
 //	-                                                         -                -
 //	no connection was established                             ConnectFailed
-//	this machine lacked a resource for it                     NotSent
+//	this machine lacked a resource for the connection         NotSent
 //	all permits were revoked or expired before the write      NotSent          the connection is kept
 //	the endpoint's address changed while connecting           NotSent
 //	the endpoint did not allow calls from our origin          ConnectFailed
--- a/internal/calls/endpoint.go
+++ b/internal/calls/endpoint.go
@@ -17,8 +17,8 @@
 	lastListed    uint64         // EndpointList.generation of the last list that named it
 	listedServing bool           // its state in the list, before the fleet's policy is applied
 	kind          string         // as in the list
-	format        *requestFormat // of calls to it; the owner writes it under mu and may read it without
-	retired       bool           // it wants no more calls; reset when the list says that it is not serving
+	format        *requestFormat // of calls to it; the owner writes it under mu and may read it without mu
+	retired       bool           // it wants no more calls; reset when the list reports it as not serving
 	validating    chan struct{}  // semaphore held by the call that validates the endpoint
 
 	mu            sync.Mutex // guards the fields below, and format for other goroutines
--- a/internal/calls/endpoint_list.go
+++ b/internal/calls/endpoint_list.go
@@ -51,14 +51,14 @@
 func (l *EndpointList) Apply(update membership.Update, complete bool, names Names, p *Pool) brain.EndpointUpdate {
 	var changes brain.EndpointUpdate
 	l.generation++
-	for _, line := range update.Servers {
-		if e, changed := l.update(line, names, p); changed {
+	for _, target := range update.Servers {
+		if e, changed := l.update(target, names, p); changed {
 			changes.Endpoints = append(changes.Endpoints, e)
 		}
 	}
-	for _, line := range update.Servers {
-		if line.State == stateDeleted {
-			l.remove(l.ByID[line.ID], p)
+	for _, target := range update.Servers {
+		if target.State == stateDeleted {
+			l.remove(l.ByID[target.ID], p)
 		}
 	}
 	if !complete {
@@ -94,7 +94,7 @@
 	p.CloseIdle(e, 0)
 }
 
-// Retire marks an endpoint that wants no more calls as not ready, until the list says that it is not serving. changed reports
+// Retire marks an endpoint that wants no more calls as not ready, until the list reports it as not serving. changed reports
 // whether the Brain needs the update.
 func (l *EndpointList) Retire(e *Endpoint, p *Pool) (update brain.EndpointUpdate, changed bool) {
 	if e == nil || e.retired || l.ByID[e.ID] != e {
--- a/internal/calls/permit.go
+++ b/internal/calls/permit.go
@@ -9,7 +9,7 @@
 // Permit is the permission to write one message once. Between the decision to send a message and its first byte on the
 // wire, connecting may take seconds, and the reasons for the decision may change meanwhile: the destination asks for a
 // wait, the endpoint drains, an outage begins, the idempotency key expires. So the call uses the permit just before it
-// writes, and the loop revokes it as soon as the Brain says so. Whichever comes first takes effect; there is no lock, and
+// writes, and the loop revokes it as soon as the Brain decides so. Whichever comes first takes effect; there is no lock, and
 // neither waits for the other.
 type Permit struct {
 	// Until is when the permit expires by itself: a message may be repeated only while its idempotency key is valid.
--- a/internal/calls/permit_test.go
+++ b/internal/calls/permit_test.go
@@ -31,13 +31,13 @@
 		}
 		return nil
 	}
-	if end, _ := p.Call(ctx, at, late, st.Wait); end.Outcome != brain.NotSent || p.idle.Load() != 1 {
-		t.Errorf("%+v, %d idle", end, p.idle.Load())
+	if result, _ := p.Call(ctx, at, late, st.Wait); result.Outcome != brain.NotSent || p.idle.Load() != 1 {
+		t.Errorf("%+v, %d idle", result, p.idle.Load())
 	}
 	p.Dialer.Control = nil
 	fine := tickets(Message{ID: "fine"}, st.Wait)
-	if end, _ := p.Call(ctx, at, fine, st.Wait); end.Outcome != brain.Served {
-		t.Errorf("%+v", end)
+	if result, _ := p.Call(ctx, at, fine, st.Wait); result.Outcome != brain.Served {
+		t.Errorf("%+v", result)
 	}
 	if fine[0].Revoke() {
 		t.Error("a used permit was revoked")
@@ -58,8 +58,8 @@
 	all[0].Revoke()
 	ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
 	defer cancel()
-	if end, _ := p.Call(ctx, at, all, st.Wait); end.Outcome != brain.Served {
-		t.Errorf("%+v", end)
+	if result, _ := p.Call(ctx, at, all, st.Wait); result.Outcome != brain.Served {
+		t.Errorf("%+v", result)
 	}
 	c := e.Next(t)
 	if ids := st.BatchIDs(t, c); len(ids) != 1 || ids[0] != "two" || !all[2].Revoked() {
@@ -77,20 +77,20 @@
 	call := func(within time.Duration) brain.AttemptResult {
 		ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
 		defer cancel()
-		end, _ := p.Call(ctx, at, tickets(Message{ID: "id"}, within), st.Wait)
-		return end
+		result, _ := p.Call(ctx, at, tickets(Message{ID: "id"}, within), st.Wait)
+		return result
 	}
-	if end := call(0); end.Outcome != brain.NotSent {
-		t.Errorf("with a permit that expires at once: %+v", end)
+	if result := call(0); result.Outcome != brain.NotSent {
+		t.Errorf("with a permit that expires at once: %+v", result)
 	}
-	if end := call(st.Wait); end.Outcome != brain.Served {
-		t.Errorf("with a valid permit: %+v", end)
+	if result := call(st.Wait); result.Outcome != brain.Served {
+		t.Errorf("with a valid permit: %+v", result)
 	}
-	if end := call(-time.Second); end.Outcome != brain.NotSent || p.idle.Load() != 1 {
-		t.Errorf("with an expired permit: %+v, %d idle", end, p.idle.Load())
+	if result := call(-time.Second); result.Outcome != brain.NotSent || p.idle.Load() != 1 {
+		t.Errorf("with an expired permit: %+v, %d idle", result, p.idle.Load())
 	}
-	if end := call(st.Wait); end.Outcome != brain.Served {
-		t.Errorf("on the kept connection: %+v", end)
+	if result := call(st.Wait); result.Outcome != brain.Served {
+		t.Errorf("on the kept connection: %+v", result)
 	}
 	if len(e.Calls) != 2 || e.Next(t).Conn != 1 || e.Next(t).Conn != 1 {
 		t.Error("the calls were not made on one connection")
@@ -113,11 +113,11 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
 	defer cancel()
-	if end, _ := p.Call(ctx, at, tickets(Message{ID: "m"}, st.Wait), st.Wait); end.Outcome != brain.NotSent {
-		t.Errorf("%+v", end)
+	if result, _ := p.Call(ctx, at, tickets(Message{ID: "m"}, st.Wait), st.Wait); result.Outcome != brain.NotSent {
+		t.Errorf("%+v", result)
 	}
-	if end, _ := p.Call(ctx, at, tickets(Message{ID: "m"}, st.Wait), st.Wait); end.Outcome != brain.Served {
-		t.Errorf("the next call: %+v", end)
+	if result, _ := p.Call(ctx, at, tickets(Message{ID: "m"}, st.Wait), st.Wait); result.Outcome != brain.Served {
+		t.Errorf("the next call: %+v", result)
 	}
 	if other.Next(t); len(old.Calls) != 0 {
 		t.Error("the old address received a call")
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -258,7 +258,7 @@
 		e.At = min(e.At, now) // the clock was ahead; without this the entry would be kept for longer than the retention
 		all = append(all, e)
 	}
-	// The ring may start anywhere in the file. Only entries of equal time on both sides of the seam can be out of order.
+	// The ring may start anywhere in the file. Only entries of equal time at the file's end and beginning can be out of order.
 	slices.SortStableFunc(all, func(a, b Entry) int { return cmp.Compare(a.At, b.At) })
 	for _, e := range all[max(0, len(all)-t.maxEntries):] {
 		t.put(e)
--- a/internal/identity/stored_data_test.go
+++ b/internal/identity/stored_data_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The file under testdata/stored was written by a version from before names were changed (eea23b3): a ring that has wrapped, with a
+// The file under testdata/stored was written by version eea23b3, before identifiers were renamed: a ring that has wrapped, with a
 // key that ended twice, a damaged record and a torn one. FILE.golden lists its contents, FILE.renewed is the file after Open has
 // rewritten it.
 const (
--- a/internal/knowledge/changelog.go
+++ b/internal/knowledge/changelog.go
@@ -9,7 +9,7 @@
 
 // ChangeLog is the log of a sender's own facts with versions, for its peers. Each significant change gets the next version, and a
 // peer that has everything up to a version is sent the changes after it. Ageing of a fact is no change, so senders whose receivers
-// are quiet exchange next to nothing. It is not safe for concurrent use.
+// do not change exchange almost nothing. It is not safe for concurrent use.
 type ChangeLog struct {
 	version uint64
 	entries map[slot]*changeEntry
--- a/internal/knowledge/file.go
+++ b/internal/knowledge/file.go
@@ -16,8 +16,8 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/knowledge/v1"
 )
 
-// Layout of a snapshot file: "SYKNOW" and a format of two bytes, 8 in all, then 4 bytes of length and 4 of checksum (CRC-32C), both
-// little-endian and of the rest of the file, which is a protobuf message Snapshot. The file is written to a temporary name and
+// Layout of a snapshot file: "SYKNOW" and a format of two bytes, 8 in all, then the length (4 bytes) and the CRC-32C checksum (4 bytes)
+// of the rest of the file, both little-endian. The rest is a protobuf message Snapshot. The file is written to a temporary name and
 // renamed over the old one, so a kill at any point leaves one of the two complete. It is not synced: the checksum detects data
 // lost with a power failure, and a sender without a usable snapshot starts without one.
 const (
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -214,15 +214,15 @@
 
 // Ages are encoded, not times: a fact decoded on another clock has the same value, older by the time in transit.
 func TestCodec_RoundTrip(t *testing.T) {
-	const there, way = 5 * time.Hour, 3 * time.Second
+	const remoteAt0, transit = 5 * time.Hour, 3 * time.Second
 	for kind := Latency; int(kind) < kindCount; kind++ {
 		f := fact(kind, 2*time.Second, "")
-		got, err := Decode(Encode(&f, at0), Source{"a", 9}, there+way, way)
+		got, err := Decode(Encode(&f, at0), Source{"a", 9}, remoteAt0+transit, transit)
 		if err != nil {
 			t.Fatal(err)
 		}
 		want := f
-		shift := there - at0
+		shift := remoteAt0 - at0
 		want.ObservedAt, want.Source = f.ObservedAt+shift, Source{"a", 9}
 		if kind == RetryAfter {
 			want.Until += shift
--- a/internal/knowledge/stored_data_test.go
+++ b/internal/knowledge/stored_data_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The file under testdata/stored was written by a version from before names were changed (eea23b3): facts of each kind, of receivers
+// The file under testdata/stored was written by version eea23b3, before identifiers were renamed: facts of each kind, of receivers
 // and of routes. FILE.golden lists its contents.
 const (
 	storedSnapshot = "testdata/stored/knowledge"
--- a/internal/peers/backoff_test.go
+++ b/internal/peers/backoff_test.go
@@ -50,7 +50,7 @@
 	t.Parallel()
 	a := startPeer(t, config("a"), time.Hour)
 	b := startPeer(t, config("b", a.Address()), time.Hour)
-	waitUntil(t, "a and b know each other", func() bool { return a.state("b") == stateAlive && b.state("a") == stateAlive })
+	waitUntil(t, "a and b have discovered each other", func() bool { return a.state("b") == stateAlive && b.state("a") == stateAlive })
 	for _, pair := range [][2]*testPeer{{a, b}, {b, a}} { // each is notified that the other is dead, and of nothing else
 		(*eventDelegate)(pair[0].Node).NotifyLeave(&memberlist.Node{Name: pair[1].config.Name})
 	}
--- a/internal/peers/config.go
+++ b/internal/peers/config.go
@@ -17,8 +17,8 @@
 	Exchange    string   // host:port where peers follow this sender's facts; port 0 for any
 	Seeds       []string // host:port of some other senders' membership
 	Keys        [][]byte // encrypt membership messages, 16, 24 or 32 bytes each; the first is used for sending; none: no encryption
-	MaxFollowed int      // most peers followed at once
-	MaxFacts    int      // most facts stored of each peer
+	MaxFollowed int      // maximum number of peers followed at once
+	MaxFacts    int      // maximum number of facts stored of each peer
 	Routes      []Route  // to peers that are not reachable at their own address
 }
 
--- a/internal/peers/limits.go
+++ b/internal/peers/limits.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Limits of the exchange of facts. They bound what any peer can cost, whatever it does.
+// Limits of the exchange of facts. They bound the resources that any peer can use, whatever it does.
 const (
 	maxChunkFacts      = 500              // in one chunk sent
 	maxChunkBytes      = 256 << 10        // of one chunk received
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -117,7 +117,7 @@
 			t.Errorf("%s relays a fact that it received", f.Source.Name)
 		}
 	}
-	waitUntil(t, "all members know each other", func() bool {
+	waitUntil(t, "all members have discovered each other", func() bool {
 		return b.state("c") == stateAlive && c.state("b") == stateAlive && a.state("c") == stateAlive
 	})
 	b.Close()
@@ -208,7 +208,7 @@
 	}
 }
 
-// At most maxFollowed peers are chosen, the earliest incarnation first, none that is not alive, none during its backoff.
+// Only peers that are alive and not in a backoff are chosen, at most maxFollowed, the earliest incarnation first.
 func TestChoosePeers(t *testing.T) {
 	t.Parallel()
 	member := func(name string, incarnation uint64, edit func(*peer)) peer {
