--- a/internal/health/doc.go
+++ b/internal/health/doc.go
@@ -13,7 +13,7 @@
 // Transitions of a destination at its owner (Aggregator.Evaluate proposes, Machine applies):
 //
 //	from         event                                                      to
-//	none         Quorum senders report it out, or a single one for 2 s      ejected
+//	none         Quorum senders report it out, or fewer for 2 s             ejected
 //	ejected      a call was served after the status started                 warming up
 //	ejected      no report for TTL                                          none
 //	warming up   as from none, with evidence after the status started       ejected
--- a/internal/knowledge/knowledge.go
+++ b/internal/knowledge/knowledge.go
@@ -271,7 +271,7 @@
 func (v *View) Facts() []Fact { return sortedFacts(v.best) }
 
 // OwnFacts returns the facts that this sender sends to others: only its own observations, none received from peers. So no fact
-// returns to its source as evidence of another sender, and none is passed around after its source is gone.
+// returns to its source as evidence of another sender, and none circulates among senders after its source is gone.
 func (v *View) OwnFacts() []Fact { return sortedFacts(v.own) }
 
 // FactsOf returns the best facts of one subject, sorted by kind.
--- a/internal/membership/resolve.go
+++ b/internal/membership/resolve.go
@@ -67,7 +67,7 @@
 // The bounds of a resolution.
 const (
 	maxCNAMEChain = 16  // CNAMEs between zones
-	maxTargets    = 256 // records of an SRV set that are resolved, and addresses of a member
+	maxTargets    = 256 // records of an SRV set that are resolved, and addresses of one host name
 )
 
 // Resolve resolves a member's addresses. names are the names that the answer depends on: the member must be resolved again when one of them
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -455,7 +455,7 @@
 	}
 }
 
-// Checks how many of the usable units a healthy fleet uses, and logs this and Jain's index for the design note.
+// Checks which fraction of the usable units a healthy fleet uses, and logs it with Jain's index for the design note.
 func TestFleet_Utilization(t *testing.T) {
 	for _, c := range []struct {
 		senders, units int64
