--- a/internal/tier/coordination/runtime.go
+++ b/internal/tier/coordination/runtime.go
@@ -19,7 +19,7 @@
 	ErrNotPrimary = errors.New("coordination: not the primary")
 	// ErrBusy: the call had no effect, because it was not started in time, or because the machine was discarded after a failed
 	// write.
-	ErrBusy = errors.New("coordination: busy, the call had no effect")
+	ErrBusy = errors.New("coordination: nothing was done")
 	// ErrTooLarge: the call had no effect, because the control state would become too large.
 	ErrTooLarge = errors.New("coordination: the control state would be too large")
 	// ErrOutcomeUnknown: the call may or may not have taken effect.
