--- a/internal/tier/consensus/actions.go
+++ b/internal/tier/consensus/actions.go
@@ -43,7 +43,7 @@
 	}
 )
 
-// String is the message with its reason.
+// String returns the message, followed by the reason if there is one.
 func (t transition) String() string {
 	if t.reason == "" {
 		return t.message
--- a/internal/tier/consensus/group_failure_test.go
+++ b/internal/tier/consensus/group_failure_test.go
@@ -10,7 +10,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// timeToService puts until a write is acknowledged, and returns how long that took; more than limit is a violation.
+// timeToService calls put until a write is acknowledged, and returns how long that took; more than limit is a violation.
 func (w *simulation) timeToService(limit time.Duration) time.Duration {
 	began, count := w.now, len(w.acknowledged)
 	for len(w.acknowledged) == count && len(w.violations) == 0 {
@@ -275,9 +275,9 @@
 	}
 }
 
-// The losses that a primary reports as tolerated are tolerated. At any moment, also during a change of members, that many machines are
-// lost permanently at once, whichever they are, and no other machine joins before a write is acknowledged again. A report may count a
-// machine as responsive only for the time recently after its loss.
+// The group survives as many losses as a primary reports as tolerated. At any moment, also during a change of members, that many machines
+// are lost permanently at once, whichever they are, and no other machine joins before a write is acknowledged again. A report may count
+// a machine as responsive only for the time recently after its loss.
 func TestHealth_ToleratedLossesAreSurvived(t *testing.T) {
 	seeds := seedCount(20)
 	if testing.Short() || raceDetector {
--- a/internal/tier/consensus/lease.go
+++ b/internal/tier/consensus/lease.go
@@ -28,7 +28,8 @@
 // timing.replaceAfter. After that the process has to join.
 const absentHeartbeatFactor = 5
 
-// sendHeartbeats sends heartbeats to all members, and to other processes that are not unresponsive for too long (absentHeartbeatFactor).
+// sendHeartbeats sends heartbeats to all members, and to other processes until they have been unresponsive for too long
+// (absentHeartbeatFactor).
 func (r *replica) sendHeartbeats() {
 	primary := r.primary
 	primary.heartbeatAt = r.now + r.timing.heartbeatInterval
--- a/internal/tier/consensus/primary.go
+++ b/internal/tier/consensus/primary.go
@@ -16,7 +16,7 @@
 	needsHigherEpoch bool                     // a backup has prepared a higher epoch
 	heartbeatAt      time.Duration            // next heartbeat
 	proposeAt        time.Duration            // earliest time of the next proposal
-	growAt           time.Duration            // earliest next proposal that only adds backups or corrects addresses, as the previous one added none
+	growAt           time.Duration            // earliest next proposal that only adds backups or corrects addresses; delays the retry of one that added none
 	committed        map[string]*tierv1.Entry // entries that all replicas have
 	queue            []pendingOperation
 	batch            *writeBatch // in flight; nil: none
--- a/internal/tier/consensus/published.go
+++ b/internal/tier/consensus/published.go
@@ -74,7 +74,7 @@
 // Scan returns the values of all keys that begin with a prefix, as committed at all replicas. The values must not be modified.
 func (node *Node) Scan(prefix string) map[string][]byte {
 	node.mu.Lock()
-	entries := node.published.entries // it is replaced, never changed
+	entries := node.published.entries // the map is replaced, never modified
 	node.mu.Unlock()
 	values := make(map[string][]byte)
 	for key, entry := range entries {
--- a/internal/tier/consensus/quorum.go
+++ b/internal/tier/consensus/quorum.go
@@ -21,7 +21,7 @@
 	return sets
 }
 
-// hasMajorities reports whether have holds for a majority of each set; false without any set.
+// hasMajorities reports whether have returns true for a majority of each set. It returns false if there are no sets.
 func hasMajorities(sets [][]*tierv1.Member, have func(*tierv1.Member) bool) bool {
 	for _, set := range sets {
 		count := 0
--- a/internal/tier/consensus/state_transfer_test.go
+++ b/internal/tier/consensus/state_transfer_test.go
@@ -47,7 +47,7 @@
 	return true
 }
 
-// acknowledgeWrites puts until n more writes are acknowledged, one after the other.
+// acknowledgeWrites calls put until n more writes are acknowledged, one after the other.
 func (w *simulation) acknowledgeWrites(n int) {
 	last := w.now
 	for count := len(w.acknowledged); len(w.acknowledged) < count+n && len(w.violations) == 0; {
--- a/internal/tier/consensus/storage.go
+++ b/internal/tier/consensus/storage.go
@@ -40,7 +40,7 @@
 	}
 	if state.Folder == "" {
 		if err := node.makeIdentity(&state); err != nil {
-			return errorx.Decorate(err, "consensus: make the folder")
+			return errorx.Decorate(err, "consensus: create the folder")
 		}
 	}
 	node.storage.hadIdentity = true
--- a/internal/tier/consensus/world_checks_test.go
+++ b/internal/tier/consensus/world_checks_test.go
@@ -120,7 +120,7 @@
 	return sent
 }
 
-// load puts at random intervals until a time.
+// load calls put at random intervals until a time.
 func (w *simulation) load(until time.Duration) {
 	if w.now >= until {
 		return
--- a/internal/tier/controlplane/cluster_test.go
+++ b/internal/tier/controlplane/cluster_test.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// leader returns the machine whose process is the primary and in touch with its backups, the one of the newest epoch if there
+// leader returns the machine whose process is the primary and in contact with its backups, the one of the newest epoch if there
 // are two; nil if there is none.
 func (c *cluster) leader() (found *coreMachine) {
 	newest := uint64(0)
--- a/internal/tier/controlplane/configuration_test.go
+++ b/internal/tier/controlplane/configuration_test.go
@@ -163,7 +163,7 @@
 		assertStatus(t, h.replace(3, 4), 200)
 		assert.Assert(t, time.Since(began) < 50*time.Millisecond)
 		slow.stop()
-		h.advance(140 * time.Millisecond) // its connection broke: it is waited for until disconnectedTTL is over, and no longer
+		h.advance(140 * time.Millisecond) // its connection broke: the response waits for it until disconnectedTTL is over, and no longer
 		began = time.Now()
 		assertStatus(t, h.replace(4, 5), 200)
 		assert.Assert(t, time.Since(began) < 100*time.Millisecond)
--- a/internal/tier/controlplane/controlplane.go
+++ b/internal/tier/controlplane/controlplane.go
@@ -33,7 +33,7 @@
 	// can take another replica, before the partition goes on without it. A turn store whose call was lost notices the loss a
 	// twelfth of the window after the expiry, a failed search for the primary takes an eighth, and the pause before the next
 	// search a thirtieth: 0.24 of the window in all. With the detection (long poll, TTL and check: 0.27) the wait ends within
-	// the window, in which a machine that had a fault does not yet count as in touch again.
+	// the window, in which a machine that had a fault does not yet count as in contact again.
 	lostReplicaWaitDivisor = 4
 )
 
@@ -45,7 +45,7 @@
 	// Dial reaches another control plane process by its internal address. Without it, operators are redirected to the
 	// address that Store.PrimaryHint gives, without a probe.
 	Dial func(address string) tierv1.ControlPlane
-	Log  *log.Logger // default: nothing below a panic is logged
+	Log  *log.Logger // default: a logger at the panic level
 }
 
 // ControlPlane serves operators and sessions while this process is the primary of the control state. Its methods may be
--- a/internal/tier/controlplane/coordination_calls.go
+++ b/internal/tier/controlplane/coordination_calls.go
@@ -14,7 +14,7 @@
 )
 
 // Calls of applications: locks, counters, keys and watches (package coordination). Unlike for operators' calls, a 503
-// guarantees that nothing was done, and a committed result is returned even if this process is no longer the primary.
+// guarantees that the call had no effect, and a committed result is returned even if this process is no longer the primary.
 
 const (
 	// coordinationTimeout bounds a call, without the time that a watch is held: callers try another process after one second
--- a/internal/tier/controlplane/coordination_responses.go
+++ b/internal/tier/controlplane/coordination_responses.go
@@ -82,7 +82,8 @@
 	return body
 }
 
-// coordinationErrorResponse is the response to a call without a result. It may be 503 only if nothing was done and never will be.
+// coordinationErrorResponse is the response to a call without a result. It may be 503 only if the call had
+// no effect and never will have one.
 func coordinationErrorResponse(err error) response {
 	switch {
 	case errors.Is(err, coordination.ErrOutcomeUnknown):
--- a/internal/tier/controlplane/coordination_test.go
+++ b/internal/tier/controlplane/coordination_test.go
@@ -82,7 +82,7 @@
 	})
 }
 
-// A 503 guarantees that nothing was done, so a write with an unknown outcome gets a 504.
+// A 503 guarantees that the call had no effect, so a write with an unknown outcome gets a 504.
 func TestCoordination_OutcomeUnknown(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		withHarness(t, func(h *harness) {
@@ -120,7 +120,7 @@
 	})
 }
 
-// A new primary goes on from the stored records, and locks stay held for their full hold time.
+// A new primary continues from the stored records, and locks stay held for their full hold time.
 func TestCoordination_NextEpoch(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		assertReply(t, h.post("Locks.Create/l", `{"holder":"a","hold_time_ms":3000}`), 200, `{"fence":1}`)
--- a/internal/tier/controlplane/endpoint_list_test.go
+++ b/internal/tier/controlplane/endpoint_list_test.go
@@ -168,7 +168,7 @@
 }
 
 // Random lists change during a scan, and some scans are abandoned: the endpoint list never lacks an endpoint that was on the
-// platform's list all the time, shows an endpoint as draining as soon as a page has it so, and equals the platform's list after
+// platform's list all the time, shows an endpoint as draining as soon as a page does, and equals the platform's list after
 // a scan during which that did not change.
 func TestEndpointList_RandomPages(t *testing.T) {
 	for seed := range uint64(40) {
--- a/internal/tier/controlplane/harness_test.go
+++ b/internal/tier/controlplane/harness_test.go
@@ -319,7 +319,7 @@
 	}
 }
 
-// reportSynced has the next call report as synced the replicas that have been syncing for syncTime, as a turn store does.
+// reportSynced makes the next call report the replicas that have been syncing for syncTime as synced, as a turn store does.
 func (p *testProcess) reportSynced(now time.Time) {
 	p.request.Synced = nil
 	for c, since := range p.syncing {
@@ -330,7 +330,7 @@
 	slices.SortFunc(p.request.Synced, func(a, b *tierv1.SyncedReplica) int { return cmp.Compare(a.Partition, b.Partition) })
 }
 
-// setDisk sets the state of the disk that calls report from the next one on.
+// setDisk sets the state of the disk that the next and all later calls report.
 func (p *testProcess) setDisk(state tierv1.DiskState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/tier/controlplane/placement_random_test.go
+++ b/internal/tier/controlplane/placement_random_test.go
@@ -95,7 +95,7 @@
 			model.assertBalanced(false)
 			clear(affected)
 		case 10:
-			if len(affected) == 0 { // an expiry is no loss, but Assign does not wait for its end beside a loss
+			if len(affected) == 0 { // an expiry is not a loss, but Assign does not wait for the return during a loss
 				model.expireBriefly(m)
 			}
 		case 11:
--- a/internal/tier/controlplane/platform_poll_test.go
+++ b/internal/tier/controlplane/platform_poll_test.go
@@ -205,8 +205,8 @@
 	return shown
 }
 
-// With 3,000 endpoints the list has 60 pages. Sessions have a draining endpoint as such within the drain time, even if calls of
-// the scan that reads its page get no answer.
+// With 3,000 endpoints the list has 60 pages. Sessions see a draining endpoint as draining within the drain time, even if calls
+// of the scan that reads its page get no answer.
 func TestScanPlatform_DrainKnownInTimeWithLostCalls(t *testing.T) {
 	set := testSettings()
 	set.CloudAddress, set.CloudRate, set.DrainTimeout = "10.200.0.100:8142", 40, 5*time.Second
--- a/internal/tier/controlplane/platform_rate_test.go
+++ b/internal/tier/controlplane/platform_rate_test.go
@@ -122,8 +122,8 @@
 
 // releaseObservation is what a gateway's session observes of a release.
 type releaseObservation struct {
-	longest time.Duration // longest time for which the platform's list had an endpoint as draining and the session did not
-	known   int           // endpoints that the session had as draining
+	longest time.Duration // longest time for which an endpoint was draining in the platform's list and not yet in the session
+	known   int           // endpoints that were draining in the session
 	pushes  int
 }
 
@@ -169,8 +169,8 @@
 }
 
 // If the platform's rate is so low that a scan takes as long as an endpoint drains, each page takes effect when it arrives:
-// sessions have a draining endpoint as such within a poll interval, a push interval and a few calls after the platform's list,
-// and not a whole scan later.
+// sessions see a draining endpoint as draining within a poll interval, a push interval and a few calls after the platform's
+// list shows it so, and not a complete scan later.
 func TestScanPlatform_DrainKnownInTimeAtLowRate(t *testing.T) {
 	for _, c := range []struct {
 		endpoints, pageSize int
--- a/internal/tier/controlplane/primary.go
+++ b/internal/tier/controlplane/primary.go
@@ -70,8 +70,8 @@
 }
 
 // startEpoch writes an epoch marker, and publishes the control state once all backups have it. The marker's write replicates
-// all earlier writes, too: a write that an earlier primary left with an unknown outcome is from then on either in force, or
-// never will be. (Raft does the same with an empty entry at the start of a term, section 8 of the paper.)
+// all earlier writes, too. From then on, a write that an earlier primary left with an unknown outcome either is in force or
+// never takes effect. (Raft does the same with an empty entry at the start of a term, section 8 of the paper.)
 func (plane *ControlPlane) startEpoch(ctx context.Context, epoch uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, plane.windowFraction(writeTimeoutDivisor))
 	defer cancel()
@@ -135,13 +135,13 @@
 		Int("orders", len(next.changes.records)).Msg("serving as the primary of the epoch")
 }
 
-// stepDown stops serving the published state: this process is not the primary, or out of touch with its backups.
+// stepDown stops serving the published state: this process is not the primary, or has lost contact with its backups.
 func (plane *ControlPlane) stepDown() {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
 	if plane.published.ready {
 		plane.replacePublished(func(state *publishedState) { state.ready = false })
 		plane.Log.Info().Str("event", "stood_down").Uint64("epoch", plane.published.epoch).
-			Msg("stopped serving: not the primary, or out of touch with the backups")
+			Msg("stopped serving: not the primary, or no contact with the backups")
 	}
 }
--- a/internal/tier/controlplane/reconcile_test.go
+++ b/internal/tier/controlplane/reconcile_test.go
@@ -31,7 +31,7 @@
 		h.advance(2 * time.Second)
 		assert.Assert(t, h.partitionMap() == v)
 
-		// The expiry of the session does.
+		// The expiry of the session changes the map.
 		third.stop()
 		h.advance(time.Second)
 		for _, p := range h.partitionMap().Partitions {
--- a/internal/tier/controlplane/redirect.go
+++ b/internal/tier/controlplane/redirect.go
@@ -73,7 +73,7 @@
 	return now.Sub(plane.primaryMissing.first) < plane.windowFraction(takeoverDivisor)
 }
 
-// probePrimary asks the process at an internal address whether it is the primary and in touch with its backups.
+// probePrimary asks the process at an internal address whether it is the primary and in contact with its backups.
 func (plane *ControlPlane) probePrimary(ctx context.Context, address string) bool {
 	if plane.Dial == nil {
 		return true
--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -7,8 +7,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// repair gives one partition a primary that is alive, and replicas on turn stores that are not departing, as far as there are
-// any. If its sync is stalled, other turn stores are tried.
+// repair gives one partition a primary that is alive, and replicas on turn stores that are not departing, as far as such
+// turn stores exist. If its sync is stalled, other turn stores are tried.
 func (a *assignment) repair(p *tierv1.Partition, stalled bool) {
 	if a.lost(p.Primary) || slices.ContainsFunc(p.RecoverFrom, a.lost) {
 		if !a.failOver(p, a.alive) && !a.recoverPrimary(p) {
--- a/internal/tier/controlplane/response.go
+++ b/internal/tier/controlplane/response.go
@@ -64,7 +64,7 @@
 	return response{status: status, body: body}
 }
 
-// withholdUnlessPrimary passes a final response on only while this process is the primary and in touch with its backups, and
+// withholdUnlessPrimary passes a final response on only while this process is the primary and in contact with its backups, and
 // otherwise returns a 503. The decision may be old by now: the process may have been paused, or have waited for its gateways. A
 // withheld decision stays valid, and the next attempt gets it again: an accepted change is in the change history, and a
 // rejected one is rejected again.
--- a/internal/tier/controlplane/response_test.go
+++ b/internal/tier/controlplane/response_test.go
@@ -14,12 +14,12 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// operatorCalls has one call for each kind of final answer of a primary in touch with its backups, in a state in which revision
+// operatorCalls has one call for each kind of final answer of a primary in contact with its backups, in a state in which revision
 // 3 is in force, v1, v2 and v3 keep data, and v1 is to be emptied.
 var operatorCalls = []struct {
 	name  string
 	call  func(*harness) *httptest.ResponseRecorder
-	final int // status from a primary in touch with its backups
+	final int // status from a primary in contact with its backups
 }{
 
 	{"read back", func(h *harness) *httptest.ResponseRecorder { return h.describe() }, 200},
@@ -65,7 +65,7 @@
 		process string
 		state   func(*harness)
 		other   fakeControlPlane
-		want    int // of all calls; final: the answer of a primary in touch
+		want    int // of all calls; final: the answer of a primary in contact with its backups
 	}{
 		{"primary in touch", func(*harness) {}, unreachable, final},
 		{"primary whose backups do not confirm", func(h *harness) { h.store.set(func() { h.store.unconfirmed = true }) }, unreachable, 503},
@@ -132,7 +132,7 @@
 	h.advance(8 * time.Second)
 }
 
-// A process that loses touch with its backups between its decision and its answer, for example because it is paused, sends no
+// A process that loses contact with its backups between its decision and its answer, for example because it is paused, sends no
 // final answer.
 func TestOperators_NoFinalResponseOutOfTouch(t *testing.T) {
 	for _, o := range operatorCalls {
@@ -153,7 +153,7 @@
 	}
 }
 
-// A change is written, and the process loses touch with its backups while it waits for gateways to acknowledge: it does not
+// A change is written, and the process loses contact with its backups while it waits for gateways to acknowledge: it does not
 // send the 200. The change is in force, and is acknowledged when it is repeated at the next primary.
 func TestReplace_AcknowledgementWithheldOutOfTouch(t *testing.T) {
 	withHarness(t, func(h *harness) {
--- a/internal/tier/controlplane/retire_progress_test.go
+++ b/internal/tier/controlplane/retire_progress_test.go
@@ -19,7 +19,7 @@
 		}
 	}
 	assert.Equal(t, len(m.Retiring), maxRetireRecords)
-	assert.DeepEqual(t, m.Retiring[:2], []string{"n0", "n1"}) // n0 is still there, n1 is under way
+	assert.DeepEqual(t, m.Retiring[:2], []string{"n0", "n1"}) // n0 is still in the map, n1 is not emptied yet
 	assert.Equal(t, m.Retiring[maxRetireRecords-1], fmt.Sprint("n", orders-1))
 	assert.Equal(t, len(m.Retired), maxRetireRecords-1)
 }
--- a/internal/tier/controlplane/retire_test.go
+++ b/internal/tier/controlplane/retire_test.go
@@ -130,8 +130,8 @@
 	})
 }
 
-// Machines that are down temporarily count as remaining: the order gets a 503, after which it is sent again, and no final
-// rejection.
+// Machines that are down temporarily count as remaining: the order gets a 503, after which it is sent again,
+// instead of a final rejection.
 func TestRetire_WhileOthersAreDown(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		h.join(roleTurnStore, "v1", nil)
--- a/internal/tier/controlplane/staleness_test.go
+++ b/internal/tier/controlplane/staleness_test.go
@@ -131,8 +131,8 @@
 
 var partitionSeeds = flag.Int("cut-seeds", 6, "network partitions of each kind in TestStaleness")
 
-// A gateway that starts while it reaches only a partitioned primary gets no configuration from that process, however long that
-// considers itself the primary: the backups have to confirm the first call of a gateway.
+// A gateway that starts while it reaches only a partitioned primary gets no configuration from that process, however long the
+// process considers itself the primary: the backups have to confirm the first call of a gateway.
 func TestStaleness_NewGatewayBesidePartitionedPrimary(t *testing.T) {
 	for name, wrap := range map[string]func(Store) Store{"with a lease": nil, "with a lease far too long": func(s Store) Store { return newStaleLeaseStore(s) }} {
 		t.Run(name, func(t *testing.T) {
@@ -181,10 +181,10 @@
 	callBound  = testWindow/6 + testWindow/10         // a held call, and the time-out after it
 	findBound  = testWindow/8 + testWindow/30         // one search for the primary, and the pause before the next
 	slackBound = 100 * time.Millisecond               // message latency and timer ticks
-	forceBound = leaseBound + callBound + 2*findBound // from an acknowledgement until the revision is in force at a gateway in touch with the primary
+	forceBound = leaseBound + callBound + 2*findBound // from an acknowledgement until the revision is in force at a gateway that reaches the primary
 )
 
-// A gateway that is partitioned together with the primary is served by it no longer than a lease after the partition.
+// The primary serves a gateway that is partitioned together with it for no longer than a lease after the partition.
 func TestStaleness_PartitionedPrimaryServesWithinLease(t *testing.T) {
 	var longest time.Duration
 	for _, way := range []struct {
--- a/internal/tier/controlplane/state_limit_test.go
+++ b/internal/tier/controlplane/state_limit_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// A configuration may be as large as the limit. With one byte more it is rejected with a message that has the limit, and does
+// A configuration may be as large as the limit. With one byte more it is rejected with a message that states the limit, and does
 // not take effect, and a smaller one on the same base is accepted.
 func TestReplace_ConfigurationAtLimit(t *testing.T) {
 	withHarness(t, func(h *harness) {
@@ -47,7 +47,7 @@
 }
 
 // A change that would make the control state too large is rejected each time it is sent, and does not take effect. The primary
-// goes on: accepted changes are acknowledged again, and other changes are accepted. The change is rejected only if the backups
+// keeps serving: accepted changes are acknowledged again, and other changes are accepted. The change is rejected only if the backups
 // confirm that no other process is the primary.
 func TestReplace_StateTooLarge(t *testing.T) {
 	withHarness(t, func(h *harness) {
@@ -79,8 +79,8 @@
 	})
 }
 
-// If the control state has no room for a change of the partition map, an order to retire is rejected, and the primary goes on
-// answering. It makes its own changes of the map when there is room again.
+// If the control state has no room for a change of the partition map, an order to retire is rejected, and the primary continues
+// to answer. It makes its own changes of the map when there is room again.
 func TestPartitionMap_StateTooLarge(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		for _, node := range []string{"v1", "v2", "v3"} {
--- a/internal/tier/controlplane/store.go
+++ b/internal/tier/controlplane/store.go
@@ -9,7 +9,7 @@
 
 // Store is the replicated control state, as package consensus keeps it. Tests use one in memory.
 type Store interface {
-	// Primary returns the epoch of this process, and whether it is the primary of that epoch and in touch with all backups.
+	// Primary returns the epoch of this process, and whether it is the primary of that epoch and in contact with all backups.
 	Primary() (epoch uint64, ok bool)
 	// Get returns a key's value on this process, and the sequence of the write that set it. The value is nil if the key has none.
 	Get(key string) (value []byte, sequence uint64)
--- a/internal/tier/controlplane/store_selection.go
+++ b/internal/tier/controlplane/store_selection.go
@@ -13,8 +13,8 @@
 func (a *assignment) pickStore(p *tierv1.Partition) string { return a.pickStoreWhere(p, a.usable) }
 
 // pickStoreWhere chooses among the eligible turn stores: the one with the fewest failure domain conflicts, then the fewest slow
-// syncs, then the fewest replicas, then the fewest replicas of the partition in its zone. A partition without a primary gets
-// the one with the fewest primaries first of all.
+// syncs, then the fewest replicas, then the fewest replicas of the partition in its zone. For a partition without a
+// primary, the number of primaries is compared before everything else.
 func (a *assignment) pickStoreWhere(p *tierv1.Partition, eligible func(folder string) bool) string {
 	load, first := a.replicasByStore(), a.primariesByStore()
 	all := replicaFolders(p)
