--- a/internal/tier/controlplane/state_limit_test.go
+++ b/internal/tier/controlplane/state_limit_test.go
@@ -161,7 +161,7 @@
 				}
 				<-time.After(time.Second)
 			}
-			t.Fatal("no clear answer")
+			t.Fatal("no final response")
 			return 0
 		}
 		assert.Equal(t, send(0, 3, order/2), 200)
