--- a/internal/tier/turnstore/begin_test.go
+++ b/internal/tier/turnstore/begin_test.go
@@ -133,7 +133,7 @@
 	c.mu.Lock()
 	c.nodes["a"].partitioned = true
 	c.mu.Unlock()
-	reply, err := c.nodes["a"].turnstore.Begin(c.ctx, beginRequest("t1", "")) // its client still reaches it
+	reply, err := c.nodes["a"].turnstore.Begin(c.ctx, beginRequest("t1", "")) // the test calls the partitioned node directly
 	assert.NilError(t, err)
 	assert.Equal(t, reply.Verdict, busy)
 	c.assign("b", "?c")
--- a/internal/tier/turnstore/compact.go
+++ b/internal/tier/turnstore/compact.go
@@ -53,8 +53,9 @@
 	return nil
 }
 
-// compactionDue reports whether a log of size bytes, of which live are alive, should be compacted: if more than half is dead, or if a
-// limit is set, the log is close to it and a compaction would free more than a twentieth of the limit.
+// compactionDue reports whether a log of size bytes, of which live are alive, should be compacted: if the dead bytes exceed the live
+// ones by more than minDeadBytes, or if a limit is set, the log and its compacted copy would take more than seven tenths of it, and a
+// compaction would free more than a twentieth of it.
 func compactionDue(size, live, limit int64) bool {
 	if size > 2*live+minDeadBytes {
 		return true
@@ -62,8 +63,8 @@
 	return limit > 0 && size+live > limit*7/10 && size-live > limit/20
 }
 
-// rewritePartition appends the entries that are older than a generation to the active write-ahead log, a chunk at a time. It
-// pauses after each for as long as that took.
+// rewritePartition appends the entries that are older than a generation to the active write-ahead log, a chunk at a time.
+// After each chunk it pauses for as long as the chunk took.
 func (store *TurnStore) rewritePartition(ctx context.Context, id, generation uint32) error {
 	store.mu.Lock()
 	p := store.state.partitions[id]
--- a/internal/tier/turnstore/failedendpoints.go
+++ b/internal/tier/turnstore/failedendpoints.go
@@ -6,7 +6,7 @@
 
 const (
 	failedEndpointTTL  = 10 * time.Second // how long an endpoint is avoided after an attempt of the program failed there
-	maxFailedEndpoints = 4                // endpoints that are stored for a program
+	maxFailedEndpoints = 4                // maximum number of endpoints that are stored for a program
 )
 
 // failedEndpoint is an endpoint at which an attempt of a program ended without a complete answer.
--- a/internal/tier/turnstore/handover.go
+++ b/internal/tier/turnstore/handover.go
@@ -11,10 +11,11 @@
 // of a partition.
 const lastReplicaExtension = 0.5
 
-// AwaitHandover returns when this turn store may stop after the control plane was notified that it is draining: a newer partition map
-// has been received, and in the newest one this folder is no primary, and no replica is being synced to replace it. It also returns
-// when ctx ends; but if a partition has no synced replica elsewhere then, it continues for half of the time that ctx had, as no other
-// replica has all facts acknowledged there.
+// AwaitHandover returns when this turn store may stop after the control plane was notified that it is draining. That is at once if the
+// newest partition map does not name this folder. Otherwise a newer map must have been received, in which this folder is no primary
+// and no replica of its partitions is still being synced. AwaitHandover also returns when ctx ends. But if a partition has no synced
+// replica elsewhere then, no other replica has all facts acknowledged there: AwaitHandover waits for at most half of the time that
+// ctx had, or without a limit if ctx had no deadline.
 func (store *TurnStore) AwaitHandover(ctx context.Context) {
 	began := time.Now()
 	extended, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -59,8 +60,8 @@
 	lastSyncedReplica                       // a partition has no synced replica elsewhere
 )
 
-// mayStop reports whether a draining turn store with this responsibility may stop: mapIsNewer is set if the control plane has made a
-// map since it was notified, timedOut if the time for the handover has passed.
+// mayStop reports whether a draining turn store with this responsibility may stop: mapIsNewer is set if a newer map has been
+// received since AwaitHandover began, timedOut if the time for the handover has passed.
 func (r responsibility) mayStop(mapIsNewer, timedOut bool) bool {
 	switch r {
 	case notAssigned:
--- a/internal/tier/turnstore/handover_test.go
+++ b/internal/tier/turnstore/handover_test.go
@@ -80,7 +80,7 @@
 	<-returned
 
 	returned = awaitHandover(long)
-	assertWaiting(returned, "the control plane has not made a map since")
+	assertWaiting(returned, "it has received no newer map")
 	c.assign("b", "c")
 	c.publish()
 	<-returned
--- a/internal/tier/turnstore/injection_test.go
+++ b/internal/tier/turnstore/injection_test.go
@@ -193,7 +193,8 @@
 	}}
 }
 
-// forgetsRetained makes the control plane forget the retained replicas, which were removed while they were unresponsive.
+// forgetsRetained makes the control plane omit the retained replicas from its maps. These replicas were removed from their partitions
+// while they were unresponsive.
 func forgetsRetained() injection {
 	return injection{modifyMap: func(m *tierv1.PartitionMap) {
 		for _, p := range m.Partitions {
--- a/internal/tier/turnstore/retention_test.go
+++ b/internal/tier/turnstore/retention_test.go
@@ -28,7 +28,7 @@
 	assert.Equal(t, len(v.state.partition(0).entries), 0)
 }
 
-// A turn store keeps a replica that the map retains, and drops one that it doesn't.
+// A turn store keeps a replica that the map retains, and drops one that the map does not retain.
 func TestRetainedReplicas_AreNotDropped(t *testing.T) { runRetained(t, injection{}) }
 
 func runRetained(t reporter, injected injection) {
--- a/internal/tier/turnstore/storeddata_test.go
+++ b/internal/tier/turnstore/storeddata_test.go
@@ -17,9 +17,10 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// storedFolders are folders below testdata/stored that were written by the program as of commit eea23b3, before the renaming of its
-// types: "compacted" is that of a primary that was compacted, continued to write and lost power within a record; "appended" that of
-// its backup, never compacted. A later version must read the same from them: they must not be generated again.
+// storedFolders are folders below testdata/stored that were written by the program as of commit eea23b3, before its types were
+// renamed. "compacted" is the folder of a primary that compacted its log, continued to write and lost power within a record.
+// "appended" is the folder of its backup, which never compacted its log. A later version must read the same contents from the
+// folders, so they must not be generated again.
 var storedFolders = []string{"compacted", "appended"}
 
 func TestStoredData_OpensFolderOfEarlierVersion(t *testing.T) {
--- a/internal/tier/turnstore/synchronize.go
+++ b/internal/tier/turnstore/synchronize.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// acquire acquires a semaphore, and reports false if the term or the turn store ends before.
+// acquire acquires a semaphore, and reports false if the term or the turn store ends first.
 func (r *replicator) acquire(semaphore chan struct{}) bool {
 	select {
 	case semaphore <- struct{}{}:
--- a/internal/tier/turnstore/synchronize_test.go
+++ b/internal/tier/turnstore/synchronize_test.go
@@ -39,7 +39,8 @@
 	assert.Assert(t, took < 4*comparison, "%v: other synchronizations waited for the unresponsive backup", took)
 }
 
-// A settlement that a later one raised while a replica was partitioned must reach that replica before it is reported synced.
+// If a later settlement raises the tokens of an attempt while a replica is partitioned, the raised tokens must reach that replica
+// before it is reported synced.
 func TestSynchronize_TransfersRaisedSettlement(t *testing.T) {
 	for _, primaryLacks := range []bool{false, true} {
 		c, k := newPair(t)
--- a/internal/tier/turnstore/turnstore.go
+++ b/internal/tier/turnstore/turnstore.go
@@ -92,7 +92,7 @@
 	state           *state
 	commit          *groupCommitter  // replaced when the write-ahead log is reopened
 	diskState       tierv1.DiskState // as of the last CheckDisk
-	diskSince       time.Time        // when it was last found not sound
+	diskSince       time.Time        // when CheckDisk last found that the disk is no longer sound
 	activeFile      int              // index in logFiles of the one that is appended to
 	hasMap          bool
 	mapVersion      uint64
@@ -193,7 +193,7 @@
 }
 
 // Run maintains the turn store until ctx ends, then returns nil: each second it checks the disk, removes what has expired and
-// compacts the write-ahead log if that is due. A failed write is noticed at once.
+// compacts the write-ahead log if that is due. It also checks the disk as soon as a write fails.
 func (store *TurnStore) Run(ctx context.Context) error {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
