--- a/internal/tier/coordination/checker_test.go
+++ b/internal/tier/coordination/checker_test.go
@@ -55,7 +55,7 @@
 	t.Helper()
 	for what, least := range map[string]int{"granted": 10, "held": 10, "renewed": 5, "number": 100, "put": 50, "conflict": 5, "read": 100, "watched": 30} {
 		if c.counts[what] < least {
-			t.Errorf("%s: %d of at least %d", what, c.counts[what], least)
+			t.Errorf("%s: %d results, want at least %d", what, c.counts[what], least)
 		}
 	}
 }
--- a/internal/tier/coordination/key.go
+++ b/internal/tier/coordination/key.go
@@ -8,7 +8,7 @@
 // maxTrimmedPuts bounds the puts that one step removes from the history of a group.
 const maxTrimmedPuts = 64
 
-// group is the set of keys whose names are equal up to the first dot.
+// group is the set of keys whose names are equal up to and including the first dot.
 type group struct {
 	name     string
 	revision uint64 // of its newest put
--- a/internal/tier/coordination/runtime.go
+++ b/internal/tier/coordination/runtime.go
@@ -272,7 +272,7 @@
 	return begun, events
 }
 
-// commit writes the records of a step, or confirms its responses by a round trip if there are none.
+// commit writes the records of a step. If the step has responses but no records, it makes a round trip that confirms them.
 func (r *Runtime) commit(ctx context.Context, actions Actions) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.config.WriteTimeout)
 	defer cancel()
--- a/internal/tier/coordination/world_test.go
+++ b/internal/tier/coordination/world_test.go
@@ -279,7 +279,7 @@
 					}
 				}
 			}
-			t.Errorf("no seed broke %s", c.rule)
+			t.Errorf("no seed violated rule %s", c.rule)
 		})
 	}
 }
--- a/internal/tier/metrics/gateway.go
+++ b/internal/tier/metrics/gateway.go
@@ -46,7 +46,7 @@
 
 // Histogram counts durations up to each of its bounds.
 type Histogram struct {
-	Bounds []time.Duration // rising
+	Bounds []time.Duration // in increasing order
 	Counts []uint64        // one more than bounds: the last count is that of durations above the last bound
 	Sum    time.Duration
 }
--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -33,7 +33,7 @@
 	return text.Bytes()
 }
 
-// Handler answers each request with the figures that collect returns for it. Requests may come at the same time.
+// Handler answers each request with the figures that collect returns for it. Requests may be concurrent.
 func Handler(collect func() Figures) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		text := Text(collect())
--- a/internal/tier/metrics/turnstore.go
+++ b/internal/tier/metrics/turnstore.go
@@ -9,7 +9,7 @@
 
 // TurnStore is the set of figures of a turn store.
 type TurnStore struct {
-	Primaries, Backups int           // numbers of partitions of which this turn store is the primary, and a backup
+	Primaries, Backups int           // number of partitions of which this turn store is the primary, or a backup
 	Entries            int           // attempts known, in all partitions
 	Memory             int64         // estimated bytes that they take
 	MapVersion         uint64        // of the partition map applied last
--- a/internal/tier/process/disk.go
+++ b/internal/tier/process/disk.go
@@ -21,7 +21,7 @@
 )
 
 // diskWorker is a part of a process that runs until its disk fails. A running turn store reopens its disk itself
-// (turnstore.CheckDisk) and so ends without an error: the retrier acts if an opening fails.
+// (turnstore.CheckDisk) and so ends without an error: the retrier acts only if opening the disk fails.
 type diskWorker interface {
 	// run returns the error of the disk, or nil when the process ends.
 	run() error
--- a/internal/tier/process/turnstore.go
+++ b/internal/tier/process/turnstore.go
@@ -20,7 +20,7 @@
 	graceDivisor  = 2  // of the grace period: the part for handing partitions over
 )
 
-// turnStoreRun is a turn store from the opening of its disk to the failure of that disk. To other processes the next turnStoreRun
+// turnStoreRun is a turn store from the opening of its disk to the end of TurnStore.Run. To other processes the next turnStoreRun
 // looks like a restarted process: it listens again, has a new session, and serves the contents of its write-ahead log.
 type turnStoreRun struct {
 	ctx     context.Context
@@ -109,8 +109,8 @@
 	return &turnStoreRun{ctx: ctx, cancel: cancel, store: store, session: sessionClient}, nil
 }
 
-// run serves until the process ends, or the disk fails, and returns the disk's error. Listener, connections and session are
-// closed then.
+// run serves until the process ends and returns the error of TurnStore.Run, which reopens a failed disk itself. Listener, connections
+// and session are closed when it returns.
 func (open *turnStoreRun) run() error {
 	var loops sync.WaitGroup
 	loops.Go(func() { open.session.Run(open.ctx) })
--- a/internal/tier/session/doc.go
+++ b/internal/tier/session/doc.go
@@ -13,7 +13,7 @@
 //
 //	state      event                                             transition
 //	searching  a candidate says that it is the primary           polling (search.go: findPrimary)
-//	searching  no candidate does within the time-out             searching, after a pause; every second one in a row is longer
+//	searching  no candidate does within the time-out             searching, after a pause; every second search has twice the time-out
 //	polling    the call is answered by the primary               active: updates are delivered, the lease is renewed
 //	polling    the call fails, or is answered too late           searching, not active
 //	polling    the reply says that it is not the primary         searching, not active; its hint is queried first
@@ -24,7 +24,7 @@
 //	state        event                                           transition
 //	valid        six tenths of the contact window pass           expired: Current is false
 //	any          the primary answers a call                      valid, from the start of the call
-//	any          a search times out without finding the primary   partitioned: Current is true
+//	any          a search times out and finds no primary         partitioned: Current is true
 //	partitioned  a search finds the primary                      valid for one lease length, to receive an answer
 //	partitioned  a call of an earlier search is answered late    valid or expired as before: the primary is distant
 //
--- a/internal/tier/session/lease_test.go
+++ b/internal/tier/session/lease_test.go
@@ -117,10 +117,10 @@
 	}
 }
 
-// The first call after a loss has the largest answer, as the first calls of all sessions after a takeover. Its time-out must be
-// as long as that of other calls.
+// The first call after a loss has the largest answer, as do the first calls of all sessions after a takeover. Its time-out must
+// be as long as that of other calls.
 func TestSession_SlowFirstAnswerAfterLoss(t *testing.T) {
-	const took = time.Second // within a sixth and a tenth of the contact window
+	const took = time.Second // less than the sum of a sixth and a tenth of the contact window
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 1)
 		c := h.primary(1)
--- a/internal/tier/session/timing.go
+++ b/internal/tier/session/timing.go
@@ -10,7 +10,7 @@
 const (
 	// longPollDivisor is for the maximum poll time-out of a call.
 	longPollDivisor = 6
-	// turnStoreLongPollDivisor is for that of a turn store, whose loss holds up all turns of its partitions.
+	// turnStoreLongPollDivisor is for the maximum poll time-out of a turn store, whose loss delays all turns of its partitions.
 	turnStoreLongPollDivisor = 12
 	// answerGraceDivisor is for the minimum time to wait for an answer after the poll time-out. If a distant primary needs
 	// longer, the poll time-out is reduced.
--- a/internal/tier/session/watch.go
+++ b/internal/tier/session/watch.go
@@ -14,8 +14,8 @@
 func (client *Client) watch(ctx context.Context, at string) bool {
 	pollTimeout := client.longPoll()
 	if active, _ := client.Active(); !active {
-		// The first answer renews the lease, but may contain all updates: the poll time-out is short, and the time-out of the
-		// call the same as for others.
+		// The first answer renews the lease, but may contain all updates: the poll time-out is short, while the time-out of
+		// the call is the same as that of other calls.
 		pollTimeout = client.config.Settings.ContactWindow / searchPauseDivisor
 	}
 	request := client.request(pollTimeout)
@@ -49,8 +49,8 @@
 		client.markInactive(err.Error())
 		return false
 	}
-	// The primary checked its lease after the call was sent and before it was answered. Only this check bounds the age of an
-	// answer, also if a process was paused meanwhile.
+	// The primary checked its lease after the call was sent and before it was answered. Only the following check bounds the age
+	// of an answer even if a process was paused meanwhile.
 	if time.Since(begun) > timeout {
 		client.markInactive("answered too late")
 		return false
