--- a/internal/tier/gateway/attempts.go
+++ b/internal/tier/gateway/attempts.go
@@ -16,7 +16,7 @@
 // MaxAttempts counts only attempts that were written.
 const maxAttempts = 8
 
-// minUpstreamConnections is the least limit on connections to endpoints.
+// minUpstreamConnections is the lower bound of the limit on connections to endpoints.
 const minUpstreamConnections = 32
 
 // newPool returns the pool of connections to endpoints, which may take three tenths of the process's file descriptors.
--- a/internal/tier/gateway/budgets.go
+++ b/internal/tier/gateway/budgets.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// needsTurnStore reports whether a streamed request is charged to a budget or stored, so that its turn store is called before it
-// is sent.
+// needsTurnStore reports whether a streamed request is charged to a budget or stored. The turn store must be called before such a
+// request is sent to an endpoint.
 func (request *clientRequest) needsTurnStore() bool {
 	return request.route.Persisted || request.exchange.Header.Get(budgetHeader) != ""
 }
--- a/internal/tier/gateway/counters.go
+++ b/internal/tier/gateway/counters.go
@@ -45,7 +45,7 @@
 var outcomeNames = [requestOutcomes]string{"served", "endpoint_status", "refused", "budget_spent", "not_found", "rejected", "bad_gateway",
 	"gateway_timeout", "cut"}
 
-// Attempts are counted by their upstream.Outcome, and as notExecutedEnd if the endpoint has rejected them.
+// Attempts are counted by their upstream.Outcome, except that those which the endpoint rejected as not executed count as notExecutedEnd.
 const (
 	notExecutedEnd  = int(upstream.Canceled) + 1 // the endpoint has rejected the request without executing it
 	attemptEndCount = notExecutedEnd + 1
--- a/internal/tier/gateway/fault_test.go
+++ b/internal/tier/gateway/fault_test.go
@@ -179,8 +179,8 @@
 	return got, last
 }
 
-// assertRanOnce checks that no attempt ran twice, that the prompt of each is a prefix of the program's text, and that of the last one all
-// of it.
+// assertRanOnce checks that no attempt ran twice, that the prompt of each is a prefix of the program's text, and that the prompt of the
+// last one is the complete text.
 func assertRanOnce(t *testing.T, e *tiertest.Endpoint, text, last string) {
 	t.Helper()
 	runs := map[string]int{}
--- a/internal/tier/gateway/releases_internal_test.go
+++ b/internal/tier/gateway/releases_internal_test.go
@@ -71,7 +71,7 @@
 		client := newStoreClient(settings.Settings{ContactWindow: contactWindow}, nil)
 		takes := client.callTimeout + client.maxBackoff
 		assert.Assert(t, takes <= turnstore.ReleaseGracePeriod(contactWindow), "contact window %v", contactWindow)
-		if contactWindow >= 4*time.Second { // it must not be longer, as it delays a correct 402
+		if contactWindow >= 4*time.Second { // the grace period must not be longer, as it delays a correct 402
 			assert.Equal(t, takes, turnstore.ReleaseGracePeriod(contactWindow))
 		}
 	}
--- a/internal/tier/gateway/streaming.go
+++ b/internal/tier/gateway/streaming.go
@@ -29,7 +29,7 @@
 	after := request.exchange.Header.Get(lastEventIDHeader)
 	relay := &streamRelay{request: request, accounting: accounting, progress: newProgress(request.route.Resumable, after)}
 	if accounting.transcript != nil && after != "" {
-		// The transcript of a stored turn must be complete: the endpoint generates the whole stream, and the client gets the events
+		// The transcript of a stored turn must be complete: the endpoint generates the complete stream, and the client gets the events
 		// after its Last-Event-Id.
 		relay.skipThrough, relay.progress.lastEventID, request.dropLastEventID = after, "", true
 	}
--- a/internal/tier/loadbalancer/doc.go
+++ b/internal/tier/loadbalancer/doc.go
@@ -24,7 +24,7 @@
 //	ejected   consecutive failures, no response in time,  a response, a served health check, or a report    one probe at a time,
 //	          or a report of another sender               of another sender that it has responded           with exponential backoff
 //	draining  SetEndpoints                                SetEndpoints                                      nothing new
-//	misdirected  a 421 or a call that found it gone       never: the next instance has another name         nothing
+//	misdirected  a 421, or a call that ended as Gone      never: the next instance has another name         nothing
 //	removed   a list without it, and its last call done   -                                                 nothing
 //
 // TakeReports returns the ejections by this sender's own observations, to be shared with other senders (outlier_ejection.go). If
--- a/internal/tier/loadbalancer/endpoint.go
+++ b/internal/tier/loadbalancer/endpoint.go
@@ -81,8 +81,8 @@
 	return float64(endpoint.inFlight) + endpoint.othersLoad*math.Exp(-(now-endpoint.loadReportedAt).Seconds()/loadDecayTime.Seconds())
 }
 
-// utilization is the fraction of the endpoint's slots, or of its cache if that is more, that is in use with the given number of
-// additional requests.
+// utilization is the fraction of the endpoint's slots that is in use with the given number of additional requests, or the fraction
+// of its cache if that is greater.
 func (endpoint *endpoint) utilization(now time.Duration, more float64) float64 {
 	load := endpoint.load(now) + more
 	part := load / float64(endpoint.capacity())
@@ -148,7 +148,7 @@
 		}
 		return
 	}
-	if endpoint.queueLimit >= 0 { // its queue is longer than at the last rejection
+	if endpoint.queueLimit >= 0 { // the queue has room for at least the requests reported as waiting
 		endpoint.queueLimit = max(endpoint.queueLimit, load.Waiting)
 	}
 	// An endpoint that reports less than half of its slots as running can take half of them.
--- a/internal/tier/loadbalancer/outcomes.go
+++ b/internal/tier/loadbalancer/outcomes.go
@@ -110,7 +110,7 @@
 // recordServed records a call that was served.
 func (endpoint *endpoint) recordServed(now time.Duration, call *Call, latency time.Duration) {
 	endpoint.lastSeenAt = max(endpoint.lastSeenAt, now)
-	if mean := call.oracle.MeanSeconds; mean > 0 { // as of the last computation of its optimum
+	if mean := call.oracle.MeanSeconds; mean > 0 { // the mean at the last computation of the oracle's optimum
 		endpoint.latencyRatio += latencySmoothing * (min(2*maxLatencyRatio, latency.Seconds()/mean) - endpoint.latencyRatio)
 	}
 	endpoint.recordResult(now, 0)
--- a/internal/tier/loadbalancer/outlier_ejection.go
+++ b/internal/tier/loadbalancer/outlier_ejection.go
@@ -10,7 +10,7 @@
 )
 
 // ejectUnresponsive ejects the endpoints that do not respond, as long as half of the service's endpoints are left. If most do not
-// respond, they are overloaded or the sender's own network links are at fault, and ejecting them would make it worse.
+// respond, they are overloaded or the sender's own network links are at fault, and ejecting more of them would make the outage worse.
 func (service *service) ejectUnresponsive(now time.Duration) {
 	for _, endpoint := range service.endpoints {
 		if endpoint.unresponsive(now) && service.mayEject() {
--- a/internal/tier/loadbalancer/pick_golden_test.go
+++ b/internal/tier/loadbalancer/pick_golden_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// reports exchanges what senders report to each other.
+// reports records the balancer's reports, and applies a random report of another sender.
 func (run *randomRun) reports() {
 	reports := run.balancer.TakeReports()
 	slices.Sort(reports.Ejected) // services are iterated in random order
--- a/internal/tier/loadbalancer/selection_policies.go
+++ b/internal/tier/loadbalancer/selection_policies.go
@@ -50,8 +50,8 @@
 	return pick.selectHealthy(0)
 }
 
-// retryPolicy selects a healthy endpoint with capacity that the request was sent to at most once: since then its window may have
-// opened, or only a connection was lost.
+// retryPolicy selects a healthy endpoint with capacity that the request was sent to at most once. A second attempt there may succeed:
+// the endpoint's window may have opened since the first one, or the first one may have failed only because a connection was lost.
 type retryPolicy struct{}
 
 // Select implements selectionPolicy.
--- a/internal/tier/loadbalancer/selection_policies_test.go
+++ b/internal/tier/loadbalancer/selection_policies_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A turn goes to the endpoint that ran the one before, in another zone too, unless that is notably more loaded, ejected,
+// A turn goes to the endpoint that ran the preceding turn, even in another zone, unless that endpoint is notably more loaded, ejected,
 // draining or gone.
 func TestStickyPolicy(t *testing.T) {
 	r := newHarness(t, 3, 96)
--- a/internal/tier/upstream/call.go
+++ b/internal/tier/upstream/call.go
@@ -18,9 +18,9 @@
 	Written       bool      // a byte of the request may have been sent
 	NewConnection bool      // a connection was opened for the call
 	Response      *Response // nil: no valid head with the request's id was received
-	Body          []byte    // the complete body, where Outcome is Complete
-	Stream        *Stream   // the body, where Outcome is Streaming; it must be closed
-	Err           error     // where Outcome is neither Complete nor Streaming
+	Body          []byte    // the complete body, if Outcome is Complete
+	Stream        *Stream   // the body, if Outcome is Streaming; it must be closed
+	Err           error     // if Outcome is neither Complete nor Streaming
 
 	turn       bool
 	identified bool // Response carries the request's X-Attempt-Id
--- a/internal/tier/upstream/event_splitter.go
+++ b/internal/tier/upstream/event_splitter.go
@@ -16,7 +16,7 @@
 	ID       string // empty: it has none
 	Data     []byte // its data lines, joined by line feeds
 	HasData  bool
-	Versions string // of the model weights, where they change with this event
+	Versions string // of the model weights, if they change with this event
 }
 
 // eventSplitter splits a text/event-stream into its events (WHATWG HTML, 9.2.6).
--- a/internal/tier/upstream/idle_connections.go
+++ b/internal/tier/upstream/idle_connections.go
@@ -24,7 +24,7 @@
 	pool.makeIdle(c)
 }
 
-// makeIdle makes a connection idle, or closes it where its idle time is over or the pool is closed.
+// makeIdle makes a connection idle, or closes it if its idle time is over or the pool is closed.
 func (pool *Pool) makeIdle(c *conn) {
 	pool.releaseReader(c)
 	pool.mu.Lock()
--- a/internal/tier/upstream/pool.go
+++ b/internal/tier/upstream/pool.go
@@ -109,7 +109,7 @@
 
 // acquire returns the most recently used idle connection, or a new one. It never returns a connection that recently carried an
 // earlier send of the same attempt, because a second response to that send would be taken for the response to this one. Any outcome
-// but Complete says why there is no connection.
+// but Complete is the reason why there is no connection.
 func (pool *Pool) acquire(ctx context.Context, target Target, attempt string, deadline time.Time) (c *conn, isNew bool, end Outcome, err error) {
 	k := hostKey{target.Address, target.Instance}
 	for {
@@ -183,7 +183,7 @@
 	return closing, true
 }
 
-// dial opens a connection that takeIdle has counted. Any outcome but Complete says why there is none.
+// dial opens a connection that takeIdle has counted. Any outcome but Complete is the reason why there is none.
 func (pool *Pool) dial(ctx context.Context, k hostKey, deadline time.Time) (*conn, Outcome, error) {
 	within := min(pool.config.ConnectTimeout, time.Until(deadline))
 	dctx, cancel := context.WithTimeout(ctx, within)
--- a/internal/tier/upstream/random_schedule_test.go
+++ b/internal/tier/upstream/random_schedule_test.go
@@ -97,7 +97,7 @@
 			return exchange.end(outcomeOf(ctx, err), err)
 		}
 		if f.anyID {
-			a, scratch, err := readHead(c.reader, nil) // of whatever response arrives first
+			a, scratch, err := readHead(c.reader, nil) // of the first response received, to whichever attempt
 			for err == nil && a.Status < 200 {
 				a, scratch, err = readHead(c.reader, scratch)
 			}
--- a/internal/tier/upstream/response.go
+++ b/internal/tier/upstream/response.go
@@ -65,7 +65,7 @@
 			return nil, head, errMalformed
 		}
 		if len(head) == 0 && !mayBeStatusLine(line) {
-			return nil, head, errMalformed // also if the connection has failed
+			return nil, head, errMalformed // takes precedence over an error of the connection
 		}
 		if err != nil {
 			return nil, head, err
--- a/internal/tier/upstream/wire_test.go
+++ b/internal/tier/upstream/wire_test.go
@@ -35,7 +35,7 @@
 	complete    func(sent int, how closeMode) bool // whether what was sent is a complete response to the request
 	reusable    bool                               // after the complete text, the connection may carry another request
 	success     bool
-	notExecuted bool // the complete response says that the request was not executed
+	notExecuted bool // the complete response states that the request was not executed
 }
 
 const (
