--- a/brain/connections_test.go
+++ b/brain/connections_test.go
@@ -107,7 +107,7 @@
 	r.now += time.Second // its connection is closed by then
 	first := r.step(r.message(1, 0, 0))
 	if len(first) != 1 {
-		t.Fatalf("%d sent", len(first))
+		t.Fatalf("%d calls sent for one message", len(first))
 	}
 	reject := func(s Send) []Send {
 		r.now += 50 * ms
--- a/brain/events.go
+++ b/brain/events.go
@@ -114,7 +114,7 @@
 
 	Health       Health
 	HealthFor    time.Duration // since it entered that state
-	OutageFor    time.Duration // since the outage began, if unhealthy or warming up; 0: as HealthFor
+	OutageFor    time.Duration // since the outage began, if unhealthy or warming up; 0: same as HealthFor
 	HealthAge    time.Duration // of the newest evidence for the state
 	Rate         float64       // calls a second usually served to the observer, before any outage
 	OtherProbers int           // other senders that probe it at present
--- a/brain/learn_test.go
+++ b/brain/learn_test.go
@@ -65,7 +65,7 @@
 	r := newRig(t, settings())
 	sends := r.step(r.message(0, 0, 0))
 	if len(sends) != 1 {
-		t.Fatal("no call")
+		t.Fatal("no call is sent")
 	}
 	if got := r.revocations(Observation{RetryAfter: 2 * time.Second}, r.message(0, 0, 0)); len(got) != 1 || got[0].Reason != RetryAfterReceived {
 		t.Errorf("revoked: %v", got)
@@ -73,7 +73,7 @@
 	r.step(r.result(sends[0], Served))
 	for until := r.now + 2*time.Second; r.now < until; r.now += 50 * ms {
 		if n := len(r.step(TimerFired{})); n > 0 {
-			t.Fatalf("a call with %v of the retry-after left", until-r.now)
+			t.Fatalf("a call is sent with %v of the retry-after left", until-r.now)
 		}
 	}
 	if n := len(r.step(TimerFired{})); n != 1 {
@@ -132,11 +132,11 @@
 	r := newRig(t, settings())
 	r.step(Observation{Destination: 99, Health: Unhealthy}, Observation{Endpoint: 99, RetryAfter: time.Hour}, Observation{Endpoint: 1, Destination: 5, RetryAfter: time.Hour})
 	if n := r.burst(1); n != 1 || r.b.destinations[99] != nil {
-		t.Errorf("%d calls", n)
+		t.Errorf("%d calls after observations of destinations that no list names", n)
 	}
 	r.step(Observation{Destination: 1, Window: 1e9, Samples: 1, MeanLatency: -1, MedianLatency: -5, Limit: -3, Health: 77})
 	if n := len(r.step(r.message(0, 1, 0))); n != 1 {
-		t.Errorf("%d calls", n)
+		t.Errorf("%d calls after an observation with impossible values", n)
 	}
 }
 
--- a/brain/priority_test.go
+++ b/brain/priority_test.go
@@ -31,6 +31,6 @@
 		}
 	}
 	if probes == 0 {
-		t.Error("no probe")
+		t.Error("no probe is sent")
 	}
 }
--- a/brain/restart/oracle.go
+++ b/brain/restart/oracle.go
@@ -24,15 +24,15 @@
 	nearOptimal = 1.1
 	// answeredQuantile is the share of the answered calls that must be answered within the time-out.
 	answeredQuantile = 0.99
-	// answeredFactor is the multiple of their latency that the time-out is at least, as the next call may be slower than
+	// answeredFactor times the latency of these calls is the minimum of the time-out, as the next call may be slower than
 	// any sample.
 	answeredFactor = 2
 
 	// MinSamples is the number of samples below which a time-out is FirstTimeout or more.
 	MinSamples = 20
-	// ExploreEvery is how often a first attempt runs until its deadline: one of so many, selected at random.
+	// ExploreEvery is the number of first attempts of which one, selected at random, runs until its deadline.
 	ExploreEvery = 20
-	// ExploreWeight is the weight of the sample of such an attempt, as it represents so many attempts.
+	// ExploreWeight is the weight of the sample of such an attempt, as it represents ExploreEvery attempts.
 	ExploreWeight = 20
 )
 
