--- a/internal/fleetpolicy/document_test.go
+++ b/internal/fleetpolicy/document_test.go
@@ -74,7 +74,7 @@
 	return Call{Destination: destination, Tenant: tenant}
 }
 
-// The units that a call uses of each limit, and the limits' descriptions.
+// Checks the units that a call uses of each limit, and the limits' descriptions.
 func TestPolicy_Limits(t *testing.T) {
 	p := parse(t, `
 [[limit]]
@@ -139,7 +139,7 @@
 	}
 }
 
-// Which calls a policy allows, and which calls a switch between two policies affects.
+// Checks which calls a policy allows, and which calls a switch between two policies affects.
 func TestPolicy_CallsAndSwitches(t *testing.T) {
 	oldPolicy := parse(t, "cut_off = \"go-on\"\ngo_on_for = \"1m\"\n[[route]]\ndestinations = [1, 2, 3, 7]\nstate = \"closed\"\n[[tenant]]\nname = \"acme\"\nstate = \"suspended\"\n[[class]]\nname = \"keyed\"\ndeadline_most = \"5s\"\n")
 	newPolicy := parse(t, "[[route]]\ndestinations = [2]\nstate = \"closed\"\n[[route]]\ndestinations = [7]\nstate = \"moved\"\nto = 9\n[[route]]\ndestinations = [5]\nstate = \"apart\"\nkind = \"single\"\n[[limit]]\ndestinations = [4]\ncalls = 2.5\n[[tenant]]\nname = \"other\"\nstate = \"suspended\"\n")
@@ -171,7 +171,7 @@
 	}
 	total, by := AffectedBySwitch(oldPolicy, newPolicy).CountMessages(map[Call]int{to(1, "a"): 2, to(3, "a"): 5, to(9, "a"): 9, to(9, "acme"): 1})
 	if total != 8 || !slices.Equal(by, []MessageCount{{3, 5}, {1, 2}, {9, 1}}) {
-		t.Errorf("%d, %v", total, by)
+		t.Errorf("the switch affects %d messages, by destination %v", total, by)
 	}
 	if err := oldPolicy.CheckSettings(Settings{Classes: []string{"keyed"}, Tenants: []string{"acme"}}); err != nil {
 		t.Error(err)
--- a/internal/replicatedlog/doc.go
+++ b/internal/replicatedlog/doc.go
@@ -6,7 +6,7 @@
 // voter: it takes events with the time and returns actions. Replica combines a sender's own State with the rules for what that sender
 // may do under it; every sender has one, voters too. Package fleet connects them to disk, network and clock.
 //
-// Contract of Voter.Step and Replica.Step: only one goroutine calls, with a monotonic time that never goes back. The caller carries
+// Contract of Voter.Step and Replica.Step: only one goroutine may call Step, with a monotonic time that never goes back. The caller carries
 // out the actions in order, and a Persist must be on the disk before any action behind it begins. If the log can't be applied (it is
 // damaged, or has a command of an unknown kind), Step panics: the caller must end that voter or replica and keep none of its results.
 //
--- a/internal/replicatedlog/events.go
+++ b/internal/replicatedlog/events.go
@@ -17,7 +17,7 @@
 type (
 	// MessageReceived is a raft message of another voter.
 	MessageReceived struct{ Message *raftpb.Message }
-	// CommandSubmitted is a command to propose. It is answered once the log has applied it.
+	// CommandSubmitted is a command to propose. The reply is sent once the command has been applied.
 	CommandSubmitted struct {
 		ReplyTo uint64
 		Command *pb.Command
--- a/internal/replicatedlog/handshake_test.go
+++ b/internal/replicatedlog/handshake_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// The start state of a voter for each combination of stored position and peers' answers.
+// Checks the start state of a voter for combinations of stored position and peers' answers.
 func TestReconcile(t *testing.T) {
 	const id = 42
 	for _, c := range []struct {
--- a/internal/replicatedlog/members.go
+++ b/internal/replicatedlog/members.go
@@ -87,8 +87,8 @@
 	return before
 }
 
-// CheckKind returns why commands of a kind may not be proposed yet, which names a member whose program does not support the kind;
-// "" if the programs of all members support it.
+// CheckKind returns the reason why commands of a kind may not be proposed yet: it names a member whose program does not support the
+// kind. The reason is "" if the programs of all members support it.
 func (s *State) CheckKind(kind uint32) string {
 	for _, m := range s.Members() {
 		if !m.Removed && m.MaxCommandKind < kind {
--- a/internal/replicatedlog/replica.go
+++ b/internal/replicatedlog/replica.go
@@ -43,7 +43,7 @@
 	staging        uint64 // change that is being stored
 	staged         uint64 // change that is stored
 	rejectedChange uint64
-	rejection      string // why
+	rejection      string // reason for rejecting rejectedChange
 
 	requestedAt     time.Duration // of the last lease request; never: none yet
 	reported        leaseReport   // what that request reported
--- a/internal/replicatedlog/state_test.go
+++ b/internal/replicatedlog/state_test.go
@@ -89,7 +89,7 @@
 	}
 	at := s.Index()
 	if _, err := apply(t, s, MaxCommandKind+1, 0, 0, &pb.Join{}); !errors.Is(err, ErrUnknownCommand) || s.Index() != at {
-		t.Errorf("%v, at %d", err, s.Index())
+		t.Errorf("a command of an unsupported kind: %v, at index %d", err, s.Index())
 	}
 	if _, err := s.Apply(at+2, 1, nil); err == nil {
 		t.Error("an entry is skipped")
--- a/internal/replicatedlog/voter.go
+++ b/internal/replicatedlog/voter.go
@@ -24,7 +24,7 @@
 	// message from the leader.
 	ElectionTicks = 10
 
-	maxCatchUpTicks     = 2       // that one step makes up for after the voter was stalled
+	maxCatchUpTicks     = 2       // that one step may run after the voter was stalled
 	snapshotInterval    = 5000    // entries between snapshots
 	retainedEntries     = 1000    // before a snapshot, for voters and followers that are a little behind
 	maxMessageBytes     = 1 << 20 // of entries in one raft message
