--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -18,8 +18,8 @@
 	return time.Duration(ts.Nano())
 }
 
-// coarseClock returns a clock that calls Now once a second and makes no system call in between. It lacks time in which the machine was
-// suspended since the last such call.
+// coarseClock returns a clock that calls Now once a second and makes no system call in between. Its result does not include
+// time in which the machine was suspended since the last such call.
 func coarseClock() func() time.Duration {
 	type mark struct {
 		at  time.Time
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -12,7 +12,7 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Propose proposes a change of the policy, and returns its id once the log has it. FinishedChange reports how the change ended. The error wraps
+// Propose proposes a change of the policy, and returns its id once the proposal is applied. FinishedChange reports how the change ended. The error wraps
 // ErrRejected if the fleet rejected the proposal.
 func (n *Node) Propose(ctx context.Context, p *pb.ProposePolicy) (change uint64, err error) {
 	if _, err := fleetpolicy.Parse("document", p.Document); err != nil {
@@ -53,7 +53,8 @@
 	return r.Index, nil
 }
 
-// FinishedChange returns how a change ended; ok is false if it has not ended as far as this sender has applied the log.
+// FinishedChange returns how a change ended; ok is false if the change has not ended in the part of the log that this sender
+// has applied, or is no longer in the history.
 func (n *Node) FinishedChange(change uint64) (finished *pb.FinishedChange, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleet/gate.go
+++ b/internal/fleet/gate.go
@@ -25,7 +25,7 @@
 	closing     atomic.Bool
 }
 
-// NewGate makes a gate that admits no call yet. now is the clock that leases are counted by.
+// NewGate makes a gate that admits no call yet. now is the clock that leases are measured by.
 func NewGate(now func() time.Duration) *Gate { return &Gate{now: now, coarseNow: now} }
 
 // Admit decides whether a call may be written now. If so, the caller must call release when the call is written; if not, why is the reason in
@@ -54,7 +54,7 @@
 	}
 }
 
-// current returns the view that calls are checked against, whether or not any may be begun; nil before the first publish. It reads no clock.
+// current returns the view that calls are checked against, whether or not any call may be begun; nil before the first publish. It reads no clock.
 func (g *Gate) current() *fleetpolicy.View {
 	if r := g.generation.Load(); r != nil {
 		return r.view.Load()
--- a/internal/fleet/gate_test.go
+++ b/internal/fleet/gate_test.go
@@ -20,7 +20,7 @@
 	return p
 }
 
-// Whether a call is admitted in each state of lease and view, and that a change of either applies at once.
+// Checks whether a call is admitted in each state of lease and view, and that a change of either takes effect at once.
 func TestGate_Admit(t *testing.T) {
 	var now atomic.Int64
 	g := NewGate(func() time.Duration { return time.Duration(now.Load()) })
--- a/internal/fleet/handshake.go
+++ b/internal/fleet/handshake.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// handshakeOnce calls in parallel the voters that have not answered yet, and adds to answers. missing has the names of those that did not answer,
-// each after a space.
+// handshakeOnce calls in parallel the voters that have not answered yet, and adds their replies to answers. missing has the names of
+// those that did not answer, each after a space.
 func (n *Node) handshakeOnce(position replicatedlog.StoredPosition, ids []uint64, answers map[string]replicatedlog.PeerState) (missing string) {
 	var pending []string
 	for _, id := range ids {
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -162,7 +162,8 @@
 // destinationKey is the key that determines the owner of a destination. The destination's limit has the same key, so both have the same owner.
 func destinationKey(d uint32) string { return fmt.Sprintf("destination %d", d) }
 
-// execute carries out an action. After a failure, a later step reports or proposes again.
+// execute carries out an action. After a failure, a later step proposes again. A failed report is not repeated: the next step that gets
+// observations from this sender reports them.
 func (h *healthNode) execute(_ context.Context, action healthAction) error {
 	switch a := action.(type) {
 	case sendReport:
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -194,7 +194,7 @@
 		release()
 	}
 	if _, err := s.propose(0, 0, ""); !errors.Is(err, ErrRejected) || !strings.Contains(err.Error(), "version 1 is in force") {
-		t.Errorf("from an older version: %v", err)
+		t.Errorf("a change from an older version: %v", err)
 	}
 	if _, err := s.propose(1, 1, "route = 7"); err == nil {
 		t.Error("an invalid document is accepted")
@@ -677,7 +677,7 @@
 	waitUntil(t, "the node has applied the same index as before", func() bool { r := s.nodes[0].Report(); return r.Index >= index && r.MayAct })
 	t.Logf("acts again after %v; the voter's file has %d bytes", time.Since(began), info.Size())
 	if r := s.nodes[0].Report(); len(r.Members) != 641 {
-		t.Errorf("%d members", len(r.Members))
+		t.Errorf("the restarted node reports %d members", len(r.Members))
 	}
 }
 
@@ -761,7 +761,7 @@
 		}
 	}
 	if maxSize > 32<<20 {
-		t.Errorf("%d bytes", maxSize)
+		t.Errorf("the voter's file grows to %d bytes", maxSize)
 	}
 }
 
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -13,7 +13,7 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// quotaNode is a sender's part in the fleet's limits: a worker that requests units of their owners, and one that grants units of the limits
+// quotaNode is a sender's part in the fleet's limits: a worker that requests units from their owners, and one that grants units of the limits
 // that this sender owns. Calls take units from allowances in their own goroutines.
 type quotaNode struct {
 	node       *Node
--- a/internal/fleet/rate_limits.go
+++ b/internal/fleet/rate_limits.go
@@ -31,7 +31,7 @@
 	now := n.cfg.Now()
 	destinations := map[uint32]struct{}{}
 	for _, key := range keys {
-		var d uint32 // the keys of a destination's own limits begin like this
+		var d uint32 // keys of the limits on a destination begin with "destination" and its id
 		if _, err := fmt.Sscanf(key, "destination %d", &d); err == nil {
 			destinations[d] = struct{}{}
 		}
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -122,7 +122,7 @@
 func (n *Node) submitJoin(ctx context.Context, a replicatedlog.SubmitJoin) {
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.LeaseTerms.Duration)
 	defer cancel()
-	// The replica submits a join that fails again.
+	// If the submission fails, the replica repeats it.
 	if r, err := n.Submit(ctx, replicatedlog.KindJoin, a.Command); err == nil && r.Rejection != "" {
 		n.log.Error("fleet: the join of this sender was rejected", "why", r.Rejection)
 	}
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -20,7 +20,7 @@
 	maxMessageBytes   = 16 << 20               // of one message, such as a snapshot
 	outboxSize        = 1024                   // raft's messages to one voter; raft repeats messages that are dropped
 	heartbeatInterval = 200 * time.Millisecond // of the log's stream to a follower
-	followTimeout     = 5 * heartbeatInterval  // without a chunk, after which a follower turns to another voter
+	followTimeout     = 5 * heartbeatInterval  // without a chunk, after which a follower follows another voter
 	maxConnectBackoff = time.Second            // between two attempts to connect
 	maxFollowers      = 2000                   // of one voter
 	keepaliveInterval = 10 * time.Second       // without traffic, after which a connection is probed
--- a/internal/fleet/submit.go
+++ b/internal/fleet/submit.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// callAnyVoter calls the voters one after another until one answers. The error is the last one's, joined with ctx's if that ended.
+// callAnyVoter calls the voters one after another until one answers. The error is that of the last call, or ErrNoVoterKnown if there was
+// none; it is joined with ctx's error if ctx ends before all voters were called.
 func (n *Node) callAnyVoter(ctx context.Context, call func(context.Context, pb.FleetClient) error) error {
 	err := ErrNoVoterKnown
 	for _, name := range n.voterNames() {
