--- a/cmd/saffronyard/events_test.go
+++ b/cmd/saffronyard/events_test.go
@@ -27,7 +27,7 @@
 }
 
 // A sender is killed with one event delivered, one in flight, and one in flight that may not be repeated. After the restart
-// each client's retry counts as its first try, and the receivers see one effect of each event.
+// a client that submits an event again gets the outcome of its first submission, and the receivers see one effect of each event.
 func TestEvents_SurviveKill(t *testing.T) {
 	silent := st.NewEndpoint(t, st.Unresponsive)
 	good := st.NewEndpoint(t, st.Status(200))
--- a/cmd/saffronyard/peerlinks_test.go
+++ b/cmd/saffronyard/peerlinks_test.go
@@ -42,7 +42,7 @@
 for = "40s"
 `
 
-// Faults of links apply to the datagrams of membership as to connections. With a third of the datagrams lost, three processes find
+// Link faults apply to the datagrams of membership as well as to connections. With a third of the datagrams lost, three processes find
 // each other; a partitioned process is reported dead on both sides, and is a member again after the links are healed.
 func TestPeers_MembershipThroughLinks(t *testing.T) {
 	t.Parallel()
--- a/cmd/saffronyard/resend_test.go
+++ b/cmd/saffronyard/resend_test.go
@@ -186,7 +186,8 @@
 	t.Logf("%d undelivered messages, %d kills, %d live messages; %d were resent", len(ids), kills, live, delivered())
 }
 
-// Manual resending: a dry run lists what would be resent, nothing is resent without a rule or a command, and forbidden repeats are not.
+// Manual resending: a dry run lists what would be resent, nothing is resent without a rule or a command, and messages that
+// must not be repeated are never resent.
 func TestResend_Manual(t *testing.T) {
 	r := &effects{calls: map[string]int{}, done: map[string]int{}, keys: map[string]time.Time{}}
 	e := st.NewEndpoint(t, r.answer)
--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -15,7 +15,7 @@
 type instance struct {
 	number         uint16
 	brain          *brain.Brain
-	remainingField int // index in a load report of the share of the allowance that is left, -1 if absent
+	remainingField int // index in a load report of the remaining fraction of the rate limit, -1 if absent
 	limitField     int // index in a load report of the rate limit, -1 if absent
 	classes        int // number of classes in its settings
 	events         []brain.Event
--- a/internal/features/dns.go
+++ b/internal/features/dns.go
@@ -141,7 +141,8 @@
 	return nil
 }
 
-// checkMember checks the i-th member and adds its precedence to precedences, which has those of the members before it by destination.
+// checkMember checks the i-th member and adds its precedence to precedences, which contains the precedences of the earlier members by
+// destination.
 func (d *DNS) checkMember(doc document, i int, precedences map[uint32]string) error {
 	m := &d.Members[i]
 	setDefault(&m.Weight, 1)
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// setDefault sets a setting that is zero, as the file omits it or sets it to zero, to its default.
+// setDefault sets a setting to its default if the setting is zero: the file omits it or sets it to zero.
 func setDefault[T comparable](v *T, def T) {
 	var zero T
 	if *v == zero {
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// A key file with an invalid line is rejected as a whole, and one without keys too.
+// A key file is rejected completely if one of its lines is invalid, or if it has no keys.
 func TestPeers_Keys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	for text, want := range map[string]string{
--- a/internal/features/position.go
+++ b/internal/features/position.go
@@ -47,7 +47,8 @@
 	return &PositionError{Path: d.path, Line: d.line(table, n, key), Err: settingError(format, args...)}
 }
 
-// line returns the line, from 1, of a key of the n-th table of a name: that of the table's header without the key, and 1 without the table.
+// line returns the line, from 1, of a key of the n-th table of a name; if the table has no such key, the line of the table's header; if
+// there is no such table, 1.
 func (d document) line(table string, n int, key string) int {
 	at, in := 1, false
 	for i, text := range strings.Split(string(d.raw), "\n") {
--- a/internal/nameserver/keys.go
+++ b/internal/nameserver/keys.go
@@ -27,7 +27,7 @@
 }
 
 const (
-	minSecretBytes  = 16 // RFC 8945 8 asks for the length of the digest; half of SHA-256's is the minimum here
+	minSecretBytes  = 16 // RFC 8945 8 recommends the digest's length; the minimum here is half the length of a SHA-256 digest
 	maxKeys         = 1000
 	maxFudgeSeconds = 300 // recommended by RFC 8945 10; bounds a larger fudge of a message
 )
--- a/internal/nameserver/transfer_out_test.go
+++ b/internal/nameserver/transfer_out_test.go
@@ -12,7 +12,7 @@
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-// Full and incremental transfers as the client of the DNS library reads them, and as a secondary of this package does.
+// The client of the DNS library and a secondary of this package can read full and incremental transfers.
 func TestServer_Transfers(t *testing.T) {
 	dir := t.TempDir()
 	c := testConfig(t, dir)
--- a/internal/resend/resend.go
+++ b/internal/resend/resend.go
@@ -2,9 +2,9 @@
 // may be resent and when; the sender's decision module decides whether, where and when each attempt is made, as for any message.
 //
 // A resend is a sequence of durable steps: the store marks the entry as resending; the sender writes the message to its journal as its
-// next incarnation; the message ends there; the recorder gets that end, and the store records it. After a kill between any two of these
-// steps the message is either in the journal, and its delivery continues, or marked in the store and not in the journal, in which case
-// Store.Reconcile returns it to the stored entries. Engine persists nothing of its own, and is safe for concurrent use.
+// next incarnation; the message ends there; the recorder gets that end, and the store records it. If the process is killed between any two
+// of these steps, the message is either in the journal, and its delivery continues, or marked in the store and not in the journal, in
+// which case Store.Reconcile returns it to the stored entries. Engine persists nothing of its own, and is safe for concurrent use.
 package resend
 
 import (
--- a/internal/undelivered/entry.go
+++ b/internal/undelivered/entry.go
@@ -14,7 +14,8 @@
 const (
 	Stored   State = "kept"
 	Resolved State = "settled" // by an operator, or by the client's new message
-	// Resending is an entry that was handed to the sender again, or is about to be. Until it ends the sender's journal owns it.
+	// Resending is an entry whose message was handed to the sender again, or is about to be. The sender's journal owns the message until
+	// the message ends.
 	Resending State = "resending"
 )
 
--- a/internal/undelivered/reason_test.go
+++ b/internal/undelivered/reason_test.go
@@ -25,8 +25,8 @@
 	all(nil)
 }
 
-// Every effect, every history of up to three attempts, and ages on both sides of the key windows, compared with a second implementation of
-// the rule.
+// MayResend agrees with a second implementation of the rule for every effect, every history of up to three attempts, and ages on both
+// sides of the key windows.
 func TestMayResend_Exhaustively(t *testing.T) {
 	const from = 1000 * second
 	seen := map[Permission]int{}
--- a/internal/undelivered/resend.go
+++ b/internal/undelivered/resend.go
@@ -31,7 +31,7 @@
 	return begun, nil
 }
 
-// CancelResend returns entries to state stored that the sender did not accept.
+// CancelResend returns entries that the sender did not accept to state stored.
 func (s *Store) CancelResend(keys []Key) error {
 	err := s.update(func(tx *bolt.Tx) error {
 		for _, k := range keys {
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// Reconcile returns entries to state stored that an earlier process marked as resending and that are not in the sender's journal;
-// inFlight has the ids of the messages that are. It is called once, before the first BeginResend of this process.
+// Reconcile returns to state stored the entries that an earlier process marked as resending and that are not in the sender's journal;
+// inFlight has the ids of the messages in the journal. It is called once, before the first BeginResend of this process.
 func (s *Store) Reconcile(inFlight map[string]bool) (n int, err error) {
 	var interrupted []Key
 	err = s.List(Filter{}, func(k Key, e Entry) bool {
--- a/internal/undelivered/store_test.go
+++ b/internal/undelivered/store_test.go
@@ -46,7 +46,7 @@
 	return all
 }
 
-// List with filters, alone and combined, at once and in pages, compared with a plain loop over the same entries.
+// List returns the same entries as a plain loop, with filters alone and combined, at once and in pages.
 func TestStore_List(t *testing.T) {
 	s, _ := newStore(t, Limits{})
 	var all []Entry
--- a/internal/work/run/runner_test.go
+++ b/internal/work/run/runner_test.go
@@ -335,7 +335,8 @@
 	return f.jobStore.Checkpoint(id, s, e, m)
 }
 
-// Jobs that panic, hang, spawn jobs recursively, are parked by their slice, are of a newer version, or are of an unknown kind.
+// The runner handles jobs that panic, hang, spawn jobs recursively, are parked by their slice, are of a newer version, or are of an unknown
+// kind.
 func TestRunner_FaultyJobs(t *testing.T) {
 	var logged syncBuffer
 	c := config(filepath.Join(t.TempDir(), "work.db"))
