--- a/brain/rig_test.go
+++ b/brain/rig_test.go
@@ -127,15 +127,15 @@
 
 // inFlightCall is a call of one sender of a fleet, with its result.
 type inFlightCall struct {
-	sender int
-	result AttemptResult
-	endsAt time.Duration
+	sender  int
+	result  AttemptResult
+	endTime time.Duration
 }
 
 // splitEnded separates the calls that have ended by now from those in flight.
 func splitEnded(now time.Duration, calls []inFlightCall) (ended, open []inFlightCall) {
 	for _, c := range calls {
-		if now < c.endsAt {
+		if now < c.endTime {
 			open = append(open, c)
 		} else {
 			ended = append(ended, c)
--- a/internal/faulttest/cli/main_test.go
+++ b/internal/faulttest/cli/main_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// wrongVerdict reports a trial whose verdict does not match the sender's fault: an undetected fault, a violation of another rule, a
-// failed right sender or a rule without a chance.
+// unexpectedVerdict reports a trial whose verdict does not match the sender's fault: an undetected fault, a violation of another rule,
+// a failed right sender or a rule without a chance.
 func TestSelftestThatMisses(t *testing.T) {
 	result := func(broken int) judge.Report {
 		var r judge.Report
@@ -111,7 +111,7 @@
 		"right one fails": {trial{rule: 0, verdict: result(1)}, false},
 		"no chance":       {trial{rule: 0, verdict: judge.Report{Results: []judge.Result{{Rule: 1, Verdict: judge.NotTried}}}}, false},
 	} {
-		if why := c.trial.wrongVerdict(); (why == "") != c.right {
+		if why := c.trial.unexpectedVerdict(); (why == "") != c.right {
 			t.Errorf("%s: %q", name, why)
 		}
 	}
--- a/internal/faulttest/cli/selftest.go
+++ b/internal/faulttest/cli/selftest.go
@@ -106,9 +106,9 @@
 	err     error
 }
 
-// wrongVerdict describes the first wrong verdict: a rule that was not tried, an undetected violation or a false one. It returns "" if
-// there is none.
-func (t trial) wrongVerdict() string {
+// unexpectedVerdict describes the first unexpected verdict: a rule that was not tried, an undetected violation or a false one. It
+// returns "" if there is none.
+func (t trial) unexpectedVerdict() string {
 	for _, r := range t.verdict.Results {
 		switch {
 		case r.Verdict == judge.NotTried:
@@ -213,7 +213,7 @@
 		for _, r := range t.verdict.Results {
 			fmt.Fprintf(out, " %-9s", r.Verdict)
 		}
-		switch problem := t.wrongVerdict(); {
+		switch problem := t.unexpectedVerdict(); {
 		case t.verdict.Late != "":
 			fmt.Fprintf(out, " INCONCLUSIVE: %s", t.verdict.Late)
 			if code == judge.ExitPass {
--- a/internal/faulttest/judge/judge_test.go
+++ b/internal/faulttest/judge/judge_test.go
@@ -82,8 +82,8 @@
 	play func(w *writer, t int64, over int64)
 }
 
-// coldCapacity returns the number of calls that rule 4 allows within its span at a time after an outage.
-func coldCapacity(after int64, capacity float64) int {
+// slowStartCapacity returns the number of calls that rule 4 allows within its span at a time after an outage.
+func slowStartCapacity(after int64, capacity float64) int {
 	capacityShare := 0.2 + 0.8*float64(after)/10_000_000
 	budget := 2 * capacityShare * capacity * 3
 	slack := 4.0
@@ -137,7 +137,7 @@
 		back := t + 5000*millisecond
 		w.add(eventlog.Event{T: back, Kind: eventlog.Outage, Dest: w.dest, State: "off", Capacity: 10})
 		at := back + 1000*millisecond
-		for range coldCapacity(1000*millisecond, 10) + int(over) { // over is a number of calls here
+		for range slowStartCapacity(1000*millisecond, 10) + int(over) { // over is a number of calls here
 			id := w.accepted(at-10*millisecond, "n0", "safe", "", w.dest)
 			w.call(at, at+50*millisecond, "n0", id, w.dest, 200, "")
 		}
@@ -615,7 +615,7 @@
 		w.notice(400*millisecond, "n0", seen, "given_up")
 		w.add(eventlog.Event{T: 5000 * millisecond, Kind: eventlog.Outage, Dest: 0, State: "off", Capacity: 10})
 		first := int64(0)
-		for i := range 2 * coldCapacity(1000*millisecond, 10) {
+		for i := range 2 * slowStartCapacity(1000*millisecond, 10) {
 			id := w.accepted(5900*millisecond, "n0", "safe", "", 0)
 			w.call(6000*millisecond, 6050*millisecond, "n0", id, 0, 200, "")
 			if call := &w.events[len(w.events)-2]; i%10 == 0 {
--- a/internal/faulttest/receiver/connection.go
+++ b/internal/faulttest/receiver/connection.go
@@ -262,7 +262,7 @@
 		return false
 	}
 	if o.Status == 200 {
-		s.markDelivered(done)
+		s.recordDelivered(done)
 	}
 	return !c.overLimit
 }
@@ -288,7 +288,7 @@
 	s.logDone(done, func(d *eventlog.Event) { d.Detail, d.Status = eventlog.DetailCorrupt, status })
 	_, err := io.WriteString(c, text)
 	if status == 200 {
-		s.markDelivered(done)
+		s.recordDelivered(done)
 	}
 	c.SetWriteDeadline(time.Now().Add(time.Second))
 	for sent, block := 0, make([]byte, 4096); which == 2 && err == nil && sent < maxCorruptAnswer; sent += len(block) {
--- a/internal/faulttest/receiver/model.go
+++ b/internal/faulttest/receiver/model.go
@@ -138,8 +138,8 @@
 	return c
 }
 
-// CapacityShare returns the share of the full capacity that slow start allows at a time. It does not take outages into account.
-func (m *Model) CapacityShare(now time.Duration) float64 {
+// CapacityFraction returns the fraction of the full capacity that slow start allows at a time. It does not take outages into account.
+func (m *Model) CapacityFraction(now time.Duration) float64 {
 	if !m.slowStarted || m.spec.SlowStart <= 0 {
 		return 1
 	}
@@ -277,14 +277,14 @@
 
 // overloads counts a call against the load limit of slow start and reports whether this call makes the receiver collapse.
 func (m *Model) overloads(now time.Duration) bool {
-	if !m.slowStarted || m.inOutage || m.collapsed || m.CapacityShare(now) >= 1 {
+	if !m.slowStarted || m.inOutage || m.collapsed || m.CapacityFraction(now) >= 1 {
 		return false
 	}
 	m.recent = append(m.recent, now)
 	for m.recent[0] <= now-m.spec.FallSpan {
 		m.recent = m.recent[1:]
 	}
-	budget := m.spec.FallMultiple * m.CapacityShare(now) * m.spec.Capacity * m.spec.FallSpan.Seconds()
+	budget := m.spec.FallMultiple * m.CapacityFraction(now) * m.spec.Capacity * m.spec.FallSpan.Seconds()
 	return float64(len(m.recent)) > budget+max(4, math.Sqrt(budget))
 }
 
@@ -401,7 +401,7 @@
 	if m.cond.Unreachable || m.cond.Hung || m.collapsed {
 		return 0
 	}
-	return m.CapacityShare(now) / m.cond.Slow
+	return m.CapacityFraction(now) / m.cond.Slow
 }
 
 // slice bounds a step of Advance in slow start; within a step the speed is taken as constant.
@@ -414,7 +414,7 @@
 		v := m.speed(m.now)
 		step := now - m.now
 		if v > 0 {
-			if m.slowStarted && m.CapacityShare(m.now) < 1 {
+			if m.slowStarted && m.CapacityFraction(m.now) < 1 {
 				step = min(step, slice)
 			}
 			if left, ok := m.shortest(); ok {
@@ -471,7 +471,7 @@
 		return 0, false
 	}
 	d := time.Duration(math.Ceil(float64(left) / v))
-	if m.slowStarted && m.CapacityShare(m.now) < 1 {
+	if m.slowStarted && m.CapacityFraction(m.now) < 1 {
 		d = min(d, slice) // the speed rises meanwhile
 	}
 	return m.now + max(d, time.Microsecond), true
--- a/internal/faulttest/receiver/model_test.go
+++ b/internal/faulttest/receiver/model_test.go
@@ -252,14 +252,14 @@
 	}
 }
 
-func TestModel_CapacityShareInSlowStart(t *testing.T) {
+func TestModel_CapacityFractionInSlowStart(t *testing.T) {
 	m := NewModel(plain(), 1, 1)
-	if m.CapacityShare(0) != 1 {
+	if m.CapacityFraction(0) != 1 {
 		t.Error("slow start without an outage")
 	}
 	m.Begin(0, 1, fault.Fault{Kind: fault.SlowStart})
 	for at, want := range map[time.Duration]float64{0: 0.2, 5 * sec: 0.6, 10 * sec: 1, time.Hour: 1} {
-		if got := m.CapacityShare(at); got < want-1e-9 || got > want+1e-9 {
+		if got := m.CapacityFraction(at); got < want-1e-9 || got > want+1e-9 {
 			t.Errorf("at %v %v, want %v", at, got, want)
 		}
 	}
--- a/internal/faulttest/receiver/server.go
+++ b/internal/faulttest/receiver/server.go
@@ -241,8 +241,8 @@
 	}
 }
 
-// markDelivered records the messages of a call whose 200 has been written.
-func (s *Server) markDelivered(done []eventlog.Event) {
+// recordDelivered records the messages of a call whose 200 has been written.
+func (s *Server) recordDelivered(done []eventlog.Event) {
 	for _, d := range done {
 		s.registry.Delivered(d.ID)
 	}
--- a/internal/faulttest/scenariofuzz/day.go
+++ b/internal/faulttest/scenariofuzz/day.go
@@ -21,7 +21,7 @@
 	}
 	all = append(all, r.changes(length)...)
 	for _, t := range all {
-		t["at"] = roundThousandths(min(max(t["at"].(float64), 0.1), latestStart(site, chosen)))
+		t["at"] = toThousandths(min(max(t["at"].(float64), 0.1), latestStart(site, chosen)))
 	}
 	all = withoutInactiveContracts(all, site)
 	all = withoutExcessRetires(all, site)
--- a/internal/faulttest/scenariofuzz/faults.go
+++ b/internal/faulttest/scenariofuzz/faults.go
@@ -239,5 +239,5 @@
 	return false
 }
 
-// roundThousandths rounds to thousandths.
-func roundThousandths(x float64) float64 { return math.Round(x*1000) / 1000 }
+// toThousandths rounds to the nearest thousandth.
+func toThousandths(x float64) float64 { return math.Round(x*1000) / 1000 }
--- a/internal/faulttest/scenariofuzz/scenarios.go
+++ b/internal/faulttest/scenariofuzz/scenarios.go
@@ -319,7 +319,7 @@
 	var all []Table
 	for from := 1.0; from < length-10; from += 20 {
 		count := r.integer(12, 30)
-		all = append(all, at(from, newFault("config_race", "count", count, "gap_s", roundThousandths(18/float64(count))))...)
+		all = append(all, at(from, newFault("config_race", "count", count, "gap_s", toThousandths(18/float64(count))))...)
 	}
 	losses := lossesOf(site)
 	for from := r.between(15, 25); from < length-25; from += r.between(18, 30) {
@@ -409,7 +409,7 @@
 	all := at(2, newFault("config_race", "count", 120, "gap_s", 1.5))
 	for from := 4.0; from < length-15; from += r.between(4, 9) {
 		kind := kinds[r.Intn(len(kinds))].kind
-		all = append(all, at(roundThousandths(from), r.entryOf(kind, site))...)
+		all = append(all, at(toThousandths(from), r.entryOf(kind, site))...)
 	}
 	return all
 }
--- a/internal/tier/controlplane/change_faults_test.go
+++ b/internal/tier/controlplane/change_faults_test.go
@@ -21,11 +21,11 @@
 
 // Durations of a run, in virtual time.
 const (
-	runTraffic     = 20 * time.Second        // time during which operators send
-	runCallTimeout = time.Second             // time-out of an operator's call
-	runSync        = 4500 * time.Millisecond // from the return of a machine until the next may be lost
-	runSettleTime  = 8 * time.Second         // from the last fault until the final read
-	runFinalWait   = 12 * time.Second        // time-out of the final read
+	runTraffic      = 20 * time.Second        // time during which operators send
+	runCallTimeout  = time.Second             // time-out of an operator's call
+	runSync         = 4500 * time.Millisecond // from the return of a machine until the next may be lost
+	runRecoveryTime = 8 * time.Second         // from the last fault until the final read
+	runFinalWait    = 12 * time.Second        // time-out of the final read
 )
 
 var changeSeeds = flag.Int("order-seeds", 6, "runs of TestChanges_ThroughFaults")
@@ -60,7 +60,7 @@
 		all.Go(func() { r.injectFaults(random) })
 		all.Wait()
 		r.injectFinalFault(random)
-		<-time.After(runSettleTime)
+		<-time.After(runRecoveryTime)
 		c.lossRate = 0
 		r.readFinal(random)
 		r.repeatAll(random)
