--- a/internal/mapping/mapping.go
+++ b/internal/mapping/mapping.go
@@ -1,5 +1,5 @@
-// Package mapping finds out what an event is to this sender: its class, tenant, destination, deadline and keys, by
-// ordered rules that operators write. It does no I/O and knows no clock.
+// Package mapping maps an event to the class, tenant, destination, deadline and keys with which this sender delivers it, by
+// ordered rules written by operators. It does no I/O and reads no clock.
 package mapping
 
 import (
@@ -13,75 +13,76 @@
 	"saffronyard.example/saffronyard/internal/cloudevents"
 )
 
-// Rule is one rule. The first whose conditions all hold is the one; an empty condition always holds.
+// Rule is one rule. The first rule whose conditions all hold applies; an empty condition always holds.
 type Rule struct {
 	Name string
 
-	// Conditions. One that ends with * holds for all that begin with what stands before it; any other, for what is
-	// equal. Subject is split at slashes, and a part such as {member} holds for any one part that is not empty and
-	// captures it; {rest...} as the last captures all that is left.
+	// Conditions. A condition that ends with * holds for values with the prefix before the *; any other holds for equal
+	// values. Subject is split at slashes. A part such as {member} holds for any single non-empty part and captures it;
+	// {rest...} as the last part captures the rest of the subject.
 	Type, Source, Subject string
 	Extensions            map[string]string
 
-	// Refuse, if not empty, turns the event away with this text.
+	// Refuse, if not empty, rejects the event with this text.
 	Refuse string
 
-	// What the event is, with {name} for what was captured, {type}, {source}, {id}, {subject} and {ext.NAME}.
+	// Templates for the fields of the Target. They may contain {name} for a capture, {type}, {source}, {id}, {subject} and
+	// {ext.NAME}.
 	Class, Tenant, Destination, Key, Order string
 	Deadline                               time.Duration // 0: the rules' default
 
-	parts []part // of the subject, once it was prepared
+	parts []part // of Subject, set by Prepare
 }
 
-// Prepare readies rules that were checked for Find, which is slower without.
+// Prepare parses the subjects of checked rules in advance, which makes Find faster.
 func (r *Rules) Prepare() {
 	for i := range r.List {
-		r.List[i].parts, _ = subjectParts(r.List[i].Subject) // what can't be read was found by Check
+		r.List[i].parts, _ = subjectParts(r.List[i].Subject) // Check has reported any error
 	}
 }
 
-// capture is a name and what it stands for.
+// capture is the name of a capture and its value.
 type capture struct{ name, v string }
 
-// Rules is all of them.
+// Rules is the ordered list of rules with their defaults.
 type Rules struct {
 	List         []Rule
-	Destinations map[string]uint32 // numbers by name; a name that is a number stands for itself
-	Deadline     time.Duration     // where a rule states none
-	Fallback     *Rule             // where none matches; nil: such an event is rejected
+	Destinations map[string]uint32 // numbers by name; a name that is not in the map may be a number itself
+	Deadline     time.Duration     // for rules without one
+	Fallback     *Rule             // applies if no rule matches; nil: such events are rejected
 }
 
-// Target is what an event is to this sender.
+// Target is the result of mapping an event.
 type Target struct {
 	Class, Tenant string
 	Destination   uint32
-	Key           string // idempotency key; "" for the event's identity
-	Order         string // key of the order; "" for none
+	Key           string // idempotency key; "" for one derived from the event's identity
+	Order         string // ordering key; "" for none
 	Deadline      time.Duration
 }
 
 // maxDestination is the highest number of a destination.
 const maxDestination = 1<<16 - 1
 
-// RuleError is a rule that can't be as it is, or a template that can't be filled in.
+// RuleError reports an invalid rule, or a template that can't be filled in.
 type RuleError struct{ detail string }
 
 func ruleError(format string, args ...any) error {
 	return &RuleError{detail: fmt.Sprintf(format, args...)}
 }
 
-// Error names the setting and what is wrong with it.
+// Error returns the setting and the problem with it.
 func (e *RuleError) Error() string { return e.detail }
 
-// Errors of rules that name too much or too little.
+// Errors of rules with contradictory, missing or malformed settings.
 var (
 	errRefuseExcludes = errors.New("refuse excludes class, tenant, destination, key, order and deadline")
-	errTargetNeeded   = errors.New("class and destination are needed, or refuse")
+	errTargetNeeded   = errors.New("either class and destination, or refuse must be set")
 	errOpenBrace      = errors.New("a { is not closed")
 	errCloseBrace     = errors.New("a } closes nothing")
 )
 
-// Refusal is why an event is rejected. Rule is the index of the rule that did so, -1 where none matched.
+// Refusal is the reason why an event is rejected. Rule is the index of the rule that rejected it, -1 if none matched.
 type Refusal struct {
 	Rule int
 	Text string
@@ -90,7 +91,8 @@
 // Error returns the text for the client.
 func (r *Refusal) Error() string { return r.Text }
 
-// Check returns a *RuleError for a rule that can't be as it is: conditions that can't be parsed, or names that nothing captures.
+// Check validates a rule. It returns an error for conditions that can't be parsed, contradictory or missing settings, and names in
+// templates that are neither captured nor defined.
 func (r *Rule) Check() error {
 	parts, err := subjectParts(r.Subject)
 	if err != nil {
@@ -98,18 +100,18 @@
 	}
 	for name, v := range map[string]string{"type": r.Type, "source": r.Source} {
 		if strings.Contains(strings.TrimSuffix(v, "*"), "*") {
-			return ruleError("%s = %q: a * stands at the end only", name, v)
+			return ruleError("%s = %q: a * is allowed only at the end", name, v)
 		}
 	}
 	for name, v := range r.Extensions {
 		if strings.Contains(strings.TrimSuffix(v, "*"), "*") {
-			return ruleError("extensions.%s = %q: a * stands at the end only", name, v)
+			return ruleError("extensions.%s = %q: a * is allowed only at the end", name, v)
 		}
 		if name == "" || strings.Trim(name, "abcdefghijklmnopqrstuvwxyz0123456789") != "" {
-			return ruleError("extensions: %q is no name of an extension: lower-case letters and digits", name)
+			return ruleError("extensions: %q is not an extension name: use only lower-case letters and digits", name)
 		}
 		if slices.Contains(standard, name) {
-			return ruleError("extensions: %s is an attribute of every event and no extension", name)
+			return ruleError("extensions: %s is a standard attribute, not an extension", name)
 		}
 	}
 	var known []string
@@ -148,7 +150,8 @@
 	variables = []string{"type", "source", "id", "subject"}
 )
 
-// Reachable returns a rule that no event can reach, as a rule before it matches all that it matches; ok is false if there is none.
+// Reachable looks for an unreachable rule: one for which an earlier rule matches every event that it matches. It returns the indices of
+// both. ok is false if all rules are reachable.
 func (r *Rules) Reachable() (rule, before int, ok bool) {
 	for i := range r.List {
 		for j := range r.List[:i] {
@@ -160,7 +163,7 @@
 	return 0, 0, false
 }
 
-// covers reports whether r surely matches all that other matches.
+// covers reports whether r is certain to match every event that other matches.
 func (r *Rule) covers(other *Rule) bool {
 	wider := func(a, b string) bool {
 		p, open := strings.CutSuffix(a, "*")
@@ -177,12 +180,12 @@
 	return true
 }
 
-// part is one part of a subject's pattern.
+// part is one part of a subject pattern: a text, a prefix or a capture.
 type part struct {
-	text    string // equal to this, or, if open, beginning with it
+	text    string // the exact text, or the prefix if open
 	open    bool
-	capture string // or any, captured by this name
-	rest    bool   // with all behind it
+	capture string // name of the capture, "" if it is none
+	rest    bool   // the capture includes all later parts
 }
 
 func subjectParts(pattern string) ([]part, error) {
@@ -199,25 +202,25 @@
 			name, closed := strings.CutSuffix(inner, "}")
 			name, p.rest = strings.CutSuffix(name, "...")
 			if !closed || name == "" || strings.Trim(name, "abcdefghijklmnopqrstuvwxyz0123456789_") != "" || slices.Contains(variables, name) {
-				return nil, ruleError("%q is no capture: {name} of lower-case letters, digits and _, and none of %v", t, variables)
+				return nil, ruleError("%q is not a valid capture: use {name} of lower-case letters, digits and _, other than %v", t, variables)
 			}
 			if p.rest && i < len(texts)-1 {
-				return nil, ruleError("%q stands at the end only", t)
+				return nil, ruleError("%q is allowed only at the end", t)
 			}
 			p.capture = name
 		case strings.ContainsAny(t, "{}"):
-			return nil, ruleError("%q: a capture is a part by itself", t)
+			return nil, ruleError("%q: a capture must be a whole part", t)
 		default:
 			p.text, p.open = strings.CutSuffix(t, "*")
 			if p.open && i < len(texts)-1 || strings.Contains(p.text, "*") {
-				return nil, ruleError("%q: a * stands at the end only", t)
+				return nil, ruleError("%q: a * is allowed only at the end", t)
 			}
 		}
 	}
 	return parts, nil
 }
 
-// holds is whether a condition holds for a value.
+// holds reports whether a condition holds for a value.
 func holds(condition, v string) bool {
 	if begin, open := strings.CutSuffix(condition, "*"); open {
 		return strings.HasPrefix(v, begin)
@@ -225,23 +228,24 @@
 	return condition == "" || condition == v
 }
 
-// match reports whether all conditions hold, with the subject's captures. It tells why not only if asked.
-func (r *Rule) match(e *cloudevents.Event, tell bool) (captured []capture, ok bool, why string) {
-	no := func(format string, args ...any) ([]capture, bool, string) {
-		if tell {
+// match reports whether all conditions hold, and returns the subject's captures. Only if explain is set, it returns the reason
+// why the rule does not match.
+func (r *Rule) match(e *cloudevents.Event, explain bool) (captured []capture, ok bool, why string) {
+	mismatch := func(format string, args ...any) ([]capture, bool, string) {
+		if explain {
 			return nil, false, fmt.Sprintf(format, args...)
 		}
 		return nil, false, ""
 	}
 	if r.Type != "" && !holds(r.Type, e.Get("type")) {
-		return no("type %q is not %q", e.Get("type"), r.Type)
+		return mismatch("type %q is not %q", e.Get("type"), r.Type)
 	}
 	if r.Source != "" && !holds(r.Source, e.Get("source")) {
-		return no("source %q is not %q", e.Get("source"), r.Source)
+		return mismatch("source %q is not %q", e.Get("source"), r.Source)
 	}
 	for _, name := range sortedKeys(r.Extensions) {
 		if v := e.Get(name); v == "" || !holds(r.Extensions[name], v) {
-			return no("extension %s %q is not %q", name, v, r.Extensions[name])
+			return mismatch("extension %s %q is not %q", name, v, r.Extensions[name])
 		}
 	}
 	if r.Subject == "" {
@@ -251,11 +255,11 @@
 	if parts == nil {
 		var err error
 		if parts, err = subjectParts(r.Subject); err != nil {
-			return no("%v", err)
+			return mismatch("%v", err)
 		}
 	}
 	subject := e.Get("subject")
-	differs := func() ([]capture, bool, string) { return no("subject %q is not %q", subject, r.Subject) }
+	differs := func() ([]capture, bool, string) { return mismatch("subject %q is not %q", subject, r.Subject) }
 	for i, p := range parts {
 		if i > 0 {
 			if subject == "" || subject[0] != '/' {
@@ -295,12 +299,12 @@
 	return names
 }
 
-// fill replaces the {names} in a template by values. {{ and }} are braces.
+// fill replaces the {names} in a template by their values; {{ and }} stand for literal braces.
 func fill(text string, value func(string) (string, bool)) (string, error) {
 	if strings.IndexByte(text, '{') < 0 && strings.IndexByte(text, '}') < 0 {
 		return text, nil
 	}
-	if n := len(text) - 1; text[0] == '{' && n > 1 && text[1] != '{' && strings.IndexByte(text, '}') == n { // one name alone
+	if n := len(text) - 1; text[0] == '{' && n > 1 && text[1] != '{' && strings.IndexByte(text, '}') == n { // the template is a single name
 		if v, ok := value(text[1:n]); ok {
 			return v, nil
 		}
@@ -333,7 +337,8 @@
 	return b.String(), nil
 }
 
-// Find maps an event. rule is the place of the rule that fitted, len(List) for the fallback.
+// Find maps an event. rule is the index of the rule that matched, len(List) for the fallback, -1 if none matched. The error is a
+// *Refusal.
 func (r *Rules) Find(e *cloudevents.Event) (t Target, rule int, err error) {
 	for i := range r.List {
 		if captured, ok, _ := r.List[i].match(e, false); ok {
@@ -348,7 +353,7 @@
 	return Target{}, -1, &Refusal{-1, fmt.Sprintf("no rule fits an event of type %q, source %q, subject %q", e.Get("type"), e.Get("source"), e.Get("subject"))}
 }
 
-// Explain tells of each rule up to the first that matches why it does not, and then what that one makes of the event.
+// Explain returns lines that say why each rule before the first match does not match, and then the result of the mapping.
 func (r *Rules) Explain(e *cloudevents.Event) []string {
 	var lines []string
 	for i := range r.List {
@@ -378,7 +383,7 @@
 	return s
 }
 
-// Name is how a rule is called: by its name, or by its place.
+// Name returns a display name for rule i: its name, or its number from 1.
 func (r *Rules) Name(i int) string {
 	switch {
 	case i >= len(r.List):
@@ -389,7 +394,7 @@
 	return fmt.Sprintf("rule %d", i+1)
 }
 
-// apply fills in what a rule makes of an event.
+// apply returns the Target of an event by a rule.
 func (r *Rules) apply(rule *Rule, i int, captured []capture, e *cloudevents.Event) (Target, error) {
 	refuse := func(format string, args ...any) (Target, error) {
 		return Target{}, &Refusal{i, r.Name(i) + ": " + fmt.Sprintf(format, args...)}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings translates what a sender is told at its start into the decision module's Settings. The simulator states
-// it as lines of path=value, the configuration of a real sender as nested JSON with the same names; both are read through the
-// same keys, so that the two cannot drift apart. The keys are the pages'; this is the one place that maps them.
+// Package settings translates the settings with which a sender starts into the decision module's Settings. The simulator passes
+// them as lines of path=value, the configuration of a real sender as nested JSON with the same names. Both are read through the
+// same keys, so that the two cannot diverge. The keys are those of the documentation; only this package maps them to fields.
 package settings
 
 import (
@@ -16,7 +16,7 @@
 	"saffronyard.example/saffronyard/internal/wire"
 )
 
-// DurationFromMs converts milliseconds to a duration, rounded to the microsecond in which the simulator counts.
+// DurationFromMs converts milliseconds to a duration, rounded to a microsecond, the simulator's unit of time.
 func DurationFromMs(ms float64) time.Duration {
 	us := math.Round(ms * 1000)
 	if limit := float64(math.MaxInt64 / 2000); us > limit || us < -limit {
@@ -25,7 +25,7 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-// Translate reads the settings; unknown keys are skipped. The first value that cannot be read shows in env.Err.
+// Translate reads the settings and ignores unknown keys. If a value cannot be read, env.Err returns the first such error.
 func Translate(env *wire.Settings) brain.Settings {
 	ms := func(key string) time.Duration { return DurationFromMs(env.Float(key)) }
 	s := brain.Settings{
@@ -98,7 +98,7 @@
 }
 
 // Flatten converts nested JSON to the simulator's form of path=value: a list of plain values is joined by
-// commas, a list of objects states its length under .count and its items under .0, .1 and so forth.
+// commas, a list of objects becomes its length under .count and its items under .0, .1 and so forth.
 func Flatten(raw []byte) (*wire.Settings, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
@@ -112,7 +112,7 @@
 	return wire.ParseSettings(strings.Join(lines, "\n"))
 }
 
-// separators replaces what separates lines and list items.
+// separators replaces the characters that separate lines and list items.
 var separators = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
 func flatten(path string, value any, lines *[]string) {
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -1,21 +1,21 @@
 package wire
 
-// Codes of the event records, with the page's names.
+// Codes of the event records, with their names in WIRE-saffronyard.md.
 const (
 	CodeHello          = 1  // hello: an instance starts
 	CodeEndpointUpdate = 2  // directory_update
 	CodeMessage        = 3  // submit
-	CodeHead           = 4  // head_received; the decision module has no use for it
+	CodeHead           = 4  // head_received; the decision module does not use it
 	CodeAttemptResult  = 5  // attempt_end
 	CodeWithdrawn      = 6  // cancelled_by_client
 	CodeTimerFired     = 7  // alarm
-	CodeStatus         = 8  // status_back; the decision module has no use for it
-	CodeInbox          = 9  // inbox; the decision module has no use for it
+	CodeStatus         = 8  // status_back; the decision module does not use it
+	CodeInbox          = 9  // inbox; the decision module does not use it
 	CodeExit           = 10 // exit: an instance ends
 	CodeEndpointPage   = 11 // catalog: endpoints that updates refer to by their page
 )
 
-// Event is one record of a frame. Code tells which fields are set. Quoted words are the page's.
+// Event is one record of a frame. Code determines which fields are set. Quoted names are those of WIRE-saffronyard.md.
 type Event struct {
 	Code     uint16
 	Index    int // number of the record in its frame
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -16,7 +16,7 @@
 	if n, err := io.ReadFull(r, head[:]); err == io.EOF {
 		return Batch{}, io.EOF
 	} else if err != nil {
-		return Batch{}, headerError("%d of 16 bytes, then the input ends", n)
+		return Batch{}, headerError("input ends after %d of 16 bytes", n)
 	}
 	clock := math.Float64frombits(binary.LittleEndian.Uint64(head[:]))
 	size := binary.LittleEndian.Uint32(head[8:])
@@ -25,16 +25,16 @@
 		return Batch{}, headerError("the clock is not a number")
 	}
 	if size < 4 || size > MaxFrame {
-		return Batch{}, headerError("length %d is out of bounds", size)
+		return Batch{}, headerError("length %d is out of range", size)
 	}
-	body, err := io.ReadAll(io.LimitReader(r, int64(size)-4)) // grows with what comes, whatever is claimed
+	body, err := io.ReadAll(io.LimitReader(r, int64(size)-4)) // grows with the bytes that arrive, not with the claimed size
 	if err != nil {
 		return Batch{}, &FrameError{Part: "frame body", Reason: err.Error(), Err: err}
 	}
 	if uint32(len(body)) != size-4 {
 		return Batch{}, &FrameError{
 			Part:   "frame body",
-			Reason: fmt.Sprintf("%d of %d bytes, then the input ends", len(body), size-4),
+			Reason: fmt.Sprintf("input ends after %d of %d bytes", len(body), size-4),
 		}
 	}
 	return parse(clock, count, body)
@@ -54,12 +54,12 @@
 	at := 0
 	for i := 0; i < int(count); i++ {
 		if len(body)-at < 6 {
-			return b, &RecordError{i, at, NotRead, &LayoutError{"no room for its code and size"}}
+			return b, &RecordError{i, at, NotRead, &LayoutError{"frame ends before its code and size"}}
 		}
 		code := binary.LittleEndian.Uint16(body[at:])
 		size := int64(binary.LittleEndian.Uint32(body[at+2:]))
 		if size > int64(len(body)-at-6) {
-			return b, &RecordError{i, at, NotRead, &LayoutError{fmt.Sprintf("size %d runs past the frame", size)}}
+			return b, &RecordError{i, at, NotRead, &LayoutError{fmt.Sprintf("size %d exceeds the rest of the frame", size)}}
 		}
 		d := decoder{buf: body[at+6 : at+6+int(size)]}
 		e := Event{Code: code, Index: i, Offset: at}
@@ -80,14 +80,14 @@
 type decoder struct {
 	buf  []byte
 	at   int
-	fail string // what is wrong with the first field that cannot be read
+	fail string // error of the first field that cannot be read
 }
 
-// take reads the next n bytes of a field that is called what.
+// take reads the next n bytes, which belong to the field called what. After a failure it returns zeros.
 func (d *decoder) take(n int, what string) []byte {
 	if d.fail != "" || n > len(d.buf)-d.at {
 		if d.fail == "" {
-			d.fail = fmt.Sprintf("%s at offset %d of the record runs past its end", what, d.at+6)
+			d.fail = fmt.Sprintf("%s at offset %d of the record exceeds the record", what, d.at+6)
 		}
 		return make([]byte, 8)
 	}
@@ -125,11 +125,11 @@
 	}
 }
 
-// count reads an element count and makes sure that so many elements are there.
+// count reads an element count and checks that the record is long enough for the elements, each of size bytes.
 func (d *decoder) count(size int, what string) int {
 	n := int64(d.u32(what + " count"))
 	if d.fail == "" && n*int64(size) > int64(len(d.buf)-d.at) {
-		d.fail = fmt.Sprintf("%s count %d runs past the record's end", what, n)
+		d.fail = fmt.Sprintf("%s count %d exceeds the record", what, n)
 	}
 	if d.fail != "" {
 		return 0
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// Codes of the action records, with the page's names.
+// Codes of the action records, with their names in WIRE-saffronyard.md.
 const (
 	codeSend           = 1  // send
 	codeReject         = 2  // decline
@@ -25,7 +25,7 @@
 	count uint32
 }
 
-// record begins a record of so many bytes.
+// record begins a record with size bytes of fields.
 func (r *Reply) record(code uint16, size int, instance uint16) {
 	if r.count == 0 {
 		r.buf = append(r.buf[:0], 0, 0, 0, 0, 0, 0, 0, 0)
@@ -53,14 +53,14 @@
 	r.buf = binary.LittleEndian.AppendUint32(r.buf, endpoint)
 }
 
-// Reject writes a decline: the client may try again after the wait.
+// Reject writes a decline: the client may retry after the wait.
 func (r *Reply) Reject(i uint16, message uint64, retryAfterMs float64) {
 	r.record(codeReject, 18, i)
 	r.u64(message)
 	r.f64(retryAfterMs)
 }
 
-// Fail writes a finish_error: the message ends without a promise.
+// Fail writes a finish_error: the message ends, and an attempt of it may or may not have run.
 func (r *Reply) Fail(i uint16, message uint64) {
 	r.record(codeFail, 10, i)
 	r.u64(message)
@@ -73,7 +73,7 @@
 	r.buf = append(r.buf, attempt)
 }
 
-// SetTimer writes a wake_me: an alarm with the label comes at that time of the clock.
+// SetTimer writes a wake_me, which requests an alarm with the label at that time of the clock.
 func (r *Reply) SetTimer(i uint16, atMs float64, label uint32) {
 	r.record(codeSetTimer, 14, i)
 	r.f64(atMs)
